--- /dev/null
+++ b/tests/test_external_names.py
@@ -0,0 +1,284 @@
+"""Names and texts that other programs and people rely on, as recorded under ``golden/``: keys of
+the state service, HTTP paths and answers, fields of settings files and scripts.
+
+The recorded files are never to be made anew.
+"""
+
+from __future__ import annotations
+
+import json
+import re
+import socket
+import threading
+from collections.abc import Iterator
+from dataclasses import astuple
+from datetime import timedelta
+from pathlib import Path
+from typing import Any
+
+import curio
+import msgspec
+import pytest
+
+from micadeal.http.message import Answer, Request, answer, error
+from micadeal.http.server import Server
+from micadeal.operator.options import Options
+from micadeal.operator.options import load as load_options
+from micadeal.operator.platform import BadSettings, Platform, parse
+from micadeal.operator.script import BadScript, evaluate, policy_from_values
+from micadeal.stored import keys
+from micadeal.stored.descriptions import part_key
+from tests.fakes.world import World
+
+GOLDEN = Path(__file__).parent / "golden"
+SETTINGS_TEXT = (GOLDEN / "settings.toml").read_text()
+
+
+def recorded(name: str) -> Any:
+    return json.loads((GOLDEN / name).read_text())
+
+
+def plain(value: Any) -> Any:
+    """As JSON holds it."""
+    if isinstance(value, timedelta):
+        return value.total_seconds()
+    if isinstance(value, dict):
+        return {key: plain(held) for key, held in value.items()}
+    if isinstance(value, (list, tuple)):
+        return [plain(held) for held in value]
+    return value
+
+
+# -- keys of the state service -----------------------------------------------------------------
+
+
+def test_names_of_keys() -> None:
+    assert keys.LEADER == "leader"
+    assert keys.SEAT == "seat/"
+    assert keys.HELD == "seat/held"
+    assert keys.LEVEL == "seat/level"
+    assert keys.MEMBER == "seat/member/"
+    assert keys.JOBS == "job/"
+    assert keys.PARTS == "part/"
+    assert keys.ENDS == "end/"
+    assert keys.DONE == "done/"
+    assert keys.FINISHED == "finished/"
+    assert keys.PLACED == "placed/"
+    assert keys.OLD_PLACED == "machine/"
+    assert keys.IMAGES == "images/"
+    assert keys.LEAVING == "leaving/"
+    assert keys.SETTINGS == "settings"
+    assert part_key("req-000412", 3) == "part/req-000412/3"
+    assert keys.job_of("done/req-000412/7") == "req-000412"
+    assert keys.job_of("finished/req-000412/7") == "req-000412"
+
+
+#: Seen as a few jobs run, with each number written as ``#``.
+WRITTEN_KEYS = {
+    "leader",
+    "seat/held",
+    "seat/level",
+    "seat/member/c#",
+    "job/req-#",
+    "end/req-#",
+    "finished/req-#/#",
+    "placed/#/#",
+    "images/#",
+    "settings",
+}
+
+
+async def write_all_keys(world: World) -> set[str]:
+    """Plays until every kind of key was stored, or gives up; what was seen."""
+    seen: set[str] = set()
+
+    def look() -> bool:
+        seen.update(re.sub(r"[0-9]+", "#", key) for key in world.state.keys)
+        return seen >= WRITTEN_KEYS
+
+    sent = {"script": "refresh_s = 3\n", "values": {"refresh_s": 3}}
+    await world.run_job("array", 24, run_s=6.0)
+    await world.call(0, "POST", "/settings", sent)
+    for _ in range(240):
+        if look():
+            break
+        await curio.sleep(0.5)
+    return seen
+
+
+def test_keys_written_as_jobs_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def story(world: World) -> None:
+        assert await write_all_keys(world) == WRITTEN_KEYS
+
+    World().play(monkeypatch, story)
+
+
+# -- HTTP --------------------------------------------------------------------------------------
+
+
+async def ask(world: World, case: dict[str, Any]) -> dict[str, Any]:
+    """What a recorded request is answered with; of what depends on time only the fields' names."""
+    port = {"api": 8080, "mesh": 8081}[case["address"]]
+    body = bytes.fromhex(case["hex"]) if "hex" in case else b""
+    if "body" in case:
+        body = msgspec.msgpack.encode(case["body"])
+    number = case.get("number", 0)
+    leader = world.leader()
+    assert leader is not None
+    number = {"leader": leader, "follower": (leader + 1) % 3}.get(number, number)
+    _, handler = world.network._servers[f"10.0.0.{number + 1}:{port}"]
+    reply = await handler(Request(case["method"], case["path"], "", body))
+    said = msgspec.msgpack.decode(reply.body) if reply.body else None
+    wait = None if reply.retry_after is None else reply.retry_after.total_seconds()
+    found: dict[str, Any] = {"status": reply.status, "retry_after": wait}
+    if case.get("only_fields"):
+        return {**found, "fields": list(said or ())}
+    return {**found, "reply": said}
+
+
+async def play_cases(world: World, cases: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Cases of one phase after those of the phase before."""
+    found: list[dict[str, Any]] = []
+    phase = ""
+    for case in cases:
+        if case["phase"] != phase:
+            phase = case["phase"]
+            world.state.outage = phase == "outage"
+            await curio.sleep({"serving": 5.0, "outage": 1.0}[phase])
+        found.append(await ask(world, case))
+    world.state.outage = False
+    return found
+
+
+def test_paths_methods_and_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+    cases = recorded("http.json")
+
+    async def story(world: World) -> None:
+        found = await play_cases(world, [case["request"] for case in cases])
+        for case, reply in zip(cases, found, strict=True):
+            assert reply == case["answer"], case["request"]
+
+    World().play(monkeypatch, story)
+
+
+async def _answer_for_bytes(request: Request) -> Answer:
+    match request.path:
+        case "/fine":
+            return answer(200, {"a": 1})
+        case "/later":
+            return error(503, "not now", timedelta(seconds=1.2))
+        case "/broken":
+            raise RuntimeError
+    return error(404, "no such path")
+
+
+@pytest.fixture(scope="module")
+def server_address() -> Iterator[tuple[str, int]]:
+    server = Server(("127.0.0.1", 0), _answer_for_bytes, most=20)
+    address = server.listen()
+    threading.Thread(target=curio.run, args=(server.run,), daemon=True).start()
+    yield address
+
+
+def exchange(address: tuple[str, int], sent: bytes) -> bytes:
+    with socket.create_connection(address, timeout=5) as connection:
+        connection.sendall(sent)
+        connection.shutdown(socket.SHUT_WR)
+        received = b""
+        while data := connection.recv(65536):
+            received += data
+    return received
+
+
+#: A request, and all that the server sends for it.
+EXCHANGES = json.loads((GOLDEN / "http_bytes.json").read_text())
+
+
+@pytest.mark.parametrize("case", EXCHANGES, ids=lambda case: case["name"])
+def test_bytes_of_answers(server_address: tuple[str, int], case: dict[str, Any]) -> None:
+    sent = case["sent"].encode("latin-1") + b"x" * case.get("body_bytes", 0)
+    assert exchange(server_address, sent).decode("latin-1") == case["received"]
+
+
+# -- settings files ----------------------------------------------------------------------------
+
+
+def altered_settings() -> Iterator[tuple[str, str]]:
+    """Settings with one line left out, or its value replaced; each with a name."""
+    lines = SETTINGS_TEXT.splitlines(keepends=True)
+    section = ""
+    for number, line in enumerate(lines):
+        if line.startswith("["):
+            section = line.strip("[]\n") + "."
+        if " = " not in line:
+            continue
+        field = line.split(" = ")[0]
+        for name, new in (
+            ("without", ""),
+            ("negative", f"{field} = -1\n"),
+            ("of another type", f"{field} = {{}}\n"),
+            ("empty", f'{field} = ""\n'),
+        ):
+            yield f"{section}{field} {name}", "".join([*lines[:number], new, *lines[number + 1 :]])
+    for header in [line for line in lines if line.startswith("[")]:
+        start = lines.index(header)
+        end = next(i for i in [*range(start, len(lines)), -1] if i < 0 or not lines[i].strip())
+        rest = lines[:start] + (lines[end:] if end >= 0 else [])
+        yield f"{header.strip()} without", "".join(rest)
+
+
+def settings_said(text: str) -> Any:
+    """What is read, without names of Python fields, or the error."""
+    try:
+        platform: Platform = parse(text)
+    except BadSettings as problem:
+        return str(problem)
+    return plain(astuple(platform))
+
+
+def test_full_settings_are_read() -> None:
+    assert settings_said(SETTINGS_TEXT) == recorded("settings.json")["full"]
+
+
+@pytest.mark.parametrize(("name", "text"), list(altered_settings()))
+def test_settings_that_lack_or_spoil_one_field(name: str, text: str) -> None:
+    assert settings_said(text) == recorded("settings.json")["altered"][name]
+
+
+def test_settings_errors_beyond_one_field() -> None:
+    for case in recorded("settings.json")["replaced"]:
+        text = SETTINGS_TEXT.replace(case["old"], case["new"], 1)
+        assert text != SETTINGS_TEXT
+        assert settings_said(text) == case["said"]
+
+
+def options_said(path: Path, text: str) -> Any:
+    path.write_text(text)
+    try:
+        options: Options = load_options(path)
+    except BadSettings as problem:
+        return str(problem).replace(str(path), "FILE")
+    return list(msgspec.structs.astuple(options))
+
+
+def test_options_files(tmp_path: Path) -> None:
+    for case in recorded("options.json"):
+        assert options_said(tmp_path / "options.toml", case["text"]) == case["said"]
+
+
+# -- operators' scripts ------------------------------------------------------------------------
+
+
+def script_said(script: str) -> Any:
+    """The values, the level and what policy they make, or the error."""
+    try:
+        values, level = evaluate(script, "policy.star")
+        policy = policy_from_values(values)
+    except BadScript as problem:
+        return str(problem)
+    return {"values": values, "highest_level": level, "policy": plain(astuple(policy))}
+
+
+def test_scripts() -> None:
+    for case in recorded("scripts.json"):
+        assert script_said(case["script"]) == case["said"], case["script"]
