--- /dev/null
+++ b/tests/fakes/decision_scenarios.py
@@ -0,0 +1,526 @@
+"""Made-up deployments whose decisions are pinned by `tests/test_decision_trace.py`.
+
+Each scenario plays a deployment and returns it with its trace.  To record them anew, which is only
+right after a decision was changed on purpose, never to make the test pass:
+
+    python3 -m tests.fakes.decision_scenarios
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import random
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import click
+import pytest
+
+from micadeal.clock import seconds
+from micadeal.operator.platform import Objective, Team
+from micadeal.operator.policy import Policy, TeamPolicy
+from micadeal.rollout.levels import Level
+from micadeal.state.limits import Limits
+from tests.fakes.decision_world import ZONES, DecisionWorld, FixedTime
+
+GOLDEN = Path(__file__).parent.parent / "golden" / "decisions.json"
+QUICK = Policy(
+    minimum_timeout=seconds(3), share_timeout=seconds(6), gather_after=seconds(5)
+)  # fmt: skip
+GANG: dict[str, Any] = {
+    "shape": "gang", "vcpus": 14.0, "accelerators": 2.0, "ram_gb": 50.0, "one_zone": True,
+    "lane": "train", "build": "train-1",
+}  # fmt: skip
+SERVICE: dict[str, Any] = {
+    "shape": "daemon", "rank": "production", "scatter": True, "lane": "live", "build": "live-1",
+}  # fmt: skip
+LOW: dict[str, Any] = {"rank": "low", "loaners": True, "lane": "batch", "build": "batch-1"}
+
+
+def teams(*guarantees: float, limit: float | None = None) -> dict[str, Team]:
+    names = ("red", "blue", "green")[: len(guarantees)]
+    return {
+        name: Team(name, 0.0, guarantee, None, limit)
+        for name, guarantee in zip(names, guarantees, strict=True)
+    }
+
+
+def no_more_machines(world: DecisionWorld) -> None:
+    for rig in ("box", "slab"):
+        for zone in ZONES:
+            world.capacity |= {(rig, zone, True): 0, (rig, zone, False): 0}
+
+
+# -- small deployments -------------------------------------------------------------------------
+
+
+def all_shapes(clock: FixedTime) -> DecisionWorld:
+    """An array, a gang, a service and work without accelerators, from rental to idle returns."""
+    world = DecisionWorld(clock, teams(4, 4), objectives=(Objective("wait", "live", seconds(4)),))
+    world.boxes(4)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-array", legs=7, loaners=True)
+    world.submit("req-gang", **GANG, legs=2, crew="blue")
+    world.submit("req-live", **SERVICE, legs=3)
+    world.run(3)
+    world.submit("req-cpus", accelerators=0.0, vcpus=10.0, legs=4, crew="blue", build="cpu-1")
+    world.run(30)
+    world.submit("req-later", legs=5, loaners=True, build="scan-2")
+    world.run(15)
+    world.cancel("req-live")
+    world.run(70)
+    return world
+
+
+def below_guarantee(clock: FixedTime) -> DecisionWorld:
+    """A starved team has the newest tasks of others stopped, first those that can save."""
+    world = DecisionWorld(clock, teams(0, 6, 2), QUICK)
+    world.boxes(4, spot=False)
+    no_more_machines(world)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-old", legs=4, expect_s=200.0)
+    world.run(11)
+    world.submit("req-new", legs=3, expect_s=200.0, bookmark_s=0.0)
+    world.submit("req-pair", **GANG, legs=1, expect_s=100.0, crew="green")
+    world.run(3)
+    world.submit("req-due", legs=4, crew="blue")
+    world.submit("req-due-gang", **GANG, legs=2, crew="blue")
+    world.run(45)
+    return world
+
+
+def production_first(clock: FixedTime) -> DecisionWorld:
+    """Low work gives way to production at once, and machines are cleared for it."""
+    world = DecisionWorld(clock, teams(0, 2), QUICK)
+    world.boxes(3, spot=False)
+    no_more_machines(world)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-low", **{**LOW, "loaners": False}, legs=5, expect_s=100.0, stow_s=3.0)
+    world.submit("req-usual", legs=2, expect_s=100.0, bookmark_s=0.0)
+    world.run(8)
+    world.boxes(2, spot=False)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-low-gang", **{**GANG, "one_zone": False}, rank="low", legs=2, expect_s=99.0)
+    world.run(5)
+    world.submit("req-wide", **SERVICE, legs=2, crew="blue", accelerators=2.0, vcpus=12.0)
+    world.submit("req-low-more", **{**LOW, "loaners": False}, legs=4, crew="blue")
+    world.run(12)
+    world.submit("req-high", legs=2, rank="high", crew="blue")
+    world.run(10)
+    world.submit("req-wider", **SERVICE, legs=4, crew="blue", accelerators=2.0, vcpus=12.0)
+    world.run(15)
+    return world
+
+
+def a_gang_gives_way(clock: FixedTime) -> DecisionWorld:
+    """A low gang is stopped whole for production, and a usual one for a team's guarantee."""
+    world = DecisionWorld(clock, teams(0, 4), QUICK)
+    world.boxes(4, spot=False, zones=("north",))
+    no_more_machines(world)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-low-gang", **GANG, rank="low", legs=2, expect_s=90.0)
+    world.submit("req-usual-gang", **GANG, legs=2, expect_s=90.0, bookmark_s=0.0)
+    world.run(8)
+    world.submit("req-wide", **SERVICE, legs=1, crew="blue", accelerators=2.0, vcpus=12.0)
+    world.run(8)
+    world.submit("req-due", legs=4, crew="blue", expect_s=20.0)
+    world.run(20)
+    return world
+
+
+def room_for_a_gang(clock: FixedTime) -> DecisionWorld:
+    """Machines are kept for a large gang among small work that keeps coming."""
+    world = DecisionWorld(clock, teams(2, 8), QUICK)
+    world.boxes(6, spot=False, zones=("north", "south"))
+    no_more_machines(world)
+    world.list_machines()
+    world.run(2)
+    for number in range(4):
+        world.submit(f"req-small-{number}", legs=3, expect_s=4.0 + number * 3)
+    world.run(2)
+    world.submit("req-large", **GANG, legs=3, crew="blue", expect_s=8.0)
+    for number in range(4, 16):
+        world.submit(f"req-small-{number}", legs=2, expect_s=7.0)
+        world.run(2)
+    world.run(25)
+    return world
+
+
+def pipelines(clock: FixedTime) -> DecisionWorld:
+    """Jobs that wait for others, with priorities and deadlines passed on, and one cancelled."""
+    world = DecisionWorld(clock, teams(0, 0), QUICK)
+    world.boxes(3)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-a", legs=2, rank="low", expect_s=3.0)
+    world.submit("req-b", legs=2, expect_s=3.0, waits_on=["req-a"])
+    world.submit("req-c", **GANG, legs=1, rank="high", waits_on=["req-a", "req-b"], due_s=40.0)
+    world.submit("req-x", legs=1, expect_s=30.0, crew="blue")
+    world.submit("req-y", legs=1, waits_on=["req-x"], crew="blue")
+    world.submit("req-z", legs=1, waits_on=["req-y", "req-c"])
+    world.submit("req-other", legs=9, expect_s=3.0)
+    world.run(6)
+    world.cancel("req-x")
+    world.run(20)
+    world.submit("req-late", legs=1, waits_on=["req-a", "req-c"])
+    world.submit("req-lost", legs=1, waits_on=["req-x"])
+    world.submit("req-never", legs=1, waits_on=["req-unheard"])
+    world.run(16)
+    return world
+
+
+def taken_by_the_cloud(clock: FixedTime) -> DecisionWorld:
+    """Notices: tasks save while there is time, or are stopped at once; the machines vanish."""
+    world = DecisionWorld(clock, teams(4, 4), QUICK)
+    world.boxes(6, spot=True)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-saves", legs=4, loaners=True, expect_s=60.0)
+    world.submit("req-loses", legs=3, loaners=True, expect_s=60.0, bookmark_s=0.0, crew="blue")
+    world.submit("req-short", legs=2, loaners=True, expect_s=5.0, bookmark_s=0.0)
+    world.submit("req-gang", **GANG, legs=2, loaners=True, expect_s=60.0, crew="blue")
+    world.run(5)
+    for name, left in zip(sorted(world.workers), (8.0, 8.0, 1.0, 12.0, 12.0), strict=False):
+        world.give_notice(name, left)
+    world.run(14)
+    world.list_machines()
+    world.run(1)
+    world.list_machines()
+    world.run(15)
+    return world
+
+
+def silent_machines(clock: FixedTime) -> DecisionWorld:
+    """Leases run out, machines come back or are given back; one sends but does not hear."""
+    world = DecisionWorld(clock, teams(4, 4), QUICK)
+    world.boxes(7, spot=False)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-array", legs=6, expect_s=50.0)
+    world.submit("req-gang", **GANG, legs=3, expect_s=50.0, crew="blue")
+    world.submit("req-live", **SERVICE, legs=3, crew="blue")
+    world.run(4)
+    names = sorted(world.workers)
+    for name in names[:3]:
+        world.workers[name].silent = True
+    world.workers[names[3]].deaf = True
+    world.submit("req-more", legs=4, expect_s=9.0, build="scan-3")
+    world.run(19)
+    world.workers[names[0]].silent = False
+    world.run(60)
+    return world
+
+
+def failures(clock: FixedTime) -> DecisionWorld:
+    """A faulty machine is emptied; a job that fails everywhere backs off and gets no machine."""
+    world = DecisionWorld(clock, teams(4, 4), QUICK)
+    world.boxes(5, spot=False)
+    world.list_machines()
+    faulty = sorted(world.workers)[1]
+    world.workers[faulty].faulty = True
+    world.run(2)
+    world.mistaken.add("req-mistake")
+    world.submit("req-mistake", legs=2, expect_s=4.0)
+    world.submit("req-good", legs=4, expect_s=12.0)
+    world.submit("req-fine", legs=3, expect_s=12.0, crew="blue", build="fine-1")
+    world.submit("req-gang", **GANG, legs=2, crew="blue")
+    world.run(40)
+    world.mistaken.clear()
+    world.run(40)
+    return world
+
+
+def cancelled(clock: FixedTime) -> DecisionWorld:
+    """Cancelled before their placement, before it is written, while they start and run."""
+    world = DecisionWorld(clock, teams(4, 4), QUICK)
+    world.boxes(4, spot=False)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-unplaced", legs=2)
+    world.cancel("req-unplaced")
+    world.submit("req-unwritten", legs=2)
+    world.run(1)
+    world.cancel("req-unwritten")
+    world.submit("req-starts", legs=2)
+    world.run(3)
+    world.cancel("req-starts")
+    world.submit("req-runs", legs=3, expect_s=90.0)
+    world.submit("req-gang", **GANG, legs=2, crew="blue", expect_s=90.0)
+    world.run(6)
+    world.cancel("req-runs")
+    world.run(2)
+    world.cancel("req-gang")
+    world.run(10)
+    return world
+
+
+def scarce_machines(clock: FixedTime) -> DecisionWorld:
+    """The cloud has few machines: partial answers, refusals, pauses, spot work on ordinary ones."""
+    world = DecisionWorld(clock, teams(2, 2, limit=12.0), QUICK)
+    no_more_machines(world)
+    world.capacity |= {("box", "north", True): 1, ("box", "south", True): 2}
+    world.capacity |= {("box", "west", False): 2, ("box", "north", False): 1}
+    world.list_machines()
+    world.submit("req-spot", legs=9, loaners=True, expect_s=15.0)
+    world.submit("req-gang", **GANG, legs=2, crew="blue", expect_s=15.0)
+    world.submit("req-zone", legs=2, depot="north", crew="blue", expect_s=15.0)
+    world.submit("req-cpus", accelerators=0.0, vcpus=20.0, rigs=["slab"], legs=1)
+    world.run(45)
+    world.capacity |= {("slab", "south", False): 1, ("box", "south", True): 3}
+    world.run(45)
+    return world
+
+
+def lost_answers(clock: FixedTime) -> DecisionWorld:
+    """Transactions whose answer is lost, that are carried out or not; records are merged."""
+    world = DecisionWorld(clock, teams(4, 4), QUICK, limits=Limits(150, 24, 8, 900))
+    world.fates = {1: "never", 2: "unanswered", 4: "never", 5: "unanswered", 9: "never"}
+    world.fates |= {12: "unanswered", 15: "never", 18: "unanswered", 22: "never"}
+    world.boxes(6, spot=False)
+    world.list_machines()
+    world.run(2)
+    for number in range(8):
+        world.submit(
+            f"req-{number}", legs=4, expect_s=3.0 + number, crew=("red", "blue")[number % 2]
+        )
+        world.run(2)
+    world.run(30)
+    return world
+
+
+def later_layout(clock: FixedTime) -> DecisionWorld:
+    """Level 1: finished sets in small parts; many machines are returned with tasks on them."""
+    world = DecisionWorld(clock, teams(4, 4), QUICK, level=Level.FENCED)
+    world.boxes(6, spot=True)
+    world.list_machines()
+    world.run(2)
+    small: dict[str, Any] = {"vcpus": 1.0, "accelerators": 0.2, "loaners": True}
+    world.submit("req-wide", **small, legs=90, expect_s=2.0)
+    world.submit("req-long", **small, legs=20, expect_s=90.0, crew="blue")
+    world.run(12)
+    for name in sorted(world.workers)[:5]:
+        # Gone without a notice, as the lists show before the leases are over.
+        del world.workers[name]
+    for _ in range(4):
+        world.run(2)
+        world.list_machines()
+    world.run(50)
+    return world
+
+
+def new_leader(clock: FixedTime) -> DecisionWorld:
+    """A second leader takes over in the midst of it, and a third one soon after."""
+    world = DecisionWorld(clock, teams(4, 4), QUICK)
+    world.boxes(6, spot=False)
+    world.list_machines()
+    world.run(2)
+    world.submit("req-array", legs=12, expect_s=5.0)
+    world.submit("req-gang", **GANG, legs=2, expect_s=25.0, crew="blue")
+    world.submit("req-live", **SERVICE, legs=3, crew="blue")
+    world.submit("req-next", legs=3, waits_on=["req-array"])
+    world.run(9)
+    world.cancel("req-gang")
+    world.workers[sorted(world.workers)[2]].silent = True
+    world.change_leader()
+    world.run(2)
+    world.list_machines()
+    world.run(8)
+    world.submit("req-more", legs=6, expect_s=20.0)
+    world.run(3)
+    world.change_leader()
+    world.list_machines()
+    world.run(30)
+    return world
+
+
+def policies(clock: FixedTime) -> DecisionWorld:
+    """Weights, a limit of running jobs, order by submission, limits of teams, warm room."""
+    policy = replace(
+        QUICK,
+        teams={
+            "red": TeamPolicy(weight=3.0, order="submitted"),
+            "blue": TeamPolicy(running_jobs=1, minimum_timeout=seconds(8)),
+        },
+    )
+    objectives = (Objective("wait", "scan", seconds(4)),)
+    world = DecisionWorld(clock, teams(0, 2, 2, limit=10.0), policy, objectives)
+    world.boxes(5)
+    world.list_machines()
+    world.run(2)
+    for number in range(12):
+        crew = ("red", "blue", "green")[number % 3]
+        rank = ("low", "standard", "high")[number % 4 % 3]
+        world.submit(
+            f"req-{number}", legs=2 + number % 3, crew=crew, rank=rank, loaners=number % 2 == 0,
+            build=f"scan-{number % 4}", expect_s=4.0 + number % 5,
+        )  # fmt: skip
+        world.run(2)
+    world.run(40)
+    return world
+
+
+# -- larger deployments ------------------------------------------------------------------------
+
+
+def traffic(clock: FixedTime, seed: int, machines: int, steps: int, arrivals: int) -> DecisionWorld:
+    """Random jobs, and machines that fail in all ways, the same for the same seed."""
+    dice = random.Random(seed)
+    policy = replace(QUICK, gather_after=seconds(8))
+    objectives = (Objective("wait", "live", seconds(4)),)
+    world = DecisionWorld(
+        clock,
+        teams(machines * 0.8, machines * 0.4, 0),
+        policy,
+        objectives,
+        Level.FENCED if seed % 2 else Level.FIRST,
+        Limits(150, 120, 32, 8192),
+    )
+    world.boxes(machines)
+    for zone in ZONES:
+        world.capacity |= {("box", zone, True): 9, ("box", zone, False): 6}
+    world.list_machines()
+    world.run(2)
+    for step in range(steps):
+        for _ in range(dice.randrange(arrivals + 1) if step < steps * 2 // 3 else 0):
+            _random_job(world, dice)
+        _random_trouble(world, dice)
+        if step % 8 == 7:
+            world.list_machines()
+        world.run(1)
+    return world
+
+
+def _random_job(world: DecisionWorld, dice: random.Random) -> None:
+    number = len(world.jobs) + 1
+    fields: dict[str, Any] = dice.choice(
+        [
+            {**SERVICE, "legs": dice.choice([2, 3])},
+            {**GANG, "legs": dice.choice([1, 2, 4, 8])},
+            {**LOW, "legs": dice.randrange(1, 30)},
+            {"legs": dice.randrange(1, 30), "loaners": True},
+            {"legs": dice.randrange(1, 12), "rank": "high"},
+            {"legs": dice.randrange(1, 6), "accelerators": 0.0, "vcpus": 6.0, "build": "cpu-1"},
+        ]
+    )
+    fields |= {
+        "crew": dice.choice(["red", "blue", "green"]),
+        "expect_s": dice.choice([3.0, 6.0, 15.0]),
+    }
+    fields["stow_s"] = dice.choice([1.0, 2.0, 4.0])
+    if dice.random() < 0.3:
+        fields["bookmark_s"] = 0.0
+    if dice.random() < 0.2:
+        fields["build"] = f"{fields.get('build', 'scan-1')}-{dice.randrange(5)}"
+    if world.jobs and dice.random() < 0.15:
+        fields["waits_on"] = [dice.choice(list(world.jobs))]
+    if dice.random() < 0.1:
+        fields["due_s"] = 30.0
+    job_id = world.submit(f"req-{number:04d}", **fields)
+    if dice.random() < 0.05:
+        world.mistaken.add(job_id)
+
+
+def _random_trouble(world: DecisionWorld, dice: random.Random) -> None:
+    names = sorted(world.workers)
+    if not names:
+        return
+    if dice.random() < 0.1:
+        world.give_notice(dice.choice(names), dice.choice([2.0, 6.0, 12.0]))
+    if dice.random() < 0.08:
+        world.workers[dice.choice(names)].silent = True
+    if dice.random() < 0.15:
+        world.workers[dice.choice(names)].silent = False
+    if dice.random() < 0.05:
+        world.workers[dice.choice(names)].deaf = True
+    if dice.random() < 0.05:
+        world.workers[dice.choice(names)].faulty = True
+    if world.jobs and dice.random() < 0.15:
+        world.cancel(dice.choice(list(world.jobs)))
+    if dice.random() < 0.2:
+        world.fates[world.transactions + 1] = dice.choice(["never", "unanswered"])
+
+
+# -- recording ---------------------------------------------------------------------------------
+
+Scenario = Callable[[FixedTime], DecisionWorld]
+#: All that they decide is kept.
+SMALL: dict[str, Scenario] = {
+    scenario.__name__: scenario
+    for scenario in (
+        all_shapes, below_guarantee, production_first, a_gang_gives_way, room_for_a_gang, pipelines,
+        taken_by_the_cloud, silent_machines, failures, cancelled, scarce_machines, lost_answers,
+        later_layout, new_leader, policies,
+    )
+}  # fmt: skip
+#: Counts and a hash for each step.
+LARGE: dict[str, Scenario] = {
+    "traffic_20": lambda clock: traffic(clock, 1, 20, 70, 2),
+    "traffic_21": lambda clock: traffic(clock, 2, 21, 70, 2),
+    "traffic_60": lambda clock: traffic(clock, 3, 60, 40, 4),
+    "traffic_150": lambda clock: traffic(clock, 4, 150, 25, 8),
+}
+
+
+def play(name: str) -> list[dict[str, Any]]:
+    """The trace of a scenario, step by step, as it is read back from JSON."""
+    clock = FixedTime()
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr("micadeal.clock.time", clock)
+        world = (SMALL | LARGE)[name](clock)
+    steps: list[dict[str, Any]] = json.loads(json.dumps(world.steps))
+    return steps
+
+
+def golden_form(name: str, steps: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """What is kept of a trace."""
+    if name in SMALL:
+        return [step for step in steps if step["events"]]
+    return [
+        {
+            "at": step["at"],
+            "counts": dict(sorted(Counter(event[0] for event in step["events"]).items())),
+            "sha256": hashlib.sha256(json.dumps(step["events"]).encode()).hexdigest(),
+        }
+        for step in steps
+    ]
+
+
+def render(traces: dict[str, list[dict[str, Any]]]) -> str:
+    """JSON with one event a line, so that a change can be read in a diff."""
+    scenarios: list[str] = []
+    for name, steps in traces.items():
+        lines: list[str] = []
+        for step in steps:
+            if "events" in step:
+                events = ",\n".join("   " + _compact(event) for event in step["events"])
+                lines.append(f'  {{"at":{step["at"]},"events":[\n{events}]}}')
+            else:
+                lines.append("  " + _compact(step))
+        body = ",\n".join(lines)
+        scenarios.append(f' "{name}":[\n{body}]')
+    return "{\n" + ",\n".join(scenarios) + "\n}\n"
+
+
+def _compact(value: Any) -> str:
+    return json.dumps(value, separators=(",", ":"))
+
+
+@click.command()
+@click.option("--output", type=click.Path(path_type=Path), default=GOLDEN, show_default=True)
+def main(output: Path) -> None:
+    """Record the decisions of all scenarios."""
+    output.parent.mkdir(exist_ok=True)
+    output.write_text(render({name: golden_form(name, play(name)) for name in SMALL | LARGE}))
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/test_decision_trace.py
@@ -0,0 +1,124 @@
+"""The leader's decisions, in order, are those that were recorded in `tests/golden/decisions.json`.
+
+Guards changes that are to alter no behaviour, as renaming and splitting code: placements, kills,
+rentals, returns, orders to workers and transactions are compared in their outside forms.
+
+Never record the file anew to make this test pass.  After a decision was changed on purpose, record
+it (`tests/fakes/decision_scenarios.py` says how) and explain each difference in the commit.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import subprocess
+import sys
+from collections import Counter
+from collections.abc import Iterator
+from itertools import zip_longest
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.fakes.decision_scenarios import GOLDEN, LARGE, SMALL, golden_form, play
+
+Steps = list[dict[str, Any]]
+MOST_BYTES = 1_500_000
+#: Each must have happened in some scenario; see ``kinds_of``.
+KINDS = {
+    "placed", "killed", "kept", "rented", "returned", "ordered", "commanded", "written",
+    "killed a task", "killed a gang", "ordered run", "ordered halt", "ordered reap",
+    "commanded halt", "commanded nothing", "rented spot", "rented ordinary",
+    "put placed", "drop placed", "put done", "put finished", "put end", "drop job", "put images",
+    "put leaving", "drop leaving", "drop done", "drop finished",
+}  # fmt: skip
+
+
+@pytest.fixture(scope="module")
+def golden() -> dict[str, Steps]:
+    found: dict[str, Steps] = json.loads(GOLDEN.read_text())
+    return found
+
+
+def first_difference(recorded: Steps, found: Steps) -> str | None:
+    for before, after in zip_longest(recorded, found):
+        if before == after:
+            continue
+        if before is None or after is None:
+            return f"one trace ends early\n recorded: {before}\n found:    {after}"
+        if before["at"] != after["at"]:
+            return f"at {before['at']} s was recorded a step, found one at {after['at']} s"
+        for name in ("counts", "sha256"):
+            if before.get(name) != after.get(name):
+                return (
+                    f"at {before['at']} s, {name}\n"
+                    f" recorded: {before.get(name)}\n found:    {after.get(name)}"
+                )
+        pairs = zip_longest(before["events"], after["events"])
+        number, (old, new) = next((i, pair) for i, pair in enumerate(pairs) if pair[0] != pair[1])
+        return f"at {before['at']} s, event {number}\n recorded: {old}\n found:    {new}"
+    return None
+
+
+@pytest.mark.parametrize("name", [*SMALL, *LARGE])
+def test_decisions_are_as_recorded(name: str, golden: dict[str, Steps]) -> None:
+    difference = first_difference(golden[name], golden_form(name, play(name)))
+    assert difference is None, f"{name}: decisions differ from the recorded ones, {difference}"
+
+
+def kinds_of(event: list[Any]) -> Iterator[str]:
+    kind = event[0]
+    yield kind
+    if kind == "killed":
+        yield "killed a gang" if event[3] is None else "killed a task"
+    elif kind == "rented":
+        yield "rented spot" if event[1]["loaners"] else "rented ordinary"
+    elif kind in ("ordered", "commanded"):
+        orders = event[2] if kind == "ordered" else event[2]["orders"]
+        yield from (f"{kind} {order['verb']}" for order in orders)
+        if not orders:
+            yield f"{kind} nothing"
+    elif kind == "written":
+        for change in event[1]["then"]:
+            verb = "put" if "put" in change else "drop"
+            yield f"{verb} {change[verb].split('/')[0]}"
+
+
+def test_every_kind_of_decision_is_recorded(golden: dict[str, Steps]) -> None:
+    """Guards against a trace that pins nothing."""
+    assert set(golden) == set(SMALL) | set(LARGE)
+    assert GOLDEN.stat().st_size < MOST_BYTES
+    seen = Counter(
+        kind
+        for name in SMALL
+        for step in golden[name]
+        for event in step["events"]
+        for kind in kinds_of(event)
+    )
+    assert set(seen) >= KINDS, f"never happened: {sorted(KINDS - set(seen))}"
+    for name in LARGE:
+        counts = Counter[str]()
+        for step in golden[name]:
+            counts.update(step["counts"])
+        assert set(counts) >= {"placed", "killed", "rented", "returned", "ordered", "written"}
+
+
+def test_the_trace_is_the_same_in_every_process(tmp_path: Path) -> None:
+    """Guards the other tests against an order that hashes decide: such a trace proves nothing."""
+    script = (
+        "import json, sys; from tests.fakes.decision_scenarios import play;"
+        "print(json.dumps([play(name) for name in sys.argv[1:]]))"
+    )
+    names = ["all_shapes", "failures", "lost_answers", "traffic_20"]
+    found = {
+        subprocess.run(
+            [sys.executable, "-c", script, *names],
+            env={**os.environ, "PYTHONHASHSEED": seed},
+            capture_output=True,
+            check=True,
+            cwd=GOLDEN.parents[2],
+        ).stdout
+        for seed in ("1", "4242")
+    }
+    assert len(found) == 1
