--- a/bench/meetings.py
+++ b/bench/fault_histories.py
@@ -1,9 +1,10 @@
 """Plays seeded histories in which troubles meet, in memory, on all cores.
 
-    python3 -m bench.meetings --histories 320 [--first 0] [--workers 8]
-    python3 -m bench.meetings --guards
+    python3 -m bench.fault_histories --histories 320 [--first 0] [--workers 8]
+    python3 -m bench.fault_histories --guards
 
-Each pair of troubles comes in turn, at instants drawn from the seed (tests/fakes/histories.py).
+Each pair of faults comes in turn, at instants drawn from the seed
+(tests/fakes/fault_histories.py).
 What breaks is printed with its seed; ``--seed`` plays one again.  Exit code 1: something broke.
 
 ``--guards`` switches one guard of the code after the other off, and plays histories of the troubles
@@ -24,16 +25,16 @@
 import click
 import pytest
 
-from micadeal.controller.desk import Spread
-from micadeal.controller.dispatcher import Dispatcher
-from micadeal.controller.errands import Errands
-from micadeal.controller.intake import Intake
-from micadeal.controller.node import Node
-from micadeal.controller.records import Changes
-from micadeal.controller.standing import Standing
-from micadeal.fleet.model import Machine
-from micadeal.scheduling.cluster import Cluster
-from tests.fakes.histories import PAIRS, History
+from micadeal.controller.api.jobs import CancellationSpread
+from micadeal.controller.controller import Controller
+from micadeal.controller.follower_leases import FollowerLeases
+from micadeal.controller.leader import Leader
+from micadeal.controller.outbound import OutboundCalls
+from micadeal.controller.persistence.record_writer import Changes
+from micadeal.controller.record_loader import RecordLoader
+from micadeal.fleet.machines import Machine
+from micadeal.scheduling.cluster_state import ClusterState
+from tests.fakes.fault_histories import PAIRS, History
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
@@ -57,22 +58,22 @@
 
 
 def _elected_is_informed(patch: pytest.MonkeyPatch) -> None:
-    begin = Dispatcher.__init__
+    begin = Leader.__init__
 
     def informed(self: Any, *args: Any, **named: Any) -> None:
         begin(self, *args, **named)
         self._term = replace(self._term, informed=self._cluster.began)
 
-    patch.setattr(Dispatcher, "__init__", informed)
+    patch.setattr(Leader, "__init__", informed)
 
 
 def _early_notices_lost(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Intake, "job_cancelled", lambda self, job, now: self.job_over(job, now))
+    patch.setattr(RecordLoader, "job_cancelled", lambda self, job, now: self.job_over(job, now))
 
 
 def _lists_empty(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Standing, "note", lambda self, job, now, age=None: False)
-    patch.setattr("micadeal.controller.node.Node._pass_on", _nothing)
+    patch.setattr(FollowerLeases, "note", lambda self, job, now, age=None: False)
+    patch.setattr("micadeal.controller.controller.Controller._pass_on", _nothing)
 
 
 async def _nothing(*_: Any) -> bool:
@@ -80,64 +81,69 @@
 
 
 def _tells_alone(patch: pytest.MonkeyPatch) -> None:
-    async def alone(self: Node, job_id: str) -> Spread:
-        return Spread(True, True)
+    async def alone(self: Controller, job_id: str) -> CancellationSpread:
+        return CancellationSpread(True, True)
 
-    patch.setattr(Node, "_spread", alone)
+    patch.setattr(Controller, "_spread_cancellation", alone)
 
 
 def _told_while_tasks_may_start(patch: pytest.MonkeyPatch) -> None:
-    spread = Node._spread
+    spread = Controller._spread_cancellation
 
-    async def settled(self: Node, job_id: str) -> Spread:
+    async def settled(self: Controller, job_id: str) -> CancellationSpread:
         return (await spread(self, job_id))._replace(settled=True)
 
-    async def nothing_starts(self: Node, job_id: str) -> bool:
+    async def nothing_starts(self: Controller, job_id: str) -> bool:
         return False
 
-    patch.setattr(Node, "_spread", settled)
-    patch.setattr(Node, "_may_start", nothing_starts)
+    patch.setattr(Controller, "_spread_cancellation", settled)
+    patch.setattr(Controller, "_may_start", nothing_starts)
 
 
 def _writes_without_versions(patch: pytest.MonkeyPatch) -> None:
-    write = Errands.write
+    write = OutboundCalls.write
 
     async def unconditional(self: Any, changes: Changes, fence: int) -> None:
         await write(self, replace(changes, conditions=()), fence)
 
-    patch.setattr(Errands, "write", unconditional)
+    patch.setattr(OutboundCalls, "write", unconditional)
 
 
 def _old_reports_are_news(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Cluster, "_looks_older", lambda self, machine, report: False)
+    patch.setattr(ClusterState, "_looks_older", lambda self, machine, heartbeat: False)
 
 
 def _any_absence_frees(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Cluster, "_absent_for_good", lambda self, attempt, machine, checkin: True)
+    patch.setattr(
+        ClusterState, "_absent_for_good", lambda self, attempt, machine, is_heartbeat: True
+    )
 
 
 def _silence_frees_at_once(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        Cluster, "lease_over", property(lambda self: self.workers.report * 2), raising=True
+        ClusterState,
+        "lease_expiry",
+        property(lambda self: self.workers.heartbeat_interval * 2),
+        raising=True,
     )
 
 
 def _silence_before_our_token_frees(patch: pytest.MonkeyPatch) -> None:
-    def expire(self: Cluster, now: timedelta) -> None:
+    def expire(self: ClusterState, now: timedelta) -> None:
         for machine in list(self.machines.values()):
-            latest = machine.contact.latest or self.began
+            latest = machine.reachability.latest or self.began
             if not machine.lost and now - latest > self.workers.lease / 2:
                 machine.lost = True
                 self._clear(machine, now)
 
-    patch.setattr(Cluster, "expire", expire)
+    patch.setattr(ClusterState, "expire", expire)
 
 
 def _stops_are_not_repeated(patch: pytest.MonkeyPatch) -> None:
-    def none(self: Cluster, machine: Machine) -> list[Any]:
+    def none(self: ClusterState, machine: Machine) -> list[Any]:
         return []
 
-    patch.setattr(Cluster, "stops_for", none)
+    patch.setattr(ClusterState, "stop_commands_for", none)
 
 
 #: Each guard's removal, and the troubles that it is meant for.
--- a/bench/nights.py
+++ b/bench/flexible_start_savings.py
@@ -1,6 +1,6 @@
 """Nights with and without timing, in virtual time: the real scheduler, a cloud and workers of a few lines.
 
-    python3 -m bench.nights --nights 50 [--lost] [--machines 5] [--wrong 3.0] [--jobs 8]
+    python3 -m bench.flexible_start_savings --nights 50 [--lost] [--machines 5] [--wrong 3.0] [--jobs 8]
 
 Each seeded night has prices with a trough, a forecast that is off, estimates that are off, and flexible jobs beside
 ones that are not.  It is played without and with holds, and compared with a bound that no scheduler could beat: a
@@ -21,19 +21,19 @@
 from statistics import mean
 
 from micadeal.clock import seconds
-from micadeal.controller.records import Recorder
-from micadeal.fleet.offers import Market
+from micadeal.controller.persistence.record_writer import RecordWriter
+from micadeal.fleet.instance_offers import InstanceOffers
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Team, Workers
 from micadeal.operator.policy import Flexible, Policy
-from micadeal.scheduling.cluster import Cluster
-from micadeal.scheduling.holding import Holding
+from micadeal.scheduling.cluster_state import ClusterState
+from micadeal.scheduling.deferral import Deferral
 from micadeal.scheduling.scheduler import Scheduler
 from micadeal.state.limits import Limits
 from micadeal.timing.series import Quantity, Series
 from micadeal.wire.cloud import ListedMachine, MachineType
 from micadeal.wire.users import Priority, Shape, Submission
-from micadeal.wire.workers import Report, TaskReport
+from micadeal.wire.workers import Heartbeat, TaskStatus
 
 BEGIN = datetime(2026, 12, 1, 20, 0, tzinfo=UTC)
 STEP = seconds(20)
@@ -121,14 +121,14 @@
     def __init__(self, night: Night, timing: bool, lost: bool) -> None:
         self.night = night
         teams = {name: Team(name, 0.0, 8.0, None, 40.0) for name in ("red", "blue")}
-        cluster = Cluster(1, WORKERS, teams, seconds(0))
+        cluster = ClusterState(1, WORKERS, teams, seconds(0))
         policy = Policy(flexible={"nightly": Flexible()})
-        self.scheduler = Scheduler(cluster, Market(), policy, [], seconds(0))
+        self.scheduler = Scheduler(cluster, InstanceOffers(), policy, [], seconds(0))
         self.scheduler.set_catalog([BOX])
         if timing:
-            self.scheduler.holding = Holding(cluster, UTC, seconds(5))
+            self.scheduler.holding = Deferral(cluster, UTC, seconds(5))
             self.scheduler.holding.learn(night.earlier())
-        self.recorder = Recorder(cluster, Limits(1000, 1000, 100, 65536))
+        self.record_writer = RecordWriter(cluster, Limits(1000, 1000, 100, 65536))
         self.until = night.lost_at if lost else timedelta.max
         self.jobs = {job.spec.job_id: job for job in night.asked}
         self.booting: dict[str, timedelta] = {}
@@ -153,13 +153,13 @@
                 holding.take(self.night.series(now))
             self._cloud(now)
             for name in list(self.up):
-                self._report(name, now)
+                self._on_heartbeat(name, now)
             self.scheduler.tick(now)
             self.scheduler.hold(now, BEGIN + now)
-            self.scheduler.run_pass(now)
-            while batches := self.recorder.next(now):
+            self.scheduler.run_cycle(now)
+            while batches := self.record_writer.next(now):
                 for batch in batches:
-                    self.recorder.committed(batch, 1, now)
+                    self.record_writer.committed(batch, 1, now)
             now += STEP
         missed = 0
         for job in self.jobs.values():
@@ -193,30 +193,30 @@
         ]
         scheduler.on_list(listed, now)
 
-    def _report(self, name: str, now: timedelta) -> None:
+    def _on_heartbeat(self, name: str, now: timedelta) -> None:
         machine = self.scheduler.cluster.machines.get(name)
         if machine is None:
             return
         self.up[name] += 1
-        tasks: list[TaskReport] = []
+        tasks: list[TaskStatus] = []
         for attempt in list(machine.attempts.values()):
             if attempt.ordered is None:
                 continue
             key = (attempt.job_id, attempt.index)
             asked = self.jobs[attempt.job_id]
             begun = self.started.setdefault(key, now)
-            report = TaskReport(attempt.task, attempt.number, "running")
+            heartbeat = TaskStatus(attempt.task, attempt.number, "running")
             if now - begun >= asked.actual:
-                report.state, report.why = "exited", "done"
+                heartbeat.state, heartbeat.why = "exited", "done"
                 self.ended[attempt.job_id] = now
             if asked.spec.job_class == "nightly":
                 self.cost += self.night.price(now) * (STEP / HOUR)
-            tasks.append(report)
-        report_in = Report(
+            tasks.append(heartbeat)
+        report_in = Heartbeat(
             name, machine.address or "10.0.0.1:9000", "box", "north", False, 1, self.up[name], 1,
             None, tasks,
         )  # fmt: skip
-        self.scheduler.on_report(report_in, now, checkin=True, full=True)
+        self.scheduler.on_heartbeat(report_in, now, is_heartbeat=True, full=True)
         for job in list(self.scheduler.cluster.live_jobs()):
             if job.complete:
                 self.scheduler.cluster.job_gone(job.id, now)
@@ -241,14 +241,14 @@
             choices.append((number, slot, cost * job.spec.tasks))
     slots = 4 * 36
     equal = lil_matrix((len(flexible), len(choices)))
-    room = lil_matrix((slots, len(choices)))
+    capacity = lil_matrix((slots, len(choices)))
     for column, (number, slot, _) in enumerate(choices):
         equal[number, column] = 1.0
         # Only slots that every start within the quarter covers wholly.
         for covered in range(slot + 1, min(slot + flexible[number].actual // QUARTER, slots)):
-            room[covered, column] = flexible[number].spec.tasks
+            capacity[covered, column] = flexible[number].spec.tasks
     found = linprog(
-        [cost for _, _, cost in choices], A_ub=room.tocsr(),
+        [cost for _, _, cost in choices], A_ub=capacity.tocsr(),
         b_ub=[night.machines * BOX.gpus] * slots, A_eq=equal.tocsr(), b_eq=[1.0] * len(flexible),
     )  # fmt: skip
     # No schedule may exist that keeps every deadline: then there is no bound to compare with.
--- a/bench/model_standin.py
+++ b/bench/model_follower_leases.py
@@ -1,10 +1,11 @@
 """Explores every course of a small world in which followers may stand in for a leader.
 
-    python3 -m bench.model_standin [--crashes 1] [--delayed 1] [--reading]
-    python3 -m bench.model_standin --guards
+    python3 -m bench.model_follower_leases [--crashes 1] [--delayed 1] [--reading]
+    python3 -m bench.model_follower_leases --guards
 
 Three controllers, one worker with one task.  The code under test is the real one: a controller is
-a ``Standing``, the leader decides by ``may_count_lease_over`` and ``Term.power``.  Time moves in
+a ``FollowerLeases``, the leader decides by ``may_expire_leases`` and ``Term.authority``.  Time
+moves in
 steps of a second; between two steps anything may happen or not: any controller asks any other (a
 message that does not happen is a cut), answers are held and come late, controllers crash and are
 back at once, the worker reports to whomever it likes, some controller tells that the job is
@@ -29,14 +30,20 @@
 import click
 
 from micadeal.clock import seconds
-from micadeal.controller.standing import Standing
-from micadeal.leadership.standin import Memory, Timing, View, listed_by, may_count_lease_over
-from micadeal.leadership.term import Power, Term
-from micadeal.wire.mesh import Ping, Word
-from micadeal.wire.workers import Report, TaskReport
-
-TIMING = Timing(
-    lease_over=seconds(2),
+from micadeal.controller.follower_leases import FollowerLeases
+from micadeal.leadership.follower_leases import (
+    PeerRenewalView,
+    RenewalState,
+    RenewalTiming,
+    cancellations_listed_until,
+    may_expire_leases,
+)
+from micadeal.leadership.term import Authority, Term
+from micadeal.wire.peers import Ping, RenewalPromise
+from micadeal.wire.workers import Heartbeat, TaskStatus
+
+TIMING = RenewalTiming(
+    lease_expiry=seconds(2),
     cancel=seconds(5),
     size=3,
     abstain=seconds(2),
@@ -49,13 +56,15 @@
 #: Older than anything that can still matter.
 OLD = -9
 LEASE, CANCEL = 2, 5
-REPORT = Report("i-1", "", "", "", False, 1, 1, TOKEN, None, [TaskReport(f"{JOB}/0", 1, "running")])
+REPORT = Heartbeat(
+    "i-1", "", "", "", False, 1, 1, TOKEN, None, [TaskStatus(f"{JOB}/0", 1, "running")]
+)
 
 #: A controller as a number: its memory, views of the two others, and whether the job is on its list
 #: stand in ``_nodes`` at that place.
-Node = int
+Controller = int
 _nodes: list[tuple[Any, ...]] = []
-_known: dict[tuple[Any, ...], Node] = {}
+_known: dict[tuple[Any, ...], Controller] = {}
 #: What a controller says: (age, synced, consent, bound token, bound, has the job on its list).
 Said = tuple[int, bool, int, int, int, bool]
 #: An answer under way: asker, answerer, when it was asked, the asker's token then, the word.
@@ -68,7 +77,7 @@
 
 
 class State(NamedTuple):
-    nodes: tuple[Node, Node, Node]
+    nodes: tuple[Controller, Controller, Controller]
     #: Controller 0 still leads the term that it led at the start.
     leads: bool
     #: When the leader last answered the worker, and last knew of every cancellation.
@@ -84,7 +93,7 @@
     flights: tuple[Flight, ...]
 
 
-def _number(node: tuple[Any, ...]) -> Node:
+def _number(node: tuple[Any, ...]) -> Controller:
     found = _known.get(node)
     if found is None:
         found = _known[node] = len(_nodes)
@@ -112,11 +121,11 @@
     return OLD if value is not None and value <= limit else value
 
 
-def _pack(standing: Standing) -> Node:
-    memory = standing._memory
+def _pack(follower_leases: FollowerLeases) -> Controller:
+    memory = follower_leases._memory
     bound = _recent(_back(memory.bound_until), -LEASE - 1)
     views = []
-    for view in standing.views():
+    for view in follower_leases.views():
         until = _recent(_back(view.consent_until), 0)
         held = _recent(_back(view.bound_until), -LEASE - 1)
         views.append(
@@ -140,29 +149,31 @@
             _old(_back(memory.led), -2),
             memory.bound_token if bound is not None else 0,
             bound,
-            JOB in standing._told,
+            JOB in follower_leases._told,
             tuple(views),
         )
     )
 
 
-def _unpack(node: Node) -> Standing:
+def _unpack(node: Controller) -> FollowerLeases:
     born, token, led, bound_token, bound, listed, views = _nodes[node]
-    standing = Standing("12", TIMING, NOW)
-    standing._memory = Memory(NOW + seconds(born), token, _at(led), bound_token, _at(bound))
+    follower_leases = FollowerLeases("12", TIMING, NOW)
+    follower_leases._memory = RenewalState(
+        NOW + seconds(born), token, _at(led), bound_token, _at(bound)
+    )
     for name, view in zip("12", views, strict=True):
         asked, since, quiet, age, consent, until, under, held, told, last = view
-        standing._views[name] = View(
+        follower_leases._views[name] = PeerRenewalView(
             _at(asked), _at(since), _at(quiet), _at(age), consent, _at(until), under, _at(held),
             _at(told), _at(last),
         )  # fmt: skip
     if listed:
-        standing._told[JOB] = NOW
-    return standing
+        follower_leases._told[JOB] = NOW
+    return follower_leases
 
 
 @cache
-def _lean(node: Node, leads: bool, led: bool, late: bool) -> Node:
+def _lean(node: Controller, leads: bool, led: bool, late: bool) -> Controller:
     """A controller without what no decision can depend on any more.
 
     ``leads``: it leads; ``led``: somebody does; ``late``: answers may come late.
@@ -195,7 +206,7 @@
 
 
 @cache
-def _mirrored(node: Node) -> Node:
+def _mirrored(node: Controller) -> Controller:
     return _number((*_nodes[node][:6], _nodes[node][6][::-1]))
 
 
@@ -220,7 +231,7 @@
 
 
 @cache
-def _older(node: Node, endless: bool) -> Node:
+def _older(node: Controller, endless: bool) -> Controller:
     """The same controller a second later; ``endless``: consents given to it stay in force."""
 
     def shift(value: int | None) -> int | None:
@@ -244,7 +255,7 @@
 
 
 @cache
-def _listed(node: Node) -> Node:
+def _listed(node: Controller) -> Controller:
     """The same controller with the job on its list."""
     return _number((*_nodes[node][:5], True, _nodes[node][6]))
 
@@ -253,57 +264,68 @@
 
 
 @cache
-def _answer_ping(node: Node, leading: int, wants: int, forget_leader: bool) -> tuple[Node, Said]:
-    standing = _unpack(node)
+def _answer_ping(
+    node: Controller, leading: int, wants: int, forget_leader: bool
+) -> tuple[Controller, Said]:
+    follower_leases = _unpack(node)
     if forget_leader:
-        standing._memory = replace(standing._memory, led=None)
+        follower_leases._memory = replace(follower_leases._memory, led=None)
     ping = Ping("c0" if leading else "", False, leading, wants, True)
-    word = standing.word(ping, leading=False, in_touch=False, now=NOW)
+    word = follower_leases.word(ping, leading=False, state_reachable=False, now=NOW)
     told = word.told is not None and JOB in word.told
-    return _pack(standing), (
+    return _pack(follower_leases), (
         round(word.age_ms / 1000), word.synced, word.consent, word.bound_token,
         round(word.bound_ms / 1000), told,
     )  # fmt: skip
 
 
 @cache
-def _hear(node: Node, peer: str, said: Said, asked: int, leading: int) -> Node:
-    age, whole, consent, under, held, told = said
-    standing = _unpack(node)
-    word = Word(age * 1000.0, whole, consent, under, held * 1000.0, {JOB: 0.0} if told else {})
-    standing.hear(peer, word, NOW + seconds(asked), NOW, leading)
-    return _pack(standing)
+def _hear(node: Controller, peer: str, said: Said, asked: int, leading: int) -> Controller:
+    age, join_parts, consent, under, held, told = said
+    follower_leases = _unpack(node)
+    word = RenewalPromise(
+        age * 1000.0, join_parts, consent, under, held * 1000.0, {JOB: 0.0} if told else {}
+    )
+    follower_leases.hear(peer, word, NOW + seconds(asked), NOW, leading)
+    return _pack(follower_leases)
 
 
 @cache
-def _stands_in(node: Node) -> tuple[Node, bool] | None:
+def _stands_in(node: Controller) -> tuple[Controller, bool] | None:
     """The controller after it answered the worker, and whether it stops the task."""
-    standing = _unpack(node)
-    orders = standing.answer(REPORT, in_touch=False, now=NOW)
-    return None if orders is None else (_pack(standing), bool(orders.orders))
+    follower_leases = _unpack(node)
+    commands = follower_leases.answer(REPORT, state_reachable=False, now=NOW)
+    return None if commands is None else (_pack(follower_leases), bool(commands.commands))
 
 
 @cache
-def _counts(node: Node) -> bool:
+def _counts(node: Controller) -> bool:
     """Whether the leader takes the lease of a worker that is silent to it for over."""
     began = NOW + seconds(OLD * 2)
-    return may_count_lease_over(TOKEN, began, _unpack(node).views(), NOW, TIMING)
+    return may_expire_leases(TOKEN, began, _unpack(node).views(), NOW, TIMING)
 
 
 @cache
-def _renews(node: Node, informed: int | None, ageless: bool) -> bool:
+def _renews(node: Controller, informed: int | None, ageless: bool) -> bool:
     """Whether a leader that hears nothing of the jobs answers the worker; ``informed``: when it
     last did, None: never; ``ageless``: it takes all lists for whole, however young who gave it."""
     known = None if informed is None else NOW + seconds(informed)
     term = Term(TOKEN, 1, NOW - seconds(1), known)
-    standing = _unpack(node)
-    views = standing.views()
+    follower_leases = _unpack(node)
+    views = follower_leases.views()
     if ageless:
         views = tuple(replace(view, born=_at(OLD)) for view in views)
-    instants = (standing.all_cancellations_by(NOW), listed_by(views, known))
-    told_by = max((instant for instant in instants if instant is not None), default=None)
-    power = term.power(NOW, [None], TIMING.lease_over, TIMING.cancel, told_by)
-    return power is Power.RENEW_ONLY
+    instants = (
+        follower_leases.cancellations_known_until(NOW),
+        cancellations_listed_until(views, known),
+    )
+    cancellations_known_until = max(
+        (instant for instant in instants if instant is not None), default=None
+    )
+    authority = term.authority(
+        NOW, [None], TIMING.lease_expiry, TIMING.cancel, cancellations_known_until
+    )
+    return authority is Authority.RENEW_ONLY
 
 
 Fields = tuple[Any, ...]
@@ -395,7 +417,7 @@
     """A rule."""
 
 
-def _with(state: State, index: int, node: Node) -> tuple[Node, Node, Node]:
+def _with(state: State, index: int, node: Controller) -> tuple[Controller, Controller, Controller]:
     first, one, other = state.nodes
     return (
         (node, one, other) if index == 0 else (first, node, other) if index == 1
@@ -408,7 +430,7 @@
     return "1" if other == (1 if owner == 0 else 0) else "2"
 
 
-def _believed(node: Node, change: Change | None, forged: bool = False) -> Node:
+def _believed(node: Controller, change: Change | None, forged: bool = False) -> Controller:
     if change is None and not forged:
         return node
     fields = _nodes[node] if change is None else change(_nodes[node])
@@ -417,7 +439,7 @@
     return _number(fields)
 
 
-def _kept(before: Node, after: Node) -> Node:
+def _kept(before: Controller, after: Controller) -> Controller:
     """What a controller that was lied to has become, without the lies."""
     if before == after:
         return before
@@ -449,9 +471,12 @@
         believed = _believed(nodes[index], lies.of_itself, lies.consents_forged)
         stands = _stands_in(believed)
         if stands is not None:
-            after, stops = _kept(nodes[index], stands[0]), stands[1]
+            after, stop_commands = _kept(nodes[index], stands[0]), stands[1]
             renewed = state._replace(nodes=_with(state, index, after), renewed=0)
-            yield f"{index} answers the worker in the leader's place", None if stops else renewed
+            yield (
+                f"{index} answers the worker in the leader's place",
+                None if stop_commands else renewed,
+            )
     if state.leads:
         yield from _leader(state, lies)
     if state.told is None:
@@ -462,7 +487,7 @@
                 told = told._replace(nodes=_with(told, other, _listed(told.nodes[other])))
                 yield f"{teller} tells that the job is cancelled, {other} knows", told
     if state.crashes:
-        fresh = _pack(Standing("12", TIMING, NOW))
+        fresh = _pack(FollowerLeases("12", TIMING, NOW))
         for index in range(3):
             yield (
                 f"{index} crashes and is back",
@@ -523,11 +548,11 @@
         yield "the leader hears of the cancellation", heard
     informed = state.informed if has_picture or lies.informed_by_election else None
     if lies.answers_for_ever or _renews(believed, informed, lies.lists_ageless):
-        stops = listed and state.picture != MISLED
+        stop_commands = listed and state.picture != MISLED
         if lies.stops_by_picture and not has_picture:
-            stops = False
+            stop_commands = False
         answered = state._replace(heard=0, renewed=0)
-        yield "the leader answers, out of touch", None if stops else answered
+        yield "the leader answers, out of touch", None if stop_commands else answered
 
 
 def _reads(state: State, lies: Lies, listed: bool) -> Iterator[tuple[str, State]]:
--- a/bench/model_contact.py
+++ b/bench/model_reachability.py
@@ -1,9 +1,9 @@
 """Explores courses of a small world: one machine whose messages are late, lost, copied, deceptive.
 
-    python3 -m bench.model_contact [--depth 8]
-    python3 -m bench.model_contact --guards
+    python3 -m bench.model_reachability [--depth 8]
+    python3 -m bench.model_reachability --guards
 
-One worker, one task, one leader; the leader's picture is the real ``Cluster``.  Between two steps
+One worker, one task, one leader; the leader's view is the real ``ClusterState``.  Between two steps
 of the clock anything may happen or not: the worker reports, reports wait and are copied, answers
 are lost, the leader asks and its answer waits, the worker begins anew, the task is placed and
 stopped.  The rule: what runs on the worker is in the leader's picture.  Courses are played from the
@@ -23,14 +23,14 @@
 import click
 
 from micadeal.clock import ZERO, seconds
-from micadeal.fleet.contact import Contact
-from micadeal.fleet.model import Attempt, Machine
+from micadeal.fleet.machines import Attempt, Machine
+from micadeal.fleet.reachability import Reachability
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Workers
-from micadeal.scheduling import cluster as clusters
-from micadeal.scheduling.cluster import Cluster
+from micadeal.scheduling import cluster_state as clusters
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.users import Priority, Shape, Submission
-from micadeal.wire.workers import Order, Report, TaskReport, Verb
+from micadeal.wire.workers import Command, CommandKind, Heartbeat, TaskStatus
 
 TOKEN = 1
 LEASE = 2
@@ -51,11 +51,11 @@
     """Plays one course."""
 
     now: int = 0
-    cluster: Cluster = field(init=False)
+    cluster: ClusterState = field(init=False)
     job: Job = field(init=False)
     # The worker: its process, session, sequence, token, tasks, and since when its lease counts.
     life: int = 1
-    session: int = 1
+    incarnation: int = 1
     sequence: int = 0
     token: int = 0
     running: set[int] = field(default_factory=set)
@@ -63,15 +63,15 @@
     #: The report that waits for its answer: when it was sent.
     open_since: int | None = None
     #: Reports under way, and those that were taken and may come again.
-    under_way: Report | None = None
-    copy: Report | None = None
+    under_way: Heartbeat | None = None
+    copy: Heartbeat | None = None
     #: The answer under way: orders, session, and the token.
-    answer: tuple[list[Order], int] | None = None
+    answer: tuple[list[Command], int] | None = None
     #: An answer to a question that waits: when it was asked, and what it says.
-    told: tuple[int, Report] | None = None
+    told: tuple[int, Heartbeat] | None = None
 
     def __post_init__(self) -> None:
-        self.cluster = Cluster(TOKEN, WORKERS, {}, ZERO)
+        self.cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
         self.job = Job(SPEC, ZERO, 1)
         self.cluster.add_job(self.job)
 
@@ -97,7 +97,7 @@
             yield "ask"
         if self.life < MOST_LIVES:
             yield "anew"
-        if machine is not None and machine.knows_us and not self.job.attempts:
+        if machine is not None and machine.has_our_token and not self.job.attempts:
             yield "place"
         if any(a.stop is None for a in self.job.all_attempts()):
             yield "stop"
@@ -123,17 +123,18 @@
         base = self.sequence
         known: tuple[Any, ...] = ()
         if machine is not None:
-            contact = machine.contact
-            latest = None if contact.latest is None else self.at - contact.latest
+            reachability = machine.reachability
+            latest = None if reachability.latest is None else self.at - reachability.latest
             heard = None if machine.heard is None else self.at - machine.heard
             known = (
-                machine.session, machine.sequence - base, machine.knows_us, machine.lost, latest,
-                heard, contact.token, contact.missed, contact.anew,
+                machine.incarnation, machine.sequence - base, machine.has_our_token, machine.lost,
+                latest,
+                heard, reachability.token, reachability.missed, reachability.restarted,
                 tuple((a.number, a.state, a.stop, a.ordered and (a.ordered[0], a.ordered[1] - base))
                       for a in machine.attempts.values()),
             )  # fmt: skip
         return (
-            known, self.now, self.life, self.session, self.token, tuple(sorted(self.running)),
+            known, self.now, self.life, self.incarnation, self.token, tuple(sorted(self.running)),
             self.now - self.renewed, self.open_since, _told(self.under_way, base),
             _told(self.copy, base), self.answer and tuple(
                 (o.verb, o.attempt) for o in self.answer[0]),
@@ -142,11 +143,11 @@
 
     # -- the worker ------------------------------------------------------------------------
 
-    def _says(self) -> Report:
+    def _says(self) -> Heartbeat:
         self.sequence += 1
-        tasks = [TaskReport("req-1/0", n, "running") for n in sorted(self.running)]
-        return Report(
-            "m", "a", "box", "z", False, self.session, self.sequence, self.token, None, tasks
+        tasks = [TaskStatus("req-1/0", n, "running") for n in sorted(self.running)]
+        return Heartbeat(
+            "m", "a", "box", "z", False, self.incarnation, self.sequence, self.token, None, tasks
         )
 
     def _report(self) -> None:
@@ -157,21 +158,21 @@
 
     def _answer(self) -> None:
         assert self.answer is not None and self.open_since is not None
-        orders, session = self.answer
+        commands, incarnation = self.answer
         self.answer = None
-        if session != self.session:
+        if incarnation != self.incarnation:
             return
         self.token = TOKEN
         self.renewed = max(self.renewed, self.open_since)
-        for order in orders:
-            if order.verb is Verb.START:
+        for order in commands:
+            if order.verb is CommandKind.START:
                 self.running.add(order.attempt)
-            elif order.verb is Verb.STOP:
+            elif order.verb is CommandKind.STOP:
                 self.running.discard(order.attempt)
 
     def _anew(self) -> None:
         self.life += 1
-        self.session, self.sequence, self.token = 1, 0, 0
+        self.incarnation, self.sequence, self.token = 1, 0, 0
         self.running.clear()
         self.renewed = self.now
         self.answer = self.open_since = None
@@ -180,7 +181,7 @@
         self.now += 1
         if self.now - self.renewed > LEASE:
             self.running.clear()
-            self.session += 1
+            self.incarnation += 1
             self.renewed = self.now
         self.cluster.expire(self.at)
 
@@ -188,12 +189,12 @@
 
     def _arrive(self) -> None:
         assert self.under_way is not None
-        report, self.under_way = self.under_way, None
-        self.copy = report
-        orders = self._taken(report)
-        alive = report.session == self.session and report.sequence <= self.sequence
+        heartbeat, self.under_way = self.under_way, None
+        self.copy = heartbeat
+        commands = self._taken(heartbeat)
+        alive = heartbeat.incarnation == self.incarnation and heartbeat.sequence <= self.sequence
         if self.open_since is not None and alive:
-            self.answer = (orders, report.session)
+            self.answer = (commands, heartbeat.incarnation)
 
     def _arrive_too(self) -> None:
         """The copy that comes late is that of an earlier one."""
@@ -205,9 +206,9 @@
         assert self.copy is not None
         self._taken(self.copy)
 
-    def _taken(self, report: Report) -> list[Order]:
-        machine = self.cluster.on_report(report, self.at, True)
-        return [] if machine is None else self.cluster.orders_for(machine, self.at, full=True)
+    def _taken(self, heartbeat: Heartbeat) -> list[Command]:
+        machine = self.cluster.on_heartbeat(heartbeat, self.at, True)
+        return [] if machine is None else self.cluster.commands_for(machine, self.at, full=True)
 
     def _ask(self) -> None:
         if self.machine is not None:
@@ -216,13 +217,13 @@
 
     def _told(self) -> None:
         assert self.told is not None
-        (asked, report), self.told = self.told, None
-        self.cluster.on_report(report, self.at, False, seconds(asked))
+        (asked, heartbeat), self.told = self.told, None
+        self.cluster.on_heartbeat(heartbeat, self.at, False, seconds(asked))
 
     def _place(self) -> None:
         machine = self.machine
         assert machine is not None
-        if machine.leaving is None and not machine.lost:
+        if machine.draining is None and not machine.lost:
             self.cluster.place(self.job, 0, self.cluster.next_number(), machine, self.at)
             self.cluster.written("placed/1/0", list(self.cluster.unwritten), self.at)
 
@@ -231,11 +232,11 @@
             self.cluster.stop(attempt, ZERO, self.at)
 
 
-def _told(report: Report | None, base: int) -> tuple[Any, ...] | None:
-    if report is None:
+def _told(heartbeat: Heartbeat | None, base: int) -> tuple[Any, ...] | None:
+    if heartbeat is None:
         return None
-    tasks = tuple(task.attempt for task in report.tasks)
-    return (report.session, report.sequence - base, report.token, tasks)
+    tasks = tuple(task.attempt for task in heartbeat.tasks)
+    return (heartbeat.incarnation, heartbeat.sequence - base, heartbeat.token, tasks)
 
 
 def explore(depth: int) -> tuple[int, tuple[str, ...] | None]:
@@ -261,28 +262,30 @@
 # -- guards, each switched off ------------------------------------------------------------------
 
 
-def _never_older(self: Cluster, machine: Machine, report: Report) -> bool:
+def _never_older(self: ClusterState, machine: Machine, heartbeat: Heartbeat) -> bool:
     return False
 
 
-def _always_anew(self: Contact, asked: timedelta | None) -> bool:
+def _always_anew(self: Reachability, asked: timedelta | None) -> bool:
     return True
 
 
-def _any_absence(self: Cluster, attempt: Attempt, machine: Machine, checkin: bool) -> bool:
+def _any_absence(
+    self: ClusterState, attempt: Attempt, machine: Machine, is_heartbeat: bool
+) -> bool:
     return attempt.ordered is not None
 
 
-def _first_message_only(self: Contact, token: int, now: timedelta) -> None:
+def _first_message_only(self: Reachability, token: int, now: timedelta) -> None:
     self.token = max(self.token, token)
     self.latest = now if self.latest is None else self.latest
 
 
 GUARDS: dict[str, tuple[type, str, Callable[..., Any]]] = {
-    "what looks older is no news": (Cluster, "_looks_older", _never_older),
-    "only an answer proves that it began anew": (Contact, "proves_anew", _always_anew),
-    "absence counts once no start is under way": (Cluster, "_absent_for_good", _any_absence),
-    "a lease counts from the newest message": (Contact, "take", _first_message_only),
+    "what looks older is no news": (ClusterState, "_looks_older", _never_older),
+    "only an answer proves that it began anew": (Reachability, "proves_restart", _always_anew),
+    "absence counts once no start is under way": (ClusterState, "_absent_for_good", _any_absence),
+    "a lease counts from the newest message": (Reachability, "take", _first_message_only),
 }
 
 
--- a/bench/model_rollout.py
+++ b/bench/model_rollout.py
@@ -33,12 +33,12 @@
 import msgspec
 
 from micadeal.clock import seconds
-from micadeal.rollout import seat as seats
-from micadeal.rollout import steps
-from micadeal.rollout.levels import Build
-from micadeal.rollout.membership import Process, Sight
-from micadeal.rollout.seat import Seat
-from micadeal.stored.keys import HELD, LEADER, LEVEL, SEAT
+from micadeal.rollout import leader_lock as leader_locks
+from micadeal.rollout import migration
+from micadeal.rollout.feature_level import Build
+from micadeal.rollout.leader_lock import LeaderLock
+from micadeal.rollout.membership import PeerObservation, Process
+from micadeal.schema.keys import LEADER, LEADER_LOCK, LEVEL, LOCK_HOLDER
 from micadeal.wire.state import Condition, Drop, Item, Put
 
 NOW = seconds(1000)
@@ -47,7 +47,7 @@
 DATA = "placed/"
 
 
-class Node(NamedTuple):
+class Controller(NamedTuple):
     kind: int | None
     process: int
     #: Revision of the store when it last looked, and what it saw; None: it did not yet.
@@ -77,7 +77,7 @@
     revision: int
     #: (key, value, version, lease), in order.
     store: tuple[tuple[str, bytes, int, int | None], ...]
-    nodes: tuple[Node | None, ...]
+    nodes: tuple[Controller | None, ...]
     flights: frozenset[Flight]
     ceiling: int | None
     last_token: int
@@ -89,22 +89,26 @@
 
 
 @cache
-def _read(entries: tuple[Any, ...]) -> Seat:
-    return seats.read([Item(k, msgspec.json.decode(v), n) for k, v, n in entries], 0)
+def _read(entries: tuple[Any, ...]) -> LeaderLock:
+    return leader_locks.read([Item(k, msgspec.json.decode(v), n) for k, v, n in entries], 0)
 
 
-def _seat(store: tuple[Any, ...], _: int) -> Seat:
-    return _read(tuple(entry[:3] for entry in store if entry[0].startswith((LEADER, SEAT))))
+def _leader_lock(store: tuple[Any, ...], _: int) -> LeaderLock:
+    return _read(tuple(entry[:3] for entry in store if entry[0].startswith((LEADER, LEADER_LOCK))))
 
 
 @cache
-def _process(node: Node) -> Process:
+def _process(node: Controller) -> Process:
     assert node.kind is not None
     return Process(str(node.process), Build(f"to {node.kind}", 0, node.kind))
 
 
 def _flight(
-    i: int, node: Node, conditions: list[Condition], changes: list[Put | Drop], wins: bool = False
+    i: int,
+    node: Controller,
+    conditions: list[Condition],
+    changes: list[Put | Drop],
+    wins: bool = False,
 ) -> Flight:
     return Flight(
         i,
@@ -120,7 +124,7 @@
     )
 
 
-def _with(state: State, i: int, node: Node | None, **more: Any) -> State:
+def _with(state: State, i: int, node: Controller | None, **more: Any) -> State:
     nodes = list(state.nodes)
     nodes[i] = node
     return state._replace(nodes=tuple(nodes), **more)
@@ -165,29 +169,32 @@
 
 
 def _check(state: State) -> None:
-    seat = _seat(state.store, state.revision)
+    leader_lock = _leader_lock(state.store, state.revision)
     holder = None
     for _key, _value, _version, lease in state.store:
         holder = lease if lease is not None else holder
     for node in state.nodes:
         if node is None:
             continue
-        leads = node.token and node.token == seat.token and holder is not None
-        if leads and (node.kind or 0) < seat.level.level:
-            raise Broken(f"one of kind {node.kind} leads by level {seat.level.level}")
-        if node.kind is not None and _serves(node) and node.kind < seat.level.level:
-            raise Broken(f"one of kind {node.kind} serves users by level {seat.level.level}")
+        leads = node.token and node.token == leader_lock.token and holder is not None
+        if leads and (node.kind or 0) < leader_lock.level.level:
+            raise Broken(f"one of kind {node.kind} leads by level {leader_lock.level.level}")
+        if node.kind is not None and _serves(node) and node.kind < leader_lock.level.level:
+            raise Broken(f"one of kind {node.kind} serves users by level {leader_lock.level.level}")
     for key, *_ in state.store:
         if key.startswith(DATA):
             layout = int(key.removeprefix(DATA))
-            if not seat.level.oldest <= layout <= seat.level.level:
-                raise Broken(f"a record of level {layout} under {seat.level}")
+            if not leader_lock.level.oldest <= layout <= leader_lock.level.level:
+                raise Broken(f"a record of level {layout} under {leader_lock.level}")
 
 
-def _serves(node: Node) -> bool:
+def _serves(node: Controller) -> bool:
     if node.seen is None or not node.registered:
         return False
-    return seats.refusal(_seat(*node.seen), f"c{node.process // 10}", _process(node)) is None
+    return (
+        leader_locks.refusal(_leader_lock(*node.seen), f"c{node.process // 10}", _process(node))
+        is None
+    )
 
 
 def _next(state: State) -> Iterator[State | None]:
@@ -204,7 +211,7 @@
             continue
         if state.ends:
             for kind in KINDS:
-                yield _with(state, i, Node(kind, node.process + 1), ends=state.ends - 1)
+                yield _with(state, i, Controller(kind, node.process + 1), ends=state.ends - 1)
         if node.kind is None:
             yield from _old(state, i, node)
         elif node.token:
@@ -225,7 +232,7 @@
     )
 
 
-def _old(state: State, i: int, node: Node) -> Iterator[State | None]:
+def _old(state: State, i: int, node: Controller) -> Iterator[State | None]:
     if node.token:
         yield _write(state, i, node, 0)
     elif LEADER not in {key for key, *_ in state.store}:
@@ -238,75 +245,80 @@
         )
 
 
-def _follow(state: State, i: int, node: Node) -> Iterator[State | None]:
+def _follow(state: State, i: int, node: Controller) -> Iterator[State | None]:
     name, now = f"c{i}", (state.store, state.revision)
-    seat = _seat(*now)
-    mine = seats.registered(seat, name, _process(node))
-    if node.seen is None or _seat(*node.seen) != seat or mine != node.registered:
+    leader_lock = _leader_lock(*now)
+    mine = leader_locks.registered(leader_lock, name, _process(node))
+    if node.seen is None or _leader_lock(*node.seen) != leader_lock or mine != node.registered:
         yield _with(state, i, node._replace(seen=(_kept(state), state.revision), registered=mine))
     if node.seen is None:
         return
-    seat = _seat(*node.seen)
+    leader_lock = _leader_lock(*node.seen)
     if not node.registered:
-        yield _send(state, _flight(i, node, *seats.registration(seat, name, _process(node), 0.0)))
+        yield _send(
+            state,
+            _flight(i, node, *leader_locks.registration(leader_lock, name, _process(node), 0.0)),
+        )
         return
-    if not seat.taken and seats.refusal(seat, name, _process(node)) is None:
+    if not leader_lock.taken and leader_locks.refusal(leader_lock, name, _process(node)) is None:
         lease = state.leases + 1
-        sent = seats.standing(seat, name, _process(node), lease)
+        sent = leader_locks.follower_leases(leader_lock, name, _process(node), lease)
         yield _send(state, _flight(i, node, *sent, wins=True), leases=lease)
 
 
 def _kept(state: State) -> tuple[Any, ...]:
-    return tuple(entry for entry in state.store if entry[0].startswith((LEADER, SEAT)))
+    return tuple(entry for entry in state.store if entry[0].startswith((LEADER, LEADER_LOCK)))
 
 
-def _lead(state: State, i: int, node: Node) -> Iterator[State | None]:
-    seat = _seat(state.store, state.revision)
-    if seat.token != node.token:
+def _lead(state: State, i: int, node: Controller) -> Iterator[State | None]:
+    leader_lock = _leader_lock(state.store, state.revision)
+    if leader_lock.token != node.token:
         return
-    if seat.fence != node.fence:
+    if leader_lock.fence != node.fence:
         # What it holds for true is older than what is recorded until it looks.
         seen = (_kept(state), state.revision)
-        yield _with(state, i, node._replace(fence=seat.fence, seen=seen))
-        known = _seat(*node.seen) if node.seen else seat
+        yield _with(state, i, node._replace(fence=leader_lock.fence, seen=seen))
+        known = _leader_lock(*node.seen) if node.seen else leader_lock
         yield _write(state, i, node, known.level.writes)
         return
-    yield _write(state, i, node, seat.level.writes)
-    yield _rewrite(state, i, node, seat)
+    yield _write(state, i, node, leader_lock.level.writes)
+    yield _rewrite(state, i, node, leader_lock)
     for j, other in enumerate(state.nodes):
         if j != i and other is not None:
             process = -1 if other.kind is None else other.process * 10 + other.kind
             if node.heard[j] != process:
                 heard = (*node.heard[:j], process, *node.heard[j + 1 :])
                 yield _with(state, i, node._replace(heard=heard))
-    sights = {f"c{j}": _sight(process) for j, process in enumerate(node.heard) if j != i}
+    observations = {f"c{j}": _sight(process) for j, process in enumerate(node.heard) if j != i}
     layouts = [int(k.removeprefix(DATA)) for k, *_ in state.store if k.startswith(DATA)]
-    stock = steps.Stock(
-        sum(layout < seat.level.writes for layout in layouts),
-        sum(layout > seat.level.writes for layout in layouts),
+    migration_backlog = migration.MigrationBacklog(
+        sum(layout < leader_lock.level.writes for layout in layouts),
+        sum(layout > leader_lock.level.writes for layout in layouts),
+    )
+    found = migration.plan(
+        leader_lock.level, _process(node), observations, state.ceiling, migration_backlog, NOW
     )
-    found = steps.plan(seat.level, _process(node), sights, state.ceiling, stock, NOW)
     if found.move is None:
         return
     names: list[str] = []
     if found.raises:
-        if steps.confirm(found, seat, f"c{i}", _process(node), sights):
+        if migration.confirm(found, leader_lock, f"c{i}", _process(node), observations):
             return
-        names = [name for name in (f"c{i}", *sights) if name in seat.members]
-    lease = seat.lease
-    sent = seats.moving(seat, found.move, f"c{i}", lease, node.token, names)
+        names = [name for name in (f"c{i}", *observations) if name in leader_lock.members]
+    lease = leader_lock.lease
+    sent = leader_locks.moving(leader_lock, found.move, f"c{i}", lease, node.token, names)
     yield _send(state, _flight(i, node, *sent))
 
 
-def _sight(heard: int | None) -> Sight:
+def _sight(heard: int | None) -> PeerObservation:
     if heard is None:
-        return Sight()
+        return PeerObservation()
     kind = heard % 10
     process = None if heard < 0 else Process(str(heard // 10), Build(f"to {kind}", 0, kind))
-    return Sight(process, seconds(900), NOW)
+    return PeerObservation(process, seconds(900), NOW)
 
 
-def _write(state: State, i: int, node: Node, layout: int) -> State | None:
+def _write(state: State, i: int, node: Controller, layout: int) -> State | None:
     if not state.writes:
         return None
     change: list[Put | Drop] = [Put(f"{DATA}{layout}", 1)]
@@ -314,9 +326,9 @@
     return _send(state, flight, writes=state.writes - 1)
 
 
-def _rewrite(state: State, i: int, node: Node, seat: Seat) -> State | None:
+def _rewrite(state: State, i: int, node: Controller, leader_lock: LeaderLock) -> State | None:
     for key, _, version, _ in state.store:
-        target = f"{DATA}{seat.level.writes}"
+        target = f"{DATA}{leader_lock.level.writes}"
         if key.startswith(DATA) and key != target:
             conditions = [Condition(LEADER, node.fence), Condition(key, version)]
             return _send(state, _flight(i, node, conditions, [Put(target, 1), Drop(key)]))
@@ -332,11 +344,13 @@
     level: int = 0,
 ) -> State:
     """The first leads at ``level``; the third is of the version ``third``."""
-    nodes = (Node(2, 0), Node(2, 10), Node(third, 20))
+    nodes = (Controller(2, 0), Controller(2, 10), Controller(third, 20))
     store: list[tuple[str, bytes, int, int | None]] = []
     for i, node in enumerate(nodes):
         if node.kind is not None:
-            _, changes = seats.registration(seats.read([], 0), f"c{i}", _process(node), 0.0)
+            _, changes = leader_locks.registration(
+                leader_locks.read([], 0), f"c{i}", _process(node), 0.0
+            )
             put = changes[0]
             assert isinstance(put, Put)
             store.append((put.key, msgspec.json.encode(put.value), i + 1, None))
@@ -344,7 +358,7 @@
     store.append((LEADER, record, 4, None if level else 1))
     if level:
         value = {"level": level, "writes": level, "oldest": level}
-        store.append((HELD, record, 4, 1))
+        store.append((LOCK_HOLDER, record, 4, 1))
         store.append((LEVEL, msgspec.json.encode(value), 4, None))
     kept = tuple(sorted(store))
     served = [n if n.kind is None else n._replace(registered=True, seen=(kept, 4)) for n in nodes]
@@ -372,16 +386,18 @@
     return len(seen), None
 
 
-_moving: Any = seats.moving
+_moving: Any = leader_locks.moving
 
 
-def _moving_unfenced(seat: Seat, to: Any, *args: Any) -> Any:
-    conditions, changes = _moving(seat, to, *args)
-    return conditions, [c for c in changes if c.key != LEADER or not seat.fenced or not to.level]
+def _moving_unfenced(leader_lock: LeaderLock, to: Any, *args: Any) -> Any:
+    conditions, changes = _moving(leader_lock, to, *args)
+    return conditions, [
+        c for c in changes if c.key != LEADER or not leader_lock.fenced or not to.level
+    ]
 
 
-def _moving_leased(seat: Seat, to: Any, name: str, lease: int, *args: Any) -> Any:
-    conditions, changes = _moving(seat, to, name, lease, *args)
+def _moving_leased(leader_lock: LeaderLock, to: Any, name: str, lease: int, *args: Any) -> Any:
+    conditions, changes = _moving(leader_lock, to, name, lease, *args)
     return conditions, [
         Put(c.key, c.value, lease) if isinstance(c, Put) and c.key == LEADER else c for c in changes
     ]
@@ -391,49 +407,49 @@
     return _moving(*args[:-1], [])
 
 
-def _raise_unsettled(record: Any, own: Any, sights: Any, *args: Any) -> Any:
-    return _plan(record, own, {n: s for n, s in sights.items() if s.process}, *args)
+def _raise_unsettled(record: Any, own: Any, observations: Any, *args: Any) -> Any:
+    return _plan(record, own, {n: s for n, s in observations.items() if s.process}, *args)
 
 
-_plan: Any = steps.plan
-_NOTHING = steps.Stock()
+_plan: Any = migration.plan
+_NOTHING = migration.MigrationBacklog()
 
 #: What is switched off, by what, and in which world it then breaks something.
 Guard = tuple[dict[str, Any], dict[str, int]]
 GUARDS: dict[str, Guard] = {
     "a raise depends on every member record": (
-        {"micadeal.rollout.seat.moving": _moving_alone},
+        {"micadeal.rollout.leader_lock.moving": _moving_alone},
         {"ends": 1, "third": 2},
     ),
     "the process that was heard is the one recorded": (
-        {"micadeal.rollout.steps.confirm": lambda *_: ()},
+        {"micadeal.rollout.migration.confirm": lambda *_: ()},
         {"ends": 1, "third": 2},
     ),
     "all others have shown the level, and are recorded with it": (
         {
-            "micadeal.rollout.steps.plan": _raise_unsettled,
-            "micadeal.rollout.steps.confirm": lambda *_: (),
+            "micadeal.rollout.migration.plan": _raise_unsettled,
+            "micadeal.rollout.migration.confirm": lambda *_: (),
         },
         {"third": 1},
     ),
     "the leader's record never vanishes": (
-        {"micadeal.rollout.seat.moving": _moving_leased},
+        {"micadeal.rollout.leader_lock.moving": _moving_leased},
         {"ends": 1, "leases": 1, "third": 2},
     ),
     "who does not know the level neither stands nor serves": (
-        {"micadeal.rollout.seat.refusal": lambda *_: None},
+        {"micadeal.rollout.leader_lock.refusal": lambda *_: None},
         {"ends": 1, "third": 2},
     ),
     "a process is recorded before it serves": (
-        {"micadeal.rollout.seat.registered": lambda *_: True},
+        {"micadeal.rollout.leader_lock.registered": lambda *_: True},
         {"ends": 1, "third": 2},
     ),
     "records of another layout are rewritten first": (
-        {"micadeal.rollout.steps.Stock": lambda *_: _NOTHING},
+        {"micadeal.rollout.migration.MigrationBacklog": lambda *_: _NOTHING},
         {"writes": 1, "third": 2},
     ),
     "the fence moves with the level": (
-        {"micadeal.rollout.seat.moving": _moving_unfenced},
+        {"micadeal.rollout.leader_lock.moving": _moving_unfenced},
         {"writes": 1, "third": 2, "level": 1},
     ),
 }
--- a/bench/profile_pass.py
+++ b/bench/profile_pass.py
@@ -19,13 +19,13 @@
 import click
 
 from micadeal.clock import seconds
-from micadeal.controller.records import Recorder
+from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.operator.policy import Flexible
-from micadeal.scheduling.holding import AT_ONCE, Holding
+from micadeal.scheduling.deferral import AT_ONCE, Deferral
 from micadeal.state.limits import Limits
 from micadeal.timing.series import Quantity, Series
 from micadeal.wire.users import Priority, Shape
-from tests.fakes.picture import Picture
+from tests.fakes.random_clusters import Picture
 
 
 def timed(what: str, times: int, work: Callable[[], object]) -> None:
@@ -39,12 +39,13 @@
 def hold_many(picture: Picture, held: int, step: Callable[[], None]) -> None:
     """Passes without and with a held queue, turn by turn, and what choosing its windows takes."""
     scheduler = picture.scheduler
-    wall = datetime(2026, 12, 1, 20, 0, tzinfo=UTC)
-    holding = Holding(picture.cluster, UTC, seconds(5))
+    utc_now = datetime(2026, 12, 1, 20, 0, tzinfo=UTC)
+    holding = Deferral(picture.cluster, UTC, seconds(5))
     prices = tuple(0.3 if hour < 5 or hour > 9 else 0.1 for hour in range(24))
     day = timedelta(days=1)
     holding.take(
-        Series("north", Quantity.PRICE, "EUR/kWh", "bench", wall, wall + day, wall, wall,
+        Series("north", Quantity.PRICE, "EUR/kWh", "bench", utc_now, utc_now + day, utc_now,
+               utc_now,
                timedelta(hours=1), prices)
     )  # fmt: skip
     holding.learn([("nightly", 1.0)] * 100)
@@ -66,7 +67,7 @@
         )  # fmt: skip
     scheduler.holding = holding
     turns = held // AT_ONCE + 1
-    timed("windows: one turn", turns, lambda: scheduler.hold(picture.now, wall))
+    timed("windows: one turn", turns, lambda: scheduler.hold(picture.now, utc_now))
     counted = scheduler.state_counts(picture.now)["held"]
     for _ in range(20):
         turn(beside)
@@ -83,7 +84,7 @@
     """Time the parts of a leader's work."""
     picture = Picture(machines, jobs)
     scheduler, cluster = picture.scheduler, picture.cluster
-    recorder = Recorder(cluster, Limits(150, 25, 16, 8192))
+    record_writer = RecordWriter(cluster, Limits(150, 25, 16, 8192))
     profiler = cProfile.Profile()
     if profile:
         profiler.enable()
@@ -91,7 +92,7 @@
     def step() -> None:
         cluster.changed = True
         scheduler.tick(picture.now)
-        scheduler.run_pass(picture.now)
+        scheduler.run_cycle(picture.now)
 
     timed("first pass: all waits", 1, step)
     waiting = sum(job.waiting_count() for job in cluster.live_jobs())
@@ -101,8 +102,8 @@
     timed("pass: full, the rest waits", 3, step)
 
     def write() -> None:
-        for batch in recorder.next(picture.now):
-            recorder.committed(batch, 1, picture.now)
+        for batch in record_writer.next(picture.now):
+            record_writer.committed(batch, 1, picture.now)
 
     timed("records: one call", 200, write)
     for machine in cluster.machines.values():
@@ -113,12 +114,12 @@
     def report_all() -> None:
         picture.now += seconds(0.01)
         for name in names:
-            picture.report(name)
+            picture.heartbeat(name)
 
     timed(f"{machines} reports taken in", 2, report_all)
     timed("tick without a pass", 20, lambda: scheduler.tick(picture.now))
     for name in names[::10]:
-        picture.report(name, done=1)
+        picture.heartbeat(name, done=1)
     timed("pass: some tasks have ended", 1, step)
     if held:
         hold_many(picture, held, step)
--- a/micadeal/actor.py
+++ b/micadeal/actor.py
@@ -9,16 +9,16 @@
 
 import curio
 
-from micadeal.waiting import sleep, within
+from micadeal.timeouts import sleep, with_timeout
 
 log = logging.getLogger(__name__)
 
 
-class Overloaded(Exception):
+class MailboxFullError(Exception):
     """The mailbox is full: the sender should say "later" to whoever asked it."""
 
 
-class _Letter:
+class _Envelope:
     __slots__ = ("answered", "failure", "message", "result")
 
     def __init__(self, message: Any, wants_answer: bool) -> None:
@@ -32,7 +32,7 @@
     """A mailbox and the one task that reads it."""
 
     def __init__(self, bound: int = 1000) -> None:
-        self._mail: curio.Queue = curio.Queue()
+        self._mailbox: curio.Queue = curio.Queue()
         self._bound = bound
 
     async def receive(self, message: Any) -> Any:
@@ -40,42 +40,42 @@
         raise NotImplementedError
 
     async def tell(self, message: Any) -> None:
-        await self._post(_Letter(message, wants_answer=False))
+        await self._post(_Envelope(message, wants_answer=False))
 
-    async def told_by_own(self, message: Any) -> None:
+    async def tell_unbounded(self, message: Any) -> None:
         """From a task that the actor itself has started: never refused.
 
         Guards against work that stands still for ever after a moment's flood: an outcome that was
         dropped is waited for to no end, and a feed that ended on a full mailbox never came back.
         There are as many of these as tasks under way, not as many as others care to send.
         """
-        await self._mail.put(_Letter(message, wants_answer=False))
+        await self._mailbox.put(_Envelope(message, wants_answer=False))
 
     async def ask(self, message: Any, timeout: timedelta) -> Any:
-        letter = _Letter(message, wants_answer=True)
-        await self._post(letter)
-        assert letter.answered is not None
-        await within(timeout, letter.answered.wait())
-        if letter.failure is not None:
-            raise letter.failure
-        return letter.result
-
-    async def _post(self, letter: _Letter) -> None:
-        if self._mail.qsize() >= self._bound:
-            raise Overloaded
-        await self._mail.put(letter)
+        envelope = _Envelope(message, wants_answer=True)
+        await self._post(envelope)
+        assert envelope.answered is not None
+        await with_timeout(timeout, envelope.answered.wait())
+        if envelope.failure is not None:
+            raise envelope.failure
+        return envelope.result
+
+    async def _post(self, envelope: _Envelope) -> None:
+        if self._mailbox.qsize() >= self._bound:
+            raise MailboxFullError
+        await self._mailbox.put(envelope)
 
     async def run(self) -> None:
         while True:
-            letter = await self._mail.get()
+            envelope = await self._mailbox.get()
             try:
-                letter.result = await self.receive(letter.message)
+                envelope.result = await self.receive(envelope.message)
             except Exception as problem:
                 # Garbage from outside must not end the process: it costs its sender an answer.
                 log.exception("%s could not handle a message", type(self).__name__)
-                letter.failure = problem
-            if letter.answered is not None:
-                await letter.answered.set()
+                envelope.failure = problem
+            if envelope.answered is not None:
+                await envelope.answered.set()
 
 
 async def keep_running(name: str, work: Callable[[], Awaitable[None]]) -> None:
--- a/micadeal/cli/flood.py
+++ b/micadeal/cli/log_rate_limit.py
@@ -14,7 +14,7 @@
 MOST_KINDS = 1000
 
 
-class FloodFilter(logging.Filter):
+class LogRateLimitFilter(logging.Filter):
     """Lets the first of like warnings through; the next period's first says how many were not."""
 
     def __init__(self) -> None:
--- a/micadeal/cli/main.py
+++ b/micadeal/cli/main.py
@@ -13,7 +13,7 @@
 import click
 
 from micadeal import __version__
-from micadeal.cli.flood import FloodFilter
+from micadeal.cli.log_rate_limit import LogRateLimitFilter
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 FAILED, MISUSED = 1, 2
@@ -25,7 +25,7 @@
         stream=sys.stderr, level=level, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
     for handler in logging.getLogger().handlers:
-        handler.addFilter(FloodFilter())
+        handler.addFilter(LogRateLimitFilter())
 
 
 def _fail(text: str, code: int = FAILED) -> NoReturn:
@@ -77,30 +77,30 @@
     switched = _options(options)
     import curio
 
-    from micadeal.controller.node import Node
+    from micadeal.controller.controller import Controller
 
-    node = Node(platform, options=switched)
+    node = Controller(platform, options=switched)
     ended: list[int] = []
     signal.signal(signal.SIGTERM, lambda number, _: ended.append(number))
     curio.run(node.serve, lambda: bool(ended))
 
 
 def _platform(path: Path) -> Any:
-    from micadeal.operator.platform import BadSettings, load
+    from micadeal.operator.platform import InvalidSettingsError, load
 
     try:
         return load(path)
-    except BadSettings as problem:
+    except InvalidSettingsError as problem:
         _fail(f"bad settings: {problem}", MISUSED)
 
 
 def _options(path: Path | None) -> Any:
     from micadeal.operator.options import Options, load
-    from micadeal.operator.platform import BadSettings
+    from micadeal.operator.platform import InvalidSettingsError
 
     try:
         return Options() if path is None else load(path)
-    except BadSettings as problem:
+    except InvalidSettingsError as problem:
         _fail(f"bad options: {problem}", MISUSED)
 
 
@@ -208,7 +208,7 @@
 @json_option
 def why(job: str, controller: str, as_json: bool) -> None:
     """Say in plain words why JOB waits."""
-    from micadeal.cli.show import show_why
+    from micadeal.cli.text_output import show_why
 
     answer = _checked(controller, "GET", f"/why/{job}")
     _print_json(answer) if as_json else click.echo(show_why(answer))
@@ -219,7 +219,7 @@
 @json_option
 def overview(controller: str, as_json: bool) -> None:
     """Teams, waiting and stuck jobs, machines and leader at a glance."""
-    from micadeal.cli.show import show_overview
+    from micadeal.cli.text_output import show_overview
 
     answer = _checked(controller, "GET", "/overview")
     _print_json(answer) if as_json else click.echo(show_overview(answer))
@@ -231,12 +231,12 @@
 
 
 def _evaluate(file: Path) -> tuple[str, dict[str, Any], int | None]:
-    from micadeal.operator.script import BadScript, evaluate
+    from micadeal.operator.script import InvalidScriptError, evaluate
 
     try:
         script = file.read_bytes().decode()
         return script, *evaluate(script, str(file))
-    except (OSError, UnicodeDecodeError, BadScript) as problem:
+    except (OSError, UnicodeDecodeError, InvalidScriptError) as problem:
         _fail(str(problem), MISUSED)
 
 
--- a/micadeal/clock.py
+++ b/micadeal/clock.py
@@ -12,11 +12,11 @@
 DRIFT = 0.0005
 
 
-def steady() -> timedelta:
+def monotonic() -> timedelta:
     return timedelta(seconds=time.monotonic() - _start)
 
 
-def wall() -> datetime:
+def utc_now() -> datetime:
     return datetime.fromtimestamp(time.time(), tz=UTC)
 
 
@@ -24,7 +24,7 @@
     return timedelta(seconds=value)
 
 
-def steady_at(timestamp: float, now: timedelta) -> timedelta:
+def monotonic_at(timestamp: float, now: timedelta) -> timedelta:
     """An instant of a record (time of day) on our steady clock; none lies ahead."""
-    age = wall().timestamp() - timestamp
+    age = utc_now().timestamp() - timestamp
     return now - timedelta(seconds=min(max(age, 0.0), 1e9))
--- /dev/null
+++ b/micadeal/controller/api/__init__.py
@@ -0,0 +1,1 @@
+"""Requests of users: submission, status and cancellation of jobs."""
--- a/micadeal/controller/desk.py
+++ b/micadeal/controller/api/jobs.py
@@ -17,33 +17,33 @@
 
 import curio
 
-from micadeal.clock import DRIFT, seconds, steady, wall
-from micadeal.fleet.offers import Market
+from micadeal.clock import DRIFT, monotonic, seconds, utc_now
+from micadeal.fleet.instance_offers import InstanceOffers
 from micadeal.http.message import Answer, answer, error
 from micadeal.jobs.validate import (
     JOB_ID,
-    Impossible,
-    Malformed,
+    MalformedJobError,
+    UnschedulableJobError,
     check_possible,
     job_id_of,
     parse,
 )
 from micadeal.operator.platform import Team
+from micadeal.schema.job_records import has_dependencies, read_job_record, split
+from micadeal.schema.keys import ENDS, JOBS
+from micadeal.state.read_coalescing import VersionCheckCoalescer
 from micadeal.state.service import (
-    Conflict,
-    Refused,
-    StateError,
+    ConflictError,
+    RequestRejectedError,
     StateService,
-    Unavailable,
+    StateServiceError,
+    UnavailableError,
     Urgency,
 )
-from micadeal.state.unchanged import Unchanged
-from micadeal.stored.descriptions import read_whole, split, waits_for_others
-from micadeal.stored.keys import ENDS, JOBS
-from micadeal.waiting import within
+from micadeal.timeouts import with_timeout
 from micadeal.wire.cloud import MachineType
-from micadeal.wire.codec import BadMessage, convert
-from micadeal.wire.mesh import Counts
+from micadeal.wire.codec import MessageFormatError, convert
+from micadeal.wire.peers import Counts
 from micadeal.wire.state import Condition, Drop, EndRecord, EndStatus, Item, JobRecord, Put
 from micadeal.wire.users import JobAnswer, Shape, Status, Submission
 
@@ -78,7 +78,7 @@
     needs: tuple[str, ...] = ()
 
 
-class Spread(NamedTuple):
+class CancellationSpread(NamedTuple):
     """How far a cancellation has got."""
 
     #: So many controllers know of it that a user may be told, as far as that goes.
@@ -87,7 +87,7 @@
     settled: bool
 
 
-class Unreadable(StateError):
+class UnreadableRecordError(StateServiceError):
     """A record that can't be read, now or later."""
 
 
@@ -95,29 +95,29 @@
     """Guards ``forgotten``: as long as it says how the job ended, that is told."""
     try:
         return convert(EndRecord, item.value)
-    except BadMessage as problem:
+    except MessageFormatError as problem:
         log.error("unreadable record %s: %s", item.key, problem)
     try:
         return EndRecord(convert(EndStatus, item.value).status)
-    except BadMessage as problem:
-        raise Unreadable(f"unreadable record {item.key}: {problem}") from None
+    except MessageFormatError as problem:
+        raise UnreadableRecordError(f"unreadable record {item.key}: {problem}") from None
 
 
-class Desk:
+class JobApi:
     """Owns the catalog as users see it, the final answers and the counts for display."""
 
     def __init__(
         self,
         state: StateService,
         teams: dict[str, Team],
-        spread: Callable[[str], Awaitable[Spread]],
+        spread: Callable[[str], Awaitable[CancellationSpread]],
         cancel_time: timedelta,
     ) -> None:
         """``spread`` makes a cancellation known to the other controllers."""
         self._state = state
         self._teams = teams
-        self._market = Market()
-        self._spread = spread
+        self._instance_offers = InstanceOffers()
+        self._spread_cancellation = spread
         self._cancel_time = cancel_time
         self._final: OrderedDict[str, JobAnswer] = OrderedDict()
         #: Jobs that we accepted, or found accepted when a long list named them.
@@ -129,7 +129,7 @@
         #: Jobs that wait for no others, and the version of their records: as long as that holds
         #: they are neither done nor cancelled.
         self._alone: OrderedDict[str, int] = OrderedDict()
-        self._unchanged = Unchanged(state)
+        self._version_checks = VersionCheckCoalescer(state)
         #: All jobs that need one that was cancelled before this instant are recorded cancelled.
         self._cascaded: timedelta | None = None
         self._counts: dict[str, Counts] = {}
@@ -137,18 +137,18 @@
         self._all_started: frozenset[str] = frozenset()
         self._counted: timedelta | None = None
         #: When a user was last told "cancelled" here; what an earlier process told is not known.
-        self.last_cancel = steady()
+        self.last_cancel = monotonic()
 
     @property
     def types(self) -> list[MachineType]:
-        return list(self._market.types.values())
+        return list(self._instance_offers.types.values())
 
     def set_catalog(self, types: list[MachineType]) -> None:
-        self._market.types = {kind.name: kind for kind in types}
+        self._instance_offers.types = {kind.name: kind for kind in types}
 
     def set_counts(self, counts: list[Counts], all_started: list[str]) -> None:
         self._counts = {entry.job_id: entry for entry in counts}
-        self._all_started, self._counted = frozenset(all_started), steady()
+        self._all_started, self._counted = frozenset(all_started), monotonic()
 
     @property
     def counts(self) -> list[Counts]:
@@ -158,7 +158,7 @@
     def all_started(self) -> frozenset[str]:
         """Jobs of which each task that is not done runs, by a leader's last word if that is not
         old: nothing of them can start, unless it was lost since."""
-        if self._counted is None or steady() - self._counted > COUNTS_TIME:
+        if self._counted is None or monotonic() - self._counted > COUNTS_TIME:
             return frozenset()
         return self._all_started
 
@@ -176,23 +176,23 @@
     async def submit(self, body: bytes) -> Answer:
         try:
             spec = parse(body)
-        except Malformed as problem:
+        except MalformedJobError as problem:
             return await self._unless_known(job_id_of(body), error(400, str(problem)))
-        if not self._market.types:
+        if not self._instance_offers.types:
             return await self._unless_known(
                 spec.job_id, error(503, "the machine types are not known yet", RETRY)
             )
         try:
-            check_possible(spec, self._teams, self._market)
-        except Impossible as problem:
+            check_possible(spec, self._teams, self._instance_offers)
+        except UnschedulableJobError as problem:
             return await self._unless_known(spec.job_id, error(422, str(problem)))
         cancelled = False
         if spec.prerequisites:
             try:
-                cancelled = await within(SUBMIT_TIME, self._check_named(spec))
-            except Impossible as problem:
+                cancelled = await with_timeout(SUBMIT_TIME, self._check_named(spec))
+            except UnschedulableJobError as problem:
                 return await self._unless_known(spec.job_id, error(422, str(problem)))
-            except (StateError, TimeoutError) as problem:
+            except (StateServiceError, TimeoutError) as problem:
                 log.debug("what %s waits for: %s", spec.job_id, problem)
                 return await self._unless_known(
                     spec.job_id, error(503, "the jobs named can't be looked up now", RETRY)
@@ -204,7 +204,7 @@
             return error(404, "no such job")
         try:
             found = await self._look_up(job_id)
-        except StateError:
+        except StateServiceError:
             return error(503, "the state service does not answer", RETRY)
         return error(404, "no such job") if found is None else answer(200, found)
 
@@ -225,10 +225,10 @@
                     continue
                 try:
                     await self._write_cancel(job_id, item)
-                except Conflict:
+                except ConflictError:
                     continue
                 return answer(200, await self._tell_cancelled(JobAnswer(job_id, Status.CANCELLED)))
-        except StateError as problem:
+        except StateServiceError as problem:
             log.debug("cancelling %s: %s", job_id, problem)
         return error(503, "not recorded yet, ask again", RETRY)
 
@@ -240,7 +240,7 @@
             return otherwise
         try:
             found = await self._look_up(job_id)
-        except StateError:
+        except StateServiceError:
             return error(503, "the state service does not answer", RETRY)
         return otherwise if found is None else answer(200, found)
 
@@ -249,7 +249,7 @@
         job_id = spec.job_id
         if (known := self._final.get(job_id)) is not None:
             return answer(200, known)
-        now = wall().timestamp()
+        now = utc_now().timestamp()
         record = JobRecord(spec, now)
         if not self._state.present.fits(record):
             return await self._too_large(job_id)
@@ -260,7 +260,7 @@
         try:
             try:
                 await self._put_new(job_id, changes)
-            except Refused:
+            except RequestRejectedError:
                 # The service's limits are lower by now than when this controller was started.
                 parts = split(record, self._state.limits)
                 if parts is None:
@@ -271,14 +271,14 @@
                 return answer(201, self._remember(accepted))
             if not self._outdated(job_id, accepted):
                 return answer(201, accepted)
-        except Unavailable:
+        except UnavailableError:
             return error(503, "the state service does not answer", RETRY)
-        except (Conflict, StateError) as problem:
+        except (ConflictError, StateServiceError) as problem:
             # Known already, or perhaps just accepted by a transaction whose answer was lost.
             log.debug("accepting %s: %s", job_id, problem)
         try:
             found = await self._look_up(job_id)
-        except StateError:
+        except StateServiceError:
             found = None
         if found is None:
             return error(503, "not recorded yet, ask again", RETRY)
@@ -300,8 +300,10 @@
     # -- jobs that wait for others ---------------------------------------------------------
 
     async def _check_named(self, spec: Submission) -> bool:
-        """Whether one of the jobs that a new one names is cancelled; ``Impossible`` if one was
-        never accepted, by reads that begin now, or never ends by itself.
+        """Whether one of the jobs that a new one names is cancelled.
+
+        Raises ``UnschedulableJobError`` if one was never accepted, by reads that begin now, or
+        never ends by itself.
 
         A cancellation that crosses with the submission is found by the leader from the records.
         """
@@ -312,13 +314,15 @@
         for name in names:
             job = found[name]
             if job is None:
-                raise Impossible(f"{name}, which it waits for, was never accepted")
+                raise UnschedulableJobError(f"{name}, which it waits for, was never accepted")
             if job.service:
-                raise Impossible(f"{name}, which it waits for, is a service and never done")
+                raise UnschedulableJobError(
+                    f"{name}, which it waits for, is a service and never done"
+                )
             _keep(self._accepted, name, None)
         if any(job is not None and job.end is Status.CANCELLED for job in found.values()):
             return True
-        return await self._needs_cancelled(found, steady())
+        return await self._needs_cancelled(found, monotonic())
 
     async def _needs_cancelled(self, found: dict[str, _Found | None], asked: timedelta) -> bool:
         """Whether a job further up is cancelled.
@@ -337,7 +341,7 @@
             above = {name for job in front.values() if job is not None for name in job.needs}
             names = sorted(above - seen.keys())
             if len(seen) + len(names) > MOST_FOUND:
-                raise StateError("too many jobs further up")
+                raise StateServiceError("too many jobs further up")
             front = await self._find_all(names, damaged=True)
             seen |= front
         return False
@@ -346,7 +350,7 @@
         """Jobs by reads that begin now, several at once.  ``damaged``: those that can't be read
         count as unknown.  Else no question about a job after them would ever be answered."""
         found: dict[str, _Found | None] = {}
-        problems: list[StateError] = []
+        problems: list[StateServiceError] = []
         waiting = list(names)
 
         async def look() -> None:
@@ -354,11 +358,11 @@
                 name = waiting.pop()
                 try:
                     found[name] = await self._find(name)
-                except Unreadable as problem:
+                except UnreadableRecordError as problem:
                     found[name] = None
                     if not damaged:
                         problems.append(problem)
-                except StateError as problem:
+                except StateServiceError as problem:
                     problems.append(problem)
 
         async with curio.TaskGroup() as group:
@@ -369,7 +373,7 @@
         return found
 
     async def _find(self, job_id: str) -> _Found | None:
-        """Raises ``StateError``, and ``Unreadable`` where that will not change."""
+        """Raises ``StateServiceError``; ``UnreadableRecordError`` where that will not change."""
         if (known := self._final.get(job_id)) is None:
             item = await self._state.get(JOBS + job_id)
             if item is not None:
@@ -379,17 +383,17 @@
 
     async def _alive(self, item: Item) -> _Found:
         try:
-            spec = (await read_whole(self._state, item, Urgency.USER)).submission
-        except BadMessage as problem:
-            raise Unreadable(f"unreadable record {item.key}: {problem}") from None
+            spec = (await read_job_record(self._state, item, Urgency.USER)).submission
+        except MessageFormatError as problem:
+            raise UnreadableRecordError(f"unreadable record {item.key}: {problem}") from None
         return _Found(None, spec.shape is Shape.SERVICE, tuple(spec.prerequisites or ()))
 
     async def _write_cancel(self, job_id: str, item: Item) -> None:
         try:
-            spec = (await read_whole(self._state, item, Urgency.USER)).submission
-            end = EndRecord.of(Status.CANCELLED, spec, wall().timestamp())
-        except BadMessage:
-            end = EndRecord(Status.CANCELLED, 0, wall().timestamp())
+            spec = (await read_job_record(self._state, item, Urgency.USER)).submission
+            end = EndRecord.of(Status.CANCELLED, spec, utc_now().timestamp())
+        except MessageFormatError:
+            end = EndRecord(Status.CANCELLED, 0, utc_now().timestamp())
         await self._state.commit(
             [Condition(item.key, item.version), Condition(ENDS + job_id, 0)],
             [Put(ENDS + job_id, end), Drop(item.key)],
@@ -418,15 +422,15 @@
         other."""
         if (known := self._final.get(job_id)) is not None:
             return known
-        asked = steady()
+        asked = monotonic()
         if (version := self._alone.get(job_id)) is not None:
-            if await self._unchanged.holds(JOBS + job_id, version):
+            if await self._version_checks.holds(JOBS + job_id, version):
                 return self._going_on(job_id)
             self._alone.pop(job_id, None)
         item = await self._state.get(JOBS + job_id)
         if item is None:
             return await self._ended(job_id)
-        if waits_for_others(item.value):
+        if has_dependencies(item.value):
             if await self._orphan(job_id, item, asked):
                 # As long as it waited nothing of it could start.
                 return await self._ended(job_id, settled=True)
@@ -448,7 +452,7 @@
             return False
         try:
             job = await self._alive(item)
-        except Unreadable as problem:
+        except UnreadableRecordError as problem:
             # Guards ``forgotten``: it is known, and whoever leads can't run it either.  With an
             # error here no question about it would ever be answered.
             log.error("%s", problem)
@@ -457,7 +461,7 @@
             return False
         try:
             await self._write_cancel(job_id, item)
-        except Conflict:
+        except ConflictError:
             log.debug("%s has ended meanwhile", job_id)
         return True
 
@@ -478,25 +482,25 @@
         the job starts after that: a leader has seen that none can any more, or every task has been
         gone for certain, as if the user had been told when enough had heard of it."""
         job_id = found.job_id
-        spread = await self._spread(job_id)
+        spread = await self._spread_cancellation(job_id)
         if not spread.enough:
             log.info("%s is cancelled, not confirmed: too few controllers know", job_id)
-            raise StateError("recorded, but too few controllers know of it")
-        now = steady()
+            raise StateServiceError("recorded, but too few controllers know of it")
+        now = monotonic()
         if not (settled or spread.settled):
             if job_id not in self._unsettled:
                 self.last_cancel = now
                 _keep(self._unsettled, job_id, now)
             if now - self._unsettled[job_id] <= self._cancel_time * (1 + 2 * DRIFT):
                 log.info("%s is cancelled, not confirmed: a task may still start", job_id)
-                raise StateError("recorded, but a task of it may still start")
+                raise StateServiceError("recorded, but a task of it may still start")
         self._unsettled.pop(job_id, None)
         log.debug("%s is told to be cancelled", found.job_id)
         return self._remember(found)
 
     def _remember(self, final: JobAnswer) -> JobAnswer:
         if final.status is Status.CANCELLED:
-            self.last_cancel = steady()
+            self.last_cancel = monotonic()
         _keep(self._final, final.job_id, final)
         self._over.pop(final.job_id, None)
         return final
--- a/micadeal/controller/helpers.py
+++ b/micadeal/controller/background_tasks.py
@@ -11,14 +11,14 @@
 
 from micadeal.clock import seconds
 from micadeal.fleet.cloud import CloudError
-from micadeal.waiting import sleep
+from micadeal.timeouts import sleep
 
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
 
 
-class Helpers:
+class BackgroundTasks:
     """A failure of one is logged and stops neither the others nor their actor."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
             await task.cancel(blocking=False)
 
 
-async def keep_reading(
+async def poll_forever(
     what: str,
     read: Callable[[], Awaitable[T]],
     told: Callable[[T], Awaitable[None]],
--- a/micadeal/controller/node.py
+++ b/micadeal/controller/controller.py
@@ -9,53 +9,68 @@
 
 import curio
 
-from micadeal.actor import Overloaded, keep_running
-from micadeal.clock import ZERO, seconds, steady, wall
-from micadeal.controller.desk import Desk, Spread
-from micadeal.controller.dispatcher import Dispatcher
-from micadeal.controller.helpers import keep_reading
-from micadeal.controller.levels import Levels
-from micadeal.controller.mesh import Mesh
+from micadeal.actor import MailboxFullError, keep_running
+from micadeal.clock import ZERO, monotonic, seconds, utc_now
+from micadeal.controller.api.jobs import CancellationSpread, JobApi
+from micadeal.controller.background_tasks import poll_forever
+from micadeal.controller.feature_levels import FeatureLevels
+from micadeal.controller.follower_leases import STATE_CONTACT_TIMEOUT, FollowerLeases
+from micadeal.controller.leader import Leader
 from micadeal.controller.messages import (
-    CancelNotice,
-    Extended,
-    LeftWanted,
-    OverviewWanted,
-    PeerNews,
-    ProgressWanted,
-    Reply,
-    ReportIn,
-    Retire,
-    StartsWanted,
-    WhyWanted,
+    GetExplanation,
+    GetOverview,
+    GetProgress,
+    HasRemainingTasks,
+    HeartbeatReceived,
+    HeartbeatReply,
+    JobCancelled,
+    LeaderLeaseExtended,
+    MayTasksStart,
+    PeerStatus,
+    PrepareShutdown,
 )
-from micadeal.controller.standing import TOUCH, Standing
+from micadeal.controller.peer_links import PeerLinks
 from micadeal.fleet.cloud import Cloud
-from micadeal.fleet.gate import Gate, Way
+from micadeal.fleet.heartbeat_routing import HeartbeatRoute, HeartbeatRouter
 from micadeal.http.message import Answer, HttpError, Request, answer, error
 from micadeal.http.network import Network, TcpNetwork
 from micadeal.leadership.election import (
-    Deposed,
     Elected,
     Election,
-    LeaderSeen,
-    Renewed,
-    SeatSeen,
+    LeaderLeaseRenewed,
+    LeaderLockRead,
+    LeaderObserved,
+    LeadershipLost,
 )
-from micadeal.leadership.standin import Timing
+from micadeal.leadership.follower_leases import RenewalTiming
 from micadeal.operator.options import Options
 from micadeal.operator.platform import Platform
 from micadeal.operator.script import check_highest_level, policy_from_values
-from micadeal.rollout.levels import Build, Level
-from micadeal.scheduling.cluster import lease_over
-from micadeal.state.service import Conflict, Refused, StateError, StateService, Urgency
-from micadeal.stored.keys import SETTINGS
-from micadeal.waiting import sleep
+from micadeal.rollout.feature_level import Build, FeatureLevel
+from micadeal.scheduling.cluster_state import lease_expiry
+from micadeal.schema.keys import SETTINGS
+from micadeal.state.service import (
+    ConflictError,
+    RequestRejectedError,
+    StateService,
+    StateServiceError,
+    Urgency,
+)
+from micadeal.timeouts import sleep
 from micadeal.wire.cloud import MachineType
-from micadeal.wire.codec import BadMessage, convert, decode
-from micadeal.wire.mesh import Counts, Notice, Overview, Ping, Pong, Relay, Relayed, WhyAnswer
+from micadeal.wire.codec import MessageFormatError, convert, decode
+from micadeal.wire.peers import (
+    CancellationNotice,
+    Counts,
+    Overview,
+    Ping,
+    Pong,
+    Relay,
+    Relayed,
+    WhyAnswer,
+)
 from micadeal.wire.state import Condition, Put, SettingsRecord
-from micadeal.wire.workers import Orders, Redirect, Report
+from micadeal.wire.workers import Heartbeat, HeartbeatResponse, Redirect
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +104,7 @@
 MOST_HELD = 1000
 
 
-class Node:
+class Controller:
     def __init__(
         self,
         platform: Platform,
@@ -105,32 +120,36 @@
         )
         self._cloud = Cloud(platform.cloud_address, platform.cloud_rps, self._network)
         self._timing = _timing(platform, options or Options())
-        self._standing: Standing | None = None
+        self._follower_leases: FollowerLeases | None = None
         if self._timing is not None:
             peers = [peer.name for peer in platform.peers]
-            self._standing = Standing(peers, self._timing, steady())
-        now = steady()
-        self._levels = Levels(platform.name, [peer.name for peer in platform.peers], now, build)
-        self._mesh = Mesh(
+            self._follower_leases = FollowerLeases(peers, self._timing, monotonic())
+        now = monotonic()
+        self._feature_levels = FeatureLevels(
+            platform.name, [peer.name for peer in platform.peers], now, build
+        )
+        self._peer_links = PeerLinks(
             platform.name,
             platform.peers,
             self._network,
-            self._standing,
-            self._levels,
-            self._in_touch,
+            self._follower_leases,
+            self._feature_levels,
+            self._state_reachable,
             self._reading,
         )
-        self._desk = Desk(self._state, platform.teams, self._spread, platform.workers.cancel)
-        self._gate = Gate()
+        self._job_api = JobApi(
+            self._state, platform.teams, self._spread_cancellation, platform.workers.cancel_timeout
+        )
+        self._heartbeat_router = HeartbeatRouter()
         self._election = Election(
             platform.name,
-            self._levels.process,
-            wall().timestamp(),
+            self._feature_levels.process,
+            utc_now().timestamp(),
             self._state,
             self._on_election,
-            lambda: self._levels.deference(steady()),
+            lambda: self._feature_levels.election_delay(monotonic()),
         )
-        self._dispatcher: Dispatcher | None = None
+        self._leader_actor: Leader | None = None
         self._term_task: Any = None
         self._leader: str | None = None
         self._peer_names = {peer.name for peer in platform.peers}
@@ -169,67 +188,67 @@
         """Take no more work, write what is under way and leave the seat to the next leader."""
         log.info("this process ends")
         self._retiring = True
-        until = steady() + END_TIME
-        while self._dispatcher is not None and steady() < until:
+        until = monotonic() + END_TIME
+        while self._leader_actor is not None and monotonic() < until:
             try:
-                if await self._dispatcher.ask(Retire(), ASK_TIME):
+                if await self._leader_actor.ask(PrepareShutdown(), ASK_TIME):
                     break
-            except (Overloaded, TimeoutError):
+            except (MailboxFullError, TimeoutError):
                 pass
             await sleep(END_LOOK)
         self._election.retire()
-        while self._dispatcher is not None and steady() < until + END_TIME:
+        while self._leader_actor is not None and monotonic() < until + END_TIME:
             await sleep(END_LOOK)
 
     async def _run_mesh(self) -> None:
-        await self._mesh.run(self._on_pong)
+        await self._peer_links.run(self._on_pong)
 
     async def _catalog(self) -> None:
         """Followers need the machine types to judge submissions; they change rarely."""
 
         async def told(types: list[MachineType]) -> None:
-            self._desk.set_catalog(types)
+            self._job_api.set_catalog(types)
 
-        await keep_reading("catalog", self._cloud.catalog, told, CATALOG_EVERY)
+        await poll_forever("catalog", self._cloud.catalog, told, CATALOG_EVERY)
 
     # -- election --------------------------------------------------------------------------
 
     async def _on_election(
-        self, event: Elected | Renewed | Deposed | LeaderSeen | SeatSeen
+        self, event: Elected | LeaderLeaseRenewed | LeadershipLost | LeaderObserved | LeaderLockRead
     ) -> None:
         match event:
-            case SeatSeen(seat):
-                self._levels.seen(seat)
-            case Elected(term, seat):
-                self._levels.seen(seat)
+            case LeaderLockRead(leader_lock):
+                self._feature_levels.seen(leader_lock)
+            case Elected(term, leader_lock):
+                self._feature_levels.seen(leader_lock)
                 self._set_leader(self._platform.name)
-                self._dispatcher = Dispatcher(
+                self._leader_actor = Leader(
                     self._platform,
                     self._state,
                     self._cloud,
                     term,
-                    self._desk.types,
+                    self._job_api.types,
                     self._election.resign,
                     self._network,
-                    self._levels,
+                    self._feature_levels,
                     self._timing,
-                    () if self._standing is None else self._standing.told(),
-                    self._desk.over,
-                    self._desk.all_started(),
+                    () if self._follower_leases is None else self._follower_leases.told(),
+                    self._job_api.over,
+                    self._job_api.all_started(),
                 )
-                self._mesh.leading_token = term.token
-                self._term_task = await curio.spawn(self._dispatcher.run, daemon=True)
-            case Renewed(_, valid_until):
-                await self._tell(Extended(valid_until))
-            case Deposed():
-                self._dispatcher = None
+                self._peer_links.leading_token = term.token
+                self._term_task = await curio.spawn(self._leader_actor.run, daemon=True)
+            case LeaderLeaseRenewed(_, valid_until):
+                await self._tell(LeaderLeaseExtended(valid_until))
+            case LeadershipLost():
+                self._leader_actor = None
                 # The next term begins with reading all that is recorded.
                 self._to_pass_on.clear()
-                self._mesh.leading_token = 0
+                self._peer_links.leading_token = 0
                 self._set_leader(None)
                 if self._term_task is not None:
                     await self._term_task.cancel(blocking=False)
-            case LeaderSeen(controller, token):
+            case LeaderObserved(controller, token):
                 if token >= self._leader_token:
                     self._set_leader(controller)
                     self._leader_token = token
@@ -245,8 +264,8 @@
         """
         if token < self._leader_token or name not in self._peer_names:
             return
-        if self._dispatcher is not None:
-            if token > self._dispatcher.token:
+        if self._leader_actor is not None:
+            if token > self._leader_actor.token:
                 self._election.resign(f"{name} leads the later term {token}")
             return
         self._leader_token = token
@@ -256,14 +275,14 @@
         if name != self._leader:
             log.info("leader: %s", name)
         self._leader = name
-        self._mesh.leader = name
+        self._peer_links.leader = name
 
     async def _tell(self, message: Any) -> bool:
         """Whether the leader's actor will get it, if there is one."""
-        if self._dispatcher is not None:
+        if self._leader_actor is not None:
             try:
-                await self._dispatcher.tell(message)
-            except Overloaded:
+                await self._leader_actor.tell(message)
+            except MailboxFullError:
                 log.warning("the leader's mailbox is full")
                 return False
         return True
@@ -278,90 +297,92 @@
         while self._to_pass_on:
             # Taken off first: others may pass on meanwhile.
             job_id = self._to_pass_on.pop(0)
-            if not await self._tell(CancelNotice(job_id)):
+            if not await self._tell(JobCancelled(job_id)):
                 self._to_pass_on.insert(0, job_id)
                 return False
         return True
 
     async def _on_pong(self, name: str, pong: Pong, cancelled: list[str]) -> None:
         for job_id in cancelled:
-            self._desk.over(job_id)
+            self._job_api.over(job_id)
         # The term may end while an answer is waited for.
-        dispatcher = self._dispatcher
-        if dispatcher is not None:
+        leader_actor = self._leader_actor
+        if leader_actor is not None:
             if await self._pass_on(cancelled):
                 # Only now: it may say that every cancellation is known.
                 await self._tell(self._peer_news())
-            progress = await dispatcher.ask(ProgressWanted(), ASK_TIME)
-            if not dispatcher.reading:
-                self._desk.set_counts(progress.counts, progress.all_started)
-            self._desk.set_cascaded(progress.cascaded)
+            progress = await leader_actor.ask(GetProgress(), ASK_TIME)
+            if not leader_actor.reading:
+                self._job_api.set_counts(progress.counts, progress.all_started)
+            self._job_api.set_cascaded(progress.cascaded)
         elif pong.leading and name == self._leader:
-            self._desk.set_counts(pong.counts, pong.all_started)
-            self._desk.set_cascaded(self._mesh.cascaded(name))
-
-    def _peer_news(self) -> PeerNews:
-        if self._standing is None:
-            return PeerNews(self._mesh.contacts())
-        return PeerNews(
-            self._mesh.contacts(),
-            self._standing.views(),
-            self._standing.all_cancellations_by(steady()),
+            self._job_api.set_counts(pong.counts, pong.all_started)
+            self._job_api.set_cascaded(self._peer_links.cascaded(name))
+
+    def _peer_news(self) -> PeerStatus:
+        if self._follower_leases is None:
+            return PeerStatus(self._peer_links.contacts())
+        return PeerStatus(
+            self._peer_links.contacts(),
+            self._follower_leases.views(),
+            self._follower_leases.cancellations_known_until(monotonic()),
         )
 
     def _reading(self) -> bool:
         """Whether we lead and have not read the records yet."""
-        return self._dispatcher is not None and self._dispatcher.reading
+        return self._leader_actor is not None and self._leader_actor.reading
 
-    def _in_touch(self) -> bool:
-        contact = self._state.answered
-        return contact is not None and steady() - contact < TOUCH
+    def _state_reachable(self) -> bool:
+        reachability = self._state.answered
+        return reachability is not None and monotonic() - reachability < STATE_CONTACT_TIMEOUT
 
-    async def _spread(self, job_id: str) -> Spread:
+    async def _spread_cancellation(self, job_id: str) -> CancellationSpread:
         """Make a cancellation known to the leader and to the others."""
         needed = 0
-        if self._standing is not None and self._timing is not None:
-            self._standing.note(job_id, steady())
+        if self._follower_leases is not None and self._timing is not None:
+            self._follower_leases.note(job_id, monotonic())
             needed = self._timing.majority - 1
-        dispatcher = self._dispatcher
-        if dispatcher is not None:
+        leader_actor = self._leader_actor
+        if leader_actor is not None:
             await self._pass_on([job_id])
-        listed = await self._mesh.notify_cancel(job_id, needed)
+        listed = await self._peer_links.notify_cancel(job_id, needed)
         if len(listed) >= needed:
-            if self._dispatcher is not None:
+            if self._leader_actor is not None:
                 starts = await self._may_start(job_id)
             elif self._leader in listed:
                 starts = listed[self._leader]
             else:
-                starts = job_id not in self._desk.all_started()
-            return Spread(True, not starts and not any(listed.values()))
+                starts = job_id not in self._job_api.all_started()
+            return CancellationSpread(True, not starts and not any(listed.values()))
         # Alone, a leader may say so once nothing of the job is left that anybody could keep alive.
         try:
-            left = dispatcher is None or await dispatcher.ask(LeftWanted(job_id), ASK_TIME)
-        except (Overloaded, TimeoutError):
+            left = leader_actor is None or await leader_actor.ask(
+                HasRemainingTasks(job_id), ASK_TIME
+            )
+        except (MailboxFullError, TimeoutError):
             left = True
-        return Spread(not left, not left)
+        return CancellationSpread(not left, not left)
 
     async def _may_start(self, job_id: str) -> bool:
         """As leader: whether a task of a job that is cancelled may still start.  Waits a little for
         its stops to be heard of."""
         waits = self._settling < MOST_SETTLING
-        until = steady() + START_TIME
+        until = monotonic() + START_TIME
         self._settling += waits
         try:
-            while (dispatcher := self._dispatcher) is not None:
-                if dispatcher.reading:
-                    return job_id not in self._desk.all_started()
-                rest = until - steady()
+            while (leader_actor := self._leader_actor) is not None:
+                if leader_actor.reading:
+                    return job_id not in self._job_api.all_started()
+                rest = until - monotonic()
                 if rest <= ZERO:
                     return True
-                if not await dispatcher.ask(StartsWanted(job_id), rest):
+                if not await leader_actor.ask(MayTasksStart(job_id), rest):
                     return False
                 if not waits:
                     return True
                 await sleep(START_LOOK)
             return True
-        except (Overloaded, TimeoutError):
+        except (MailboxFullError, TimeoutError):
             return True
         finally:
             self._settling -= waits
@@ -371,7 +392,7 @@
     async def _serve_api(self, request: Request) -> Answer:
         path = request.path
         if path == "/checkin":
-            return await _only("POST", request, self._checkin)
+            return await _only("POST", request, self._on_checkin)
         if path == "/work":
             return await _only("POST", request, self._submit)
         if path == "/ready":
@@ -392,17 +413,17 @@
         return error(404, "no such path")
 
     async def _submit(self, request: Request) -> Answer:
-        return self._misfit() or await self._desk.submit(request.body)
+        return self._misfit() or await self._job_api.submit(request.body)
 
     async def _status(self, request: Request) -> Answer:
-        return self._misfit() or await self._desk.status(request.path.split("/")[2])
+        return self._misfit() or await self._job_api.status(request.path.split("/")[2])
 
     async def _cancel(self, request: Request) -> Answer:
-        return self._misfit() or await self._desk.cancel(request.path.split("/")[2])
+        return self._misfit() or await self._job_api.cancel(request.path.split("/")[2])
 
     def _misfit(self) -> Answer | None:
         """Refuses users where we can't read, or must not write, what is stored."""
-        why = "this process ends" if self._retiring else self._levels.refusal
+        why = "this process ends" if self._retiring else self._feature_levels.refusal
         return None if why is None else error(503, why, RETRY)
 
     async def _ready(self, _: Request) -> Answer:
@@ -410,37 +431,37 @@
 
         In an outage that all share, dropping out would only add the balancer's pause.
         """
-        if not self._desk.types:
+        if not self._job_api.types:
             return error(503, "the machine types are not known yet")
-        if self._retiring or self._levels.misfit is not None:
-            return error(503, self._levels.misfit or "this process ends")
-        contact = self._state.answered
-        now = steady()
-        if contact is not None and now - contact < CONTACT_TIME:
+        if self._retiring or self._feature_levels.misfit is not None:
+            return error(503, self._feature_levels.misfit or "this process ends")
+        reachability = self._state.answered
+        now = monotonic()
+        if reachability is not None and now - reachability < CONTACT_TIME:
             return answer(200, {"ready": True})
-        elsewhere = self._mesh.latest_state_contact()
+        elsewhere = self._peer_links.latest_state_contact()
         if elsewhere is not None and now - elsewhere < PEER_CONTACT_TIME:
             return error(503, "no touch with the state service")
-        if self._platform.peers and not self._mesh.reaches():
+        if self._platform.peers and not self._peer_links.reaches():
             # Cut off from both, we can't serve anybody, and others may: only an outage that
             # somebody confirms is one that all share.
             return error(503, "no touch with the state service and the other controllers")
         return answer(200, {"ready": True})
 
-    async def _checkin(self, request: Request) -> Answer:
+    async def _on_checkin(self, request: Request) -> Answer:
         try:
-            report = decode(Report, request.body)
-        except BadMessage as problem:
+            heartbeat = decode(Heartbeat, request.body)
+        except MessageFormatError as problem:
             return error(400, str(problem))
         tried = self._leader
-        answered = await self._answer_report(report)
-        if answered.status != 503 or not self._in_touch():
+        answered = await self._answer_heartbeat(heartbeat)
+        if answered.status != 503 or not self._state_reachable():
             return answered
-        if self._dispatcher is not None and not self._reading():
+        if self._leader_actor is not None and not self._reading():
             return answered
-        return await self._hold(report, tried, answered)
+        return await self._hold(heartbeat, tried, answered)
 
-    async def _hold(self, report: Report, tried: str | None, refused: Answer) -> Answer:
+    async def _hold(self, heartbeat: Heartbeat, tried: str | None, refused: Answer) -> Answer:
         """Keep a report that nobody can answer until another leader is known, or we have read the
         records as one, for a short time.
 
@@ -451,76 +472,78 @@
         """
         if self._held >= MOST_HELD:
             return refused
-        until = steady() + min(HOLD_TIME, self._platform.workers.lease * HOLD_SHARE)
+        until = monotonic() + min(HOLD_TIME, self._platform.workers.lease * HOLD_SHARE)
         self._held += 1
         try:
-            while steady() < until:
+            while monotonic() < until:
                 await sleep(HOLD_LOOK)
                 if self._reading():
                     continue
-                if self._dispatcher is not None:
-                    return await self._answer_report(report)
+                if self._leader_actor is not None:
+                    return await self._answer_heartbeat(heartbeat)
                 if self._leader not in (None, tried):
-                    return await self._answer_report(report)
-                orders = self._stand_in(report)
-                if orders is not None:
-                    return answer(200, orders)
+                    return await self._answer_heartbeat(heartbeat)
+                commands = self._renew_as_follower(heartbeat)
+                if commands is not None:
+                    return answer(200, commands)
         finally:
             self._held -= 1
         return refused
 
-    def _stand_in(self, report: Report) -> Orders | None:
-        if self._standing is None or self._dispatcher is not None:
+    def _renew_as_follower(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
+        if self._follower_leases is None or self._leader_actor is not None:
             return None
-        if self._levels.acts_at < Level.FENCED:
+        if self._feature_levels.acts_at < FeatureLevel.FENCED:
             # Not all may know of it yet, or some may be about to forget.
             return None
-        return self._standing.answer(report, self._in_touch(), steady())
-
-    async def _answer_report(self, report: Report) -> Answer:
-        orders = self._stand_in(report)
-        if orders is not None:
-            return answer(200, orders)
-        now = steady()
-        knows = 0 < report.token == self._leader_token
-        leading = self._dispatcher is not None
-        way = self._gate.way(report.machine, leading, self._leader, now, knows)
-        if way is Way.HERE:
-            reply = await self._take_report(report)
+        return self._follower_leases.answer(heartbeat, self._state_reachable(), monotonic())
+
+    async def _answer_heartbeat(self, heartbeat: Heartbeat) -> Answer:
+        commands = self._renew_as_follower(heartbeat)
+        if commands is not None:
+            return answer(200, commands)
+        now = monotonic()
+        knows = 0 < heartbeat.token == self._leader_token
+        leading = self._leader_actor is not None
+        way = self._heartbeat_router.way(heartbeat.machine, leading, self._leader, now, knows)
+        if way is HeartbeatRoute.HERE:
+            reply = await self._submit_heartbeat(heartbeat)
             if reply.status == 503 and self._leader not in (None, self._platform.name):
                 return answer(421, Redirect(self._leader))
             return answer(reply.status, reply.body)
-        if way is Way.REDIRECT and self._leader != self._platform.name:
+        if way is HeartbeatRoute.REDIRECT and self._leader != self._platform.name:
             return answer(421, Redirect(self._leader))
-        if way is Way.RELAY and self._leader not in (None, self._platform.name):
+        if way is HeartbeatRoute.RELAY and self._leader not in (None, self._platform.name):
             try:
-                relayed = await self._mesh.relay(report, self._leader or "")
+                relayed = await self._peer_links.relay(heartbeat, self._leader or "")
             except HttpError as problem:
-                log.debug("relaying for %s: %s", report.machine, problem)
-                self._gate.relay_failed(report.machine)
+                log.debug("relaying for %s: %s", heartbeat.machine, problem)
+                self._heartbeat_router.relay_failed(heartbeat.machine)
                 return error(503, "the leader can't be reached")
             if relayed.status == 200:
-                self._gate.relayed(report.machine, steady())
+                self._heartbeat_router.relayed(heartbeat.machine, monotonic())
             return answer(relayed.status, relayed.body)
         return error(503, "no leader")
 
-    async def _take_report(self, report: Report) -> Reply:
-        dispatcher = self._dispatcher
-        if dispatcher is None:
-            return Reply(503)
+    async def _submit_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatReply:
+        leader_actor = self._leader_actor
+        if leader_actor is None:
+            return HeartbeatReply(503)
         try:
-            reply = await dispatcher.ask(ReportIn(report), REPORT_TIME)
-        except (Overloaded, TimeoutError):
-            return Reply(503)
-        assert isinstance(reply, Reply)
+            reply = await leader_actor.ask(HeartbeatReceived(heartbeat), REPORT_TIME)
+        except (MailboxFullError, TimeoutError):
+            return HeartbeatReply(503)
+        assert isinstance(reply, HeartbeatReply)
         # The term may have ended while the report waited.
-        return reply if self._dispatcher is dispatcher else Reply(503)
+        return reply if self._leader_actor is leader_actor else HeartbeatReply(503)
 
     # -- operators -------------------------------------------------------------------------
 
     async def _why(self, request: Request) -> Answer:
         job_id = request.path.split("/")[2]
-        found = await self._ask_leader(WhyWanted(job_id), "/why", Notice(job_id), WhyAnswer | None)
+        found = await self._ask_leader(
+            GetExplanation(job_id), "/why", CancellationNotice(job_id), WhyAnswer | None
+        )
         if isinstance(found, Answer):
             return found
         return (
@@ -530,13 +553,13 @@
         )
 
     async def _overview(self, _: Request) -> Answer:
-        found = await self._ask_leader(OverviewWanted(), "/overview", None, Overview)
+        found = await self._ask_leader(GetOverview(), "/overview", None, Overview)
         return found if isinstance(found, Answer) else answer(200, found)
 
     async def _show_settings(self) -> Answer:
         try:
             item = await self._state.get(SETTINGS)
-        except StateError:
+        except StateServiceError:
             return error(503, "the state service does not answer", RETRY)
         if item is None:
             return answer(200, SettingsRecord(""))
@@ -550,7 +573,7 @@
             check_highest_level(sent.highest_level)
         except ValueError as problem:
             return error(400, str(problem))
-        record = SettingsRecord(sent.script, wall().timestamp(), sent.values, sent.highest_level)
+        record = SettingsRecord(sent.script, utc_now().timestamp(), sent.values, sent.highest_level)
         if not self._state.present.fits(record):
             return error(400, "the script is too large for the state service")
         try:
@@ -559,23 +582,23 @@
             item = await self._state.get(SETTINGS)
             known = Condition(SETTINGS, 0 if item is None else item.version)
             await self._state.commit([known], [Put(SETTINGS, record)], Urgency.USER)
-        except Conflict:
+        except ConflictError:
             return error(409, "the settings were changed meanwhile: look at them and apply again")
-        except Refused:
+        except RequestRejectedError:
             # Its limits are lower by now than they were when this controller was started.
             return error(400, "the script is too large for the state service")
-        except StateError:
+        except StateServiceError:
             return error(503, "the state service does not answer", RETRY)
         return answer(200, record)
 
     async def _ask_leader(self, message: Any, path: str, wire: Any, kind: Any) -> Any:
         try:
-            if self._dispatcher is not None:
-                return await self._dispatcher.ask(message, ASK_TIME)
+            if self._leader_actor is not None:
+                return await self._leader_actor.ask(message, ASK_TIME)
             if self._leader is None:
                 return error(503, "no leader at the moment", RETRY)
-            return await self._mesh.send(self._leader, path, wire, kind, ASK_TIME)
-        except (HttpError, TimeoutError, Overloaded):
+            return await self._peer_links.send(self._leader, path, wire, kind, ASK_TIME)
+        except (HttpError, TimeoutError, MailboxFullError):
             return error(503, f"the leader {self._leader} does not answer", RETRY)
 
     # -- controllers -----------------------------------------------------------------------
@@ -593,89 +616,91 @@
             return error(404, "no such path")
         try:
             return await _only("POST", request, handler)
-        except BadMessage as problem:
+        except MessageFormatError as problem:
             log.warning("a message of a controller to %s is refused: %s", request.path, problem)
             return error(400, str(problem))
-        except (Overloaded, TimeoutError) as problem:
+        except (MailboxFullError, TimeoutError) as problem:
             return error(503, str(problem) or type(problem).__name__)
 
     async def _on_ping(self, request: Request) -> Answer:
         ping = decode(Ping, request.body)
-        self._levels.told(ping.leading_token, ping.process)
+        self._feature_levels.told(ping.leading_token, ping.process)
         if ping.leading_token > 0 and not ping.reading:
             self._hear_leader(ping.controller, ping.leading_token)
         counts: list[Counts] = []
         all_started: list[str] = []
         cascade_age = None
-        if ping.wants_counts and self._dispatcher is not None:
-            progress = await self._dispatcher.ask(ProgressWanted(), timedelta(milliseconds=500))
+        if ping.wants_counts and self._leader_actor is not None:
+            progress = await self._leader_actor.ask(GetProgress(), timedelta(milliseconds=500))
             # Before the records have come: as the leader before told them.
-            if self._dispatcher.reading:
-                counts, all_started = self._desk.counts, list(self._desk.all_started())
+            if self._leader_actor.reading:
+                counts, all_started = self._job_api.counts, list(self._job_api.all_started())
             else:
                 counts, all_started = progress.counts, progress.all_started
             if progress.cascaded is not None:
-                cascade_age = (steady() - progress.cascaded).total_seconds() * 1000
+                cascade_age = (monotonic() - progress.cascaded).total_seconds() * 1000
         word = None
-        if self._standing is not None:
-            leading = self._dispatcher is not None
-            word = self._standing.word(ping, leading, self._in_touch(), steady())
-        contact = self._state.answered
-        age = None if contact is None else (steady() - contact).total_seconds() * 1000
+        if self._follower_leases is not None:
+            leading = self._leader_actor is not None
+            word = self._follower_leases.word(ping, leading, self._state_reachable(), monotonic())
+        reachability = self._state.answered
+        age = None if reachability is None else (monotonic() - reachability).total_seconds() * 1000
         return answer(
             200,
             Pong(
                 self._platform.name,
                 age,
-                self._dispatcher is not None,
-                (steady() - self._desk.last_cancel).total_seconds() * 1000,
+                self._leader_actor is not None,
+                (monotonic() - self._job_api.last_cancel).total_seconds() * 1000,
                 self._leader,
                 counts,
-                self._mesh.reaches(),
+                self._peer_links.reaches(),
                 cascade_age,
                 word,
-                self._levels.introduction(steady()),
+                self._feature_levels.introduction(monotonic()),
                 all_started,
             ),
         )
 
     async def _on_relay(self, request: Request) -> Answer:
         relay = decode(Relay, request.body)
-        if self._dispatcher is None and self._leader not in (None, self._platform.name):
+        if self._leader_actor is None and self._leader not in (None, self._platform.name):
             try:
-                return answer(200, await self._mesh.relay(relay.report, self._leader or "", 0))
+                return answer(
+                    200, await self._peer_links.relay(relay.heartbeat, self._leader or "", 0)
+                )
             except HttpError as problem:
                 return error(503, str(problem))
-        reply = await self._take_report(relay.report)
+        reply = await self._submit_heartbeat(relay.heartbeat)
         return answer(200, Relayed(reply.status, reply.body))
 
     async def _on_notice(self, request: Request) -> Answer:
-        job_id = decode(Notice, request.body).job_id
-        if self._standing is not None:
-            self._standing.note(job_id, steady())
-        self._desk.over(job_id)
-        if self._dispatcher is None:
+        job_id = decode(CancellationNotice, request.body).job_id
+        if self._follower_leases is not None:
+            self._follower_leases.note(job_id, monotonic())
+        self._job_api.over(job_id)
+        if self._leader_actor is None:
             return answer(200, True)
         await self._pass_on([job_id])
         return answer(200, not await self._may_start(job_id))
 
     async def _on_why(self, request: Request) -> Answer:
-        if self._dispatcher is None:
+        if self._leader_actor is None:
             return error(503, "not leading")
-        job_id = decode(Notice, request.body).job_id
-        return answer(200, await self._dispatcher.ask(WhyWanted(job_id), ASK_TIME))
+        job_id = decode(CancellationNotice, request.body).job_id
+        return answer(200, await self._leader_actor.ask(GetExplanation(job_id), ASK_TIME))
 
     async def _on_overview(self, _: Request) -> Answer:
-        if self._dispatcher is None:
+        if self._leader_actor is None:
             return error(503, "not leading")
-        return answer(200, await self._dispatcher.ask(OverviewWanted(), ASK_TIME))
+        return answer(200, await self._leader_actor.ask(GetOverview(), ASK_TIME))
 
 
-def _timing(platform: Platform, options: Options) -> Timing | None:
+def _timing(platform: Platform, options: Options) -> RenewalTiming | None:
     """Of standing in for a leader; None if that is switched off, or could not be safe here."""
     workers = platform.workers
-    timing = Timing(lease_over(workers), workers.cancel, 1 + len(platform.peers))
-    return timing if options.stand_in and timing.possible else None
+    timing = RenewalTiming(lease_expiry(workers), workers.cancel_timeout, 1 + len(platform.peers))
+    return timing if options.renew_leases_as_follower and timing.possible else None
 
 
 async def _only(
--- a/micadeal/controller/effort.py
+++ b/micadeal/controller/cpu_metrics.py
@@ -10,7 +10,7 @@
 LINE_EVERY = timedelta(seconds=15)
 
 
-class Effort:
+class CpuMetrics:
     """Sums by part since the last line.  Times are of the steady clock: a part never waits, so
     they are the processor's, and what the machine keeps from us."""
 
--- a/micadeal/controller/levels.py
+++ b/micadeal/controller/feature_levels.py
@@ -1,7 +1,7 @@
 """One controller's part in levels: its own process, what it knows of the others, the level it acts
 by.
 
-No I/O; the decisions are those of ``rollout/``.  Owned by the node, like ``Standing``.
+No I/O; the decisions are those of ``rollout/``.  Owned by the node, like ``FollowerLeases``.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from datetime import timedelta
 
 from micadeal import __version__
-from micadeal.clock import seconds, wall
-from micadeal.controller.standing import TOUCH
-from micadeal.rollout import seat as seats
-from micadeal.rollout.levels import Build, Level
-from micadeal.rollout.membership import Process, Sight, deference, presence
-from micadeal.rollout.seat import Seat
-from micadeal.rollout.steps import Plan, Stock, plan
-from micadeal.stored.keys import LEVEL
-from micadeal.wire import mesh
-from micadeal.wire.codec import BadMessage
+from micadeal.clock import seconds, utc_now
+from micadeal.controller.follower_leases import STATE_CONTACT_TIMEOUT
+from micadeal.rollout import leader_lock as leader_locks
+from micadeal.rollout.feature_level import Build, FeatureLevel
+from micadeal.rollout.leader_lock import LeaderLock
+from micadeal.rollout.membership import PeerObservation, Process, election_delay, presence
+from micadeal.rollout.migration import MigrationBacklog, Plan, plan
+from micadeal.schema.keys import LEVEL
+from micadeal.wire import peers
+from micadeal.wire.codec import MessageFormatError
 from micadeal.wire.state import LevelRecord
 
 log = logging.getLogger(__name__)
 
 
-class Levels:
+class FeatureLevels:
     def __init__(
         self, name: str, peers: Iterable[str], now: timedelta, build: Build | None = None
     ) -> None:
@@ -37,41 +37,41 @@
         self.name = name
         self.process = Process(secrets.token_hex(8), build or Build(__version__))
         self.born = now
-        self._sights = {peer: Sight() for peer in peers}
+        self._observations = {peer: PeerObservation() for peer in peers}
         #: What was read last of all that is recorded; None: nothing yet.
-        self._seat: Seat | None = None
+        self._leader_lock: LeaderLock | None = None
         #: The highest token whose leader has told us its level, and that level.
         self._told: tuple[int, int] | None = None
         self._refused: str | None = None
         self._waits: tuple[str, ...] = ()
 
     @property
-    def sights(self) -> dict[str, Sight]:
-        return dict(self._sights)
+    def observations(self) -> dict[str, PeerObservation]:
+        return dict(self._observations)
 
     @property
     def record(self) -> LevelRecord:
         """The level as last read."""
-        return LevelRecord() if self._seat is None else self._seat.level
+        return LevelRecord() if self._leader_lock is None else self._leader_lock.level
 
     # -- records ---------------------------------------------------------------------------
 
-    def seen(self, seat: Seat) -> None:
+    def seen(self, leader_lock: LeaderLock) -> None:
         """All that is recorded, as just read."""
-        if self._seat is not None and seat.revision < self._seat.revision:
+        if self._leader_lock is not None and leader_lock.revision < self._leader_lock.revision:
             return
-        if LEVEL in seat.damaged and self._seat is not None:
+        if LEVEL in leader_lock.damaged and self._leader_lock is not None:
             # What was read before still holds for whoever leads by it; nobody else will.
-            seat = replace(seat, level=self.record)
-        before, self._seat = self.record, seat
-        if seat.level != before:
+            leader_lock = replace(leader_lock, level=self.record)
+        before, self._leader_lock = self.record, leader_lock
+        if leader_lock.level != before:
             log.info(
                 "level %d is in force, %d is written, nothing is older than %d",
-                seat.level.level,
-                seat.level.writes,
-                seat.level.oldest,
+                leader_lock.level.level,
+                leader_lock.level.writes,
+                leader_lock.level.oldest,
             )
-        refused = seats.refusal(seat, self.name, self.process)
+        refused = leader_locks.refusal(leader_lock, self.name, self.process)
         if refused is not None and refused != self._refused:
             # Once, not at every look.
             log.error("this controller neither leads nor serves users: %s", refused)
@@ -80,43 +80,43 @@
     @property
     def refusal(self) -> str | None:
         """Why we may neither lead nor serve users; None: we may."""
-        if self._seat is None:
+        if self._leader_lock is None:
             return "the level in force is not known yet"
         return self._refused
 
     @property
     def misfit(self) -> str | None:
         """The same, where it will not pass by itself."""
-        return None if self._seat is None else self._refused
+        return None if self._leader_lock is None else self._refused
 
     # -- between controllers ---------------------------------------------------------------
 
-    def introduction(self, now: timedelta) -> mesh.Process:
+    def introduction(self, now: timedelta) -> peers.Process:
         build = self.process.build
         age = (now - self.born).total_seconds() * 1000
-        return mesh.Process(
+        return peers.Process(
             self.process.id, build.name, build.lowest, build.highest, age, self.acts_at
         )
 
-    def told(self, token: int, process: mesh.Process | None) -> None:
+    def told(self, token: int, process: peers.Process | None) -> None:
         """A leader has spoken to us.  One of a version that knows of no levels acts by the
         first."""
         if token and (self._told is None or token >= self._told[0]):
-            self._told = (token, int(Level.FIRST) if process is None else process.level)
+            self._told = (token, int(FeatureLevel.FIRST) if process is None else process.level)
 
-    def hear(self, name: str, pong: mesh.Pong, asked: timedelta, now: timedelta) -> None:
-        """A peer's answer to our ping.  Raises ``BadMessage`` for what makes no sense."""
+    def hear(self, name: str, pong: peers.Pong, asked: timedelta, now: timedelta) -> None:
+        """A peer's answer to our ping.  Raises ``MessageFormatError`` for what makes no sense."""
         found, process, age = pong.process, None, None
         if found is not None:
             if not (math.isfinite(found.age_ms) and 0 <= found.lowest <= found.highest):
-                raise BadMessage("a process that makes no sense")
+                raise MessageFormatError("a process that makes no sense")
             process = Process(found.id, Build(found.build, found.lowest, found.highest))
             age = seconds(min(max(found.age_ms / 1000, 0.0), 1e9))
         touch = None if pong.state_age_ms is None else seconds(min(pong.state_age_ms / 1000, 1e9))
-        before = self._sights[name]
-        sight = before.hear(process, asked, now, age, touch, pong.reaches)
-        self._sights[name] = sight
-        if sight.restarts > before.restarts:
+        before = self._observations[name]
+        observation = before.hear(process, asked, now, age, touch, pong.reaches)
+        self._observations[name] = observation
+        if observation.restarts > before.restarts:
             build = "a version before levels" if process is None else process.build.name
             log.info("%s is another process now, of %s", name, build)
 
@@ -127,17 +127,21 @@
         if self._told is None:
             return recorded
         token, level = self._told
-        if self._seat is None:
+        if self._leader_lock is None:
             return level
-        return min(recorded, level) if token >= self._seat.token else recorded
+        return min(recorded, level) if token >= self._leader_lock.token else recorded
 
-    def deference(self, now: timedelta) -> timedelta:
-        return deference(self.process, self.born, self._sights.values(), TOUCH, now)
+    def election_delay(self, now: timedelta) -> timedelta:
+        return election_delay(
+            self.process, self.born, self._observations.values(), STATE_CONTACT_TIMEOUT, now
+        )
 
     # -- as leader -------------------------------------------------------------------------
 
-    def plan(self, ceiling: int | None, stock: Stock, now: timedelta) -> Plan:
-        found = plan(self.record, self.process, self._sights, ceiling, stock, now)
+    def plan(
+        self, ceiling: int | None, migration_backlog: MigrationBacklog, now: timedelta
+    ) -> Plan:
+        found = plan(self.record, self.process, self._observations, ceiling, migration_backlog, now)
         self.waiting_for(found.waits)
         return found
 
@@ -148,21 +152,21 @@
                 log.debug("the level waits: %s", wait)
         self._waits = waits
 
-    def line(self, now: timedelta) -> mesh.LevelLine:
+    def line(self, now: timedelta) -> peers.LevelLine:
         record = self.record
         own = self.process.build
-        members = [mesh.MemberLine(self.name, "leads", own.name, own.lowest, own.highest)]
-        for name, sight in self._sights.items():
-            seen = presence(name, self._sights, now).value
-            if sight.process is None:
-                members.append(mesh.MemberLine(name, seen, "before levels", 0, 0))
+        members = [peers.MemberLine(self.name, "leads", own.name, own.lowest, own.highest)]
+        for name, observation in self._observations.items():
+            seen = presence(name, self._observations, now).value
+            if observation.process is None:
+                members.append(peers.MemberLine(name, seen, "before levels", 0, 0))
                 continue
-            build = sight.process.build
+            build = observation.process.build
             misfit = build.refusal(record)
             seen = seen if misfit is None else f"{seen}, serves nobody: {misfit}"
-            members.append(mesh.MemberLine(name, seen, build.name, build.lowest, build.highest))
-        since = max(wall().timestamp() - record.since, 0.0) if record.since else 0.0
-        return mesh.LevelLine(
+            members.append(peers.MemberLine(name, seen, build.name, build.lowest, build.highest))
+        since = max(utc_now().timestamp() - record.since, 0.0) if record.since else 0.0
+        return peers.LevelLine(
             record.level,
             record.writes,
             record.oldest,
--- a/micadeal/controller/standing.py
+++ b/micadeal/controller/follower_leases.py
@@ -1,7 +1,7 @@
 """One controller's part in standing in for a leader: what it promises, remembers and answers.
 
 Owns the node's memory, its views of the others and the list of cancellations.  No I/O; the
-decisions are those of ``leadership/standin.py``.
+decisions are those of ``leadership/follower_leases.py``.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 
 from micadeal.clock import ZERO, seconds
 from micadeal.jobs.validate import JOB_ID
-from micadeal.leadership.standin import (
-    Memory,
-    Timing,
-    View,
-    Word,
-    all_cancellations_by,
+from micadeal.leadership.follower_leases import (
+    PeerRenewalView,
+    RenewalPromise,
+    RenewalState,
+    RenewalTiming,
+    cancellations_known_until,
     may_consent,
-    may_stand_in,
-    stops,
+    may_renew_leases,
+    stop_commands,
     synced,
 )
-from micadeal.wire import mesh
-from micadeal.wire.codec import BadMessage
-from micadeal.wire.workers import Orders, Report
+from micadeal.wire import peers
+from micadeal.wire.codec import MessageFormatError
+from micadeal.wire.workers import Heartbeat, HeartbeatResponse
 
 log = logging.getLogger(__name__)
 
 #: Without an answer of the state service for this long a controller takes it for out of reach.
 #: Idle ones hear from it every two seconds, when a watch comes back.
-TOUCH = seconds(3)
+STATE_CONTACT_TIMEOUT = seconds(3)
 #: Cancellations on the list at most: of more than a day could bring within ``settled``.
 MOST_TOLD = 1500
 
 
-class Standing:
-    def __init__(self, peers: Iterable[str], timing: Timing, now: timedelta) -> None:
+class FollowerLeases:
+    def __init__(self, peers: Iterable[str], timing: RenewalTiming, now: timedelta) -> None:
         self.timing = timing
-        self._memory = Memory(now)
-        self._views = {name: View() for name in peers}
+        self._memory = RenewalState(now)
+        self._views = {name: PeerRenewalView() for name in peers}
         #: Jobs that a user was, or may be, told to be cancelled: when we learned of it.
         self._told: dict[str, timedelta] = {}
         #: When the list last lost an entry too early.
@@ -74,28 +74,32 @@
 
     # -- between controllers ---------------------------------------------------------------
 
-    def ping(self, message: mesh.Ping, leading: int, in_touch: bool, now: timedelta) -> mesh.Ping:
+    def ping(
+        self, message: peers.Ping, leading: int, state_reachable: bool, now: timedelta
+    ) -> peers.Ping:
         """Add what we ask of a peer."""
         message.leading_token = leading
-        message.wants_told = not in_touch or not self._synced(now)
-        if not leading and not in_touch:
+        message.wants_told = not state_reachable or not self._synced(now)
+        if not leading and not state_reachable:
             message.wants_consent = self._memory.token
         return message
 
-    def word(self, ping: mesh.Ping, leading: bool, in_touch: bool, now: timedelta) -> mesh.Word:
+    def word(
+        self, ping: peers.Ping, leading: bool, state_reachable: bool, now: timedelta
+    ) -> peers.RenewalPromise:
         """Our word in answer to a ping: a leader is promised that we keep quiet for a while, others
         may get our consent."""
         if ping.leading_token > 0:
             self._hear_leader(ping.controller, ping.leading_token, now)
-        whole = self._synced(now)
+        join_parts = self._synced(now)
         consent = 0
         if (
             ping.wants_consent
             and ping.wants_told
             and not leading
             # Else one of us can be elected, which serves workers better.
-            and not in_touch
-            and may_consent(self._memory, ping.wants_consent, whole, now, self.timing)
+            and not state_reachable
+            and may_consent(self._memory, ping.wants_consent, join_parts, now, self.timing)
         ):
             consent = ping.wants_consent
             self._memory = self._memory.bind(consent, now + self.timing.consent)
@@ -104,9 +108,9 @@
         told = None
         if ping.wants_told:
             told = {n: (now - at).total_seconds() * 1000 for n, at in self._told.items()}
-        return mesh.Word(
+        return peers.RenewalPromise(
             (now - memory.born).total_seconds() * 1000,
-            whole,
+            join_parts,
             consent,
             memory.bound_token,
             bound.total_seconds() * 1000,
@@ -124,15 +128,21 @@
         self._memory = self._memory.hear_leader(token, now)
 
     def hear(
-        self, name: str, found: mesh.Word | None, asked: timedelta, now: timedelta, leading: int
+        self,
+        name: str,
+        found: peers.RenewalPromise | None,
+        asked: timedelta,
+        now: timedelta,
+        leading: int,
     ) -> list[str]:
         """Take in a peer's answer to a ping; the cancellations that are news.
 
-        Raises ``BadMessage`` for numbers that make no sense: such an answer counts for nothing.
+        Raises ``MessageFormatError`` for numbers that make no sense: such an answer counts for
+        nothing.
         """
         word = None
         if found is not None:
-            word = Word(
+            word = RenewalPromise(
                 _span(found.age_ms),
                 found.synced,
                 found.consent,
@@ -145,22 +155,24 @@
         told = found.told if found is not None else None
         return [job for job, age in (told or {}).items() if self.note(job, now, _span(age))]
 
-    def views(self) -> tuple[View, ...]:
+    def views(self) -> tuple[PeerRenewalView, ...]:
         return tuple(self._views.values())
 
-    def all_cancellations_by(self, now: timedelta) -> timedelta | None:
+    def cancellations_known_until(self, now: timedelta) -> timedelta | None:
         if not self._synced(now):
             return None
-        return all_cancellations_by(self._views.values(), now, self.timing)
+        return cancellations_known_until(self._views.values(), now, self.timing)
 
     # -- workers ---------------------------------------------------------------------------
 
-    def answer(self, report: Report, in_touch: bool, now: timedelta) -> Orders | None:
+    def answer(
+        self, heartbeat: Heartbeat, state_reachable: bool, now: timedelta
+    ) -> HeartbeatResponse | None:
         """What a worker is answered in the leader's place; None: that is not for us to do."""
         memory = self._memory
         if not memory.token:
             return None
-        stands = not in_touch and may_stand_in(
+        stands = not state_reachable and may_renew_leases(
             memory, self._views.values(), self._synced(now), now, self.timing
         )
         if stands is not self._standing_in:
@@ -169,16 +181,16 @@
                 "%s in for the leader of term %d", "stands" if stands else "no longer stands",
                 memory.token,
             )  # fmt: skip
-        if not stands or report.token > memory.token:
+        if not stands or heartbeat.token > memory.token:
             # A higher token is that of a leader that we have not heard of: its word counts.
             return None
         self._memory = memory.bind(memory.token, now)
         # Guards ``ran_cancelled``: what was cancelled is stopped whoever answers.
-        return Orders(memory.token, stops(report, self._told))
+        return HeartbeatResponse(memory.token, stop_commands(heartbeat, self._told))
 
 
 def _span(milliseconds: float) -> timedelta:
     """A span of a peer's message."""
     if not math.isfinite(milliseconds) or abs(milliseconds) > 1e12:
-        raise BadMessage(f"not a span of time: {milliseconds}")
+        raise MessageFormatError(f"not a span of time: {milliseconds}")
     return seconds(milliseconds / 1000)
--- a/micadeal/controller/messages.py
+++ b/micadeal/controller/messages.py
@@ -6,13 +6,13 @@
 from datetime import timedelta
 from typing import Any
 
-from micadeal.controller.records import Changes
-from micadeal.leadership.standin import View
+from micadeal.controller.persistence.record_writer import WriteBatch
+from micadeal.leadership.follower_leases import PeerRenewalView
 from micadeal.leadership.term import PeerContact
-from micadeal.rollout.steps import Stock
-from micadeal.stored.reading import Stored
+from micadeal.rollout.migration import MigrationBacklog
+from micadeal.schema.decoding import VersionedRecord
 from micadeal.wire.cloud import ListedMachine, MachineType, RentalRequest
-from micadeal.wire.mesh import Counts
+from micadeal.wire.peers import Counts
 from micadeal.wire.state import (
     EndRecord,
     Event,
@@ -23,31 +23,31 @@
     LevelRecord,
     PlacedRecord,
 )
-from micadeal.wire.workers import Report
+from micadeal.wire.workers import Heartbeat
 
 
 @dataclass(frozen=True, slots=True)
-class ReportIn:
-    report: Report
+class HeartbeatReceived:
+    heartbeat: Heartbeat
 
 
 @dataclass(frozen=True, slots=True)
-class DirectAnswer:
+class DirectCommandResult:
     """A worker's report in answer to a direct command; None: there was no answer."""
 
     machine: str
-    report: Report | None
+    heartbeat: Heartbeat | None
     #: When the command was sent: the report is newer than that.
     asked: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class Extended:
+class LeaderLeaseExtended:
     valid_until: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class LevelMoved:
+class FeatureLevelChanged:
     """The level is another, and so is the version that our writes depend on."""
 
     record: LevelRecord
@@ -55,35 +55,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StockWanted:
-    """For the next step of the level; answered with ``StockTold``."""
+class GetMigrationBacklog:
+    """For the next step of the level; answered with ``MigrationStatus``."""
 
 
 @dataclass(frozen=True, slots=True)
-class StockTold:
-    stock: Stock
+class MigrationStatus:
+    migration_backlog: MigrationBacklog
     #: The highest level that the operators allow; None: any.
     ceiling: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class PeerNews:
+class PeerStatus:
     peers: tuple[PeerContact | None, ...]
     #: What is known of each of them for standing in; None: that is switched off.
-    views: tuple[View, ...] | None = None
+    views: tuple[PeerRenewalView, ...] | None = None
     #: Up to then every cancellation is known by a majority's lists.
-    told_by: timedelta | None = None
+    cancellations_known_until: timedelta | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class StateLoaded:
     """All that the state service held when the term began."""
 
     jobs: list[Item]
-    placed: list[Stored[PlacedRecord]]
-    images: list[Stored[ImagesRecord]]
-    leaving: list[Stored[LeavingRecord]]
-    finished: list[Stored[FinishedRecord]]
+    placed: list[VersionedRecord[PlacedRecord]]
+    images: list[VersionedRecord[ImagesRecord]]
+    draining: list[VersionedRecord[LeavingRecord]]
+    finished: list[VersionedRecord[FinishedRecord]]
     parts: list[Item]
     ended: dict[str, EndRecord]
     settings: Item | None
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobEvents:
+class JobsChanged:
     events: list[Event]
     asked: timedelta
     #: Of jobs among them whose description is split.
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobsRead:
+class JobsReloaded:
     """All jobs read anew, after a watch had lost its place."""
 
     items: list[Item]
@@ -109,31 +109,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewSettings:
+class SettingsChanged:
     item: Item | None
 
 
 @dataclass(frozen=True, slots=True)
-class CancelNotice:
+class JobCancelled:
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class LeftWanted:
+class HasRemainingTasks:
     """Whether anything of a job may still be on a machine; answered with a bool."""
 
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class StartsWanted:
+class MayTasksStart:
     """Whether a task of a cancelled job may still start; answered with a bool."""
 
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class EndRead:
+class JobEndLoaded:
     """The end of a job that others wait for; None: there is none, or it can't be read."""
 
     job_id: str
@@ -141,30 +141,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CatalogRead:
+class CatalogLoaded:
     types: list[MachineType]
 
 
 @dataclass(frozen=True, slots=True)
-class ListRead:
+class MachineListLoaded:
     machines: list[ListedMachine]
 
 
 @dataclass(frozen=True, slots=True)
-class RentalAnswer:
+class RentalCompleted:
     request: RentalRequest
     names: list[str] | None
 
 
 @dataclass(frozen=True, slots=True)
-class ReleaseAnswer:
+class ReleaseCompleted:
     names: list[str]
     done: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
-    changes: Changes
+class WriteCompleted:
+    changes: WriteBatch
     #: The revision; None: the outcome is unknown.
     revision: int | None
     #: What the service holds, read after an unknown or failed outcome.
@@ -179,12 +179,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Retire:
+class PrepareShutdown:
     """Start and rent nothing more; answered with whether all that is under way is written."""
 
 
 @dataclass(frozen=True, slots=True)
-class ProgressWanted:
+class GetProgress:
     """For the desks of all controllers; answered with ``Progress``."""
 
 
@@ -198,17 +198,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WhyWanted:
+class GetExplanation:
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class OverviewWanted:
+class GetOverview:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class HeartbeatReply:
     """To a worker: status and body."""
 
     status: int
--- a/micadeal/controller/errands.py
+++ b/micadeal/controller/outbound.py
@@ -9,27 +9,38 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from micadeal.clock import seconds, steady
-from micadeal.controller.messages import DirectAnswer, ReleaseAnswer, RentalAnswer, Written
-from micadeal.controller.records import Changes
-from micadeal.fleet.cloud import Cloud, CloudError, NoCapacity
+from micadeal.clock import monotonic, seconds
+from micadeal.controller.messages import (
+    DirectCommandResult,
+    ReleaseCompleted,
+    RentalCompleted,
+    WriteCompleted,
+)
+from micadeal.controller.persistence.record_writer import WriteBatch
+from micadeal.fleet.cloud import Cloud, CloudError, NoCapacityError
 from micadeal.http.message import HttpError
 from micadeal.http.network import Network
-from micadeal.rollout.seat import read
-from micadeal.state.service import Conflict, Refused, StateError, StateService, Urgency
-from micadeal.stored.keys import LEADER
-from micadeal.waiting import sleep
+from micadeal.rollout.leader_lock import read
+from micadeal.schema.keys import LEADER
+from micadeal.state.service import (
+    ConflictError,
+    RequestRejectedError,
+    StateService,
+    StateServiceError,
+    Urgency,
+)
+from micadeal.timeouts import sleep
 from micadeal.wire.cloud import RentalRequest
 from micadeal.wire.codec import decode, encode
 from micadeal.wire.state import Condition, Item
-from micadeal.wire.workers import DirectOrders, Report
+from micadeal.wire.workers import DirectCommands, Heartbeat
 
 log = logging.getLogger(__name__)
 
 DIRECT_TIME = seconds(3)
 
 
-class Errands:
+class OutboundCalls:
     """``resign`` is called when another leader is found to exist, ``moved`` when the fence of our
     own term is another than the one that a write depended on.  ``entitled``: whether we still lead
     with full power, asked anew before anything goes to the cloud: what was decided before this
@@ -55,21 +66,21 @@
         self._moved = moved
         self._entitled = entitled
 
-    async def direct(self, name: str, address: str, message: DirectOrders) -> None:
+    async def direct(self, name: str, address: str, message: DirectCommands) -> None:
         """Command one worker; its report is told, or that there is none."""
-        report: Report | None = None
-        asked = steady()
+        heartbeat: Heartbeat | None = None
+        asked = monotonic()
         try:
             _, body = await self._network.client(address, 0).request(
                 "POST", "/commands", encode(message), timeout=DIRECT_TIME
             )
-            report = decode(Report, body)
+            heartbeat = decode(Heartbeat, body)
         except (HttpError, ValueError) as problem:
             log.debug("%s could not be commanded: %s", name, problem)
         # Guards ``ran_cancelled``: one that is never told of as over is never asked again.
-        await self._tell(DirectAnswer(name, report, asked))
+        await self._tell(DirectCommandResult(name, heartbeat, asked))
 
-    async def write(self, changes: Changes, fence: int) -> None:
+    async def write(self, changes: WriteBatch, fence: int) -> None:
         """Write a batch; every change depends on our still being the leader, and on the version
         last known of its key, so that a batch applied late can't undo a newer one."""
         conditions = [Condition(LEADER, fence), *changes.conditions]
@@ -80,33 +91,33 @@
             revision = await self._state.commit(
                 conditions, changes.operations, changes.urgency, timeout=seconds(3)
             )
-        except Conflict:
+        except ConflictError:
             found = await self._read_back(changes, fence)
-        except Refused:
+        except RequestRejectedError:
             refused = True
             found = await self._read_back(changes, fence)
-        except StateError as problem:
+        except StateServiceError as problem:
             log.debug("a write failed: %s", problem)
             await sleep(seconds(0.2))
             found = await self._read_back(changes, fence)
-        await self._tell(Written(changes, revision, found, refused))
+        await self._tell(WriteCompleted(changes, revision, found, refused))
 
-    async def _read_back(self, changes: Changes, fence: int) -> dict[str, Item | None]:
+    async def _read_back(self, changes: WriteBatch, fence: int) -> dict[str, Item | None]:
         """After a failed or unknown outcome: what the service holds now."""
         while True:
             try:
                 leader = await self._state.get(LEADER, Urgency.LEASE)
                 # One that can't be read is nobody's: whoever wrote it, we do not lead by it.
-                seat = read([] if leader is None else [leader], 0)
-                if seat.token != self._token:
+                leader_lock = read([] if leader is None else [leader], 0)
+                if leader_lock.token != self._token:
                     self._resign()
-                elif seat.fence != fence:
+                elif leader_lock.fence != fence:
                     self._moved()
                 return {
                     condition.key: await self._state.get(condition.key, Urgency.PLACEMENT)
                     for condition in changes.conditions
                 }
-            except StateError:
+            except StateServiceError:
                 await sleep(seconds(0.3))
 
     async def rent(self, request: RentalRequest) -> None:
@@ -118,13 +129,13 @@
                     raise CloudError("we do not lead for certain at the moment")
                 names = await self._cloud.rent(request)
                 break
-            except NoCapacity:
+            except NoCapacityError:
                 break
             except CloudError as problem:
                 log.debug("renting: %s", problem)
                 await sleep(seconds(1))
         log.info("rental of %d %s: %s", request.count, request, names)
-        await self._tell(RentalAnswer(request, names))
+        await self._tell(RentalCompleted(request, names))
 
     async def release(self, names: list[str]) -> None:
         done = False
@@ -136,4 +147,4 @@
         except CloudError as problem:
             log.debug("returning machines: %s", problem)
             await sleep(seconds(0.5))
-        await self._tell(ReleaseAnswer(names, done))
+        await self._tell(ReleaseCompleted(names, done))
--- a/micadeal/controller/mesh.py
+++ b/micadeal/controller/peer_links.py
@@ -10,18 +10,18 @@
 
 import curio
 
-from micadeal.clock import seconds, steady
-from micadeal.controller.levels import Levels
-from micadeal.controller.standing import Standing
+from micadeal.clock import monotonic, seconds
+from micadeal.controller.feature_levels import FeatureLevels
+from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.http.message import HttpError
 from micadeal.http.network import AnyClient, Network
 from micadeal.leadership.term import PeerContact
 from micadeal.operator.platform import Peer
 from micadeal.rollout.membership import FRESH
-from micadeal.waiting import sleep
-from micadeal.wire.codec import BadMessage, decode, encode
-from micadeal.wire.mesh import Notice, Ping, Pong, Relay, Relayed
-from micadeal.wire.workers import Report
+from micadeal.timeouts import sleep
+from micadeal.wire.codec import MessageFormatError, decode, encode
+from micadeal.wire.peers import CancellationNotice, Ping, Pong, Relay, Relayed
+from micadeal.wire.workers import Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
 
 
 #: A peer's name, its answer, and jobs that it says are cancelled and of which we did not know.
-News = Callable[[str, Pong, list[str]], Awaitable[None]]
+PeerStatusListener = Callable[[str, Pong, list[str]], Awaitable[None]]
 
 
 @dataclass(slots=True)
@@ -45,13 +45,13 @@
     pings: AnyClient
     heard: timedelta | None = None
     pong: Pong | None = None
-    contact: PeerContact | None = None
+    reachability: PeerContact | None = None
     state_contact: timedelta | None = None
     #: As leader: cancellations told before then have reached all jobs after them.
     cascaded: timedelta | None = None
 
 
-class Mesh:
+class PeerLinks:
     """Owns the links to the peers; ``news`` is told after every answer to a ping."""
 
     def __init__(
@@ -59,17 +59,17 @@
         name: str,
         peers: tuple[Peer, ...],
         network: Network,
-        standing: Standing | None,
-        levels: Levels,
-        in_touch: Callable[[], bool],
+        follower_leases: FollowerLeases | None,
+        feature_levels: FeatureLevels,
+        state_reachable: Callable[[], bool],
         reading: Callable[[], bool],
     ) -> None:
-        """``standing``: None where standing in is switched off; ``in_touch``: with the state
+        """``standing``: None where standing in is switched off; ``state_reachable``: with the state
         service; ``reading``: as leader, before the records have come."""
         self._name = name
-        self._standing = standing
-        self._levels = levels
-        self._in_touch = in_touch
+        self._follower_leases = follower_leases
+        self._feature_levels = feature_levels
+        self._state_reachable = state_reachable
         self._reading = reading
         self._links = {
             peer.name: _Link(peer, network.client(peer.address, 4), network.client(peer.address, 1))
@@ -79,32 +79,32 @@
         #: The token of the term that we lead; 0: we don't.
         self.leading_token = 0
 
-    async def run(self, news: News) -> None:
+    async def run(self, news: PeerStatusListener) -> None:
         async with curio.TaskGroup() as group:
             for link in self._links.values():
                 await group.spawn(self._ping, link, news)
 
-    async def _ping(self, link: _Link, news: News) -> None:
+    async def _ping(self, link: _Link, news: PeerStatusListener) -> None:
         while True:
-            asked = steady()
+            asked = monotonic()
             try:
                 leading = self.leading_token
                 message = Ping(self._name, wants_counts=self.leader == link.peer.name)
                 message.leading_token = leading
                 message.reading = self._reading()
-                message.process = self._levels.introduction(asked)
-                if self._standing is not None:
-                    self._standing.ping(message, leading, self._in_touch(), asked)
+                message.process = self._feature_levels.introduction(asked)
+                if self._follower_leases is not None:
+                    self._follower_leases.ping(message, leading, self._state_reachable(), asked)
                 status, body = await link.pings.request(
                     "POST", "/ping", encode(message), timeout=PING_TIME
                 )
                 if status == 200:
                     await self._heard(link, decode(Pong, body), asked, leading, news)
-            except (HttpError, BadMessage) as problem:
+            except (HttpError, MessageFormatError) as problem:
                 log.debug("ping of %s: %s", link.peer.name, problem)
             except Exception:
                 log.exception("news of %s could not be passed on", link.peer.name)
-            await sleep(asked + PING_EVERY - steady())
+            await sleep(asked + PING_EVERY - monotonic())
 
     async def _heard(
         self,
@@ -112,17 +112,17 @@
         pong: Pong,
         asked: timedelta,
         leading: int,
-        news: News,
+        news: PeerStatusListener,
     ) -> None:
-        now = steady()
+        now = monotonic()
         cancelled: list[str] = []
-        self._levels.hear(link.peer.name, pong, asked, now)
-        if self._standing is not None:
-            cancelled = self._standing.hear(link.peer.name, pong.word, asked, now, leading)
+        self._feature_levels.hear(link.peer.name, pong, asked, now)
+        if self._follower_leases is not None:
+            cancelled = self._follower_leases.hear(link.peer.name, pong.word, asked, now, leading)
         link.heard, link.pong = now, pong
         if pong.state_age_ms is not None:
             link.state_contact = now - seconds(pong.state_age_ms / 1000)
-        link.contact = PeerContact(asked, now - seconds(pong.cancel_age_ms / 1000))
+        link.reachability = PeerContact(asked, now - seconds(pong.cancel_age_ms / 1000))
         if pong.cascade_age_ms is not None:
             # Counted from when it was asked: an answer that was under way for long says less.
             link.cascaded = asked - seconds(pong.cascade_age_ms / 1000)
@@ -133,10 +133,10 @@
         return None if link is None else link.cascaded
 
     def contacts(self) -> tuple[PeerContact | None, ...]:
-        return tuple(link.contact for link in self._links.values())
+        return tuple(link.reachability for link in self._links.values())
 
     def reaches(self) -> list[str]:
-        now = steady()
+        now = monotonic()
         return [
             name
             for name, link in self._links.items()
@@ -164,14 +164,14 @@
             raise HttpError(f"{name}: status {status}")
         try:
             return decode(kind, body)
-        except BadMessage as problem:
+        except MessageFormatError as problem:
             raise HttpError(f"{name}: {problem}") from None
 
-    async def relay(self, report: Report, leader: str, hops: int = 1) -> Relayed:
+    async def relay(self, heartbeat: Heartbeat, leader: str, hops: int = 1) -> Relayed:
         """A worker's report to the leader, over a third controller if need be."""
         if leader in self.reaches() or hops == 0:
             try:
-                return await self.send(leader, "/relay", Relay(report, 0), Relayed, RELAY_TIME)
+                return await self.send(leader, "/relay", Relay(heartbeat, 0), Relayed, RELAY_TIME)
             except HttpError:
                 if hops == 0:
                     raise
@@ -179,7 +179,9 @@
             if name == leader or link.pong is None or leader not in link.pong.reaches:
                 continue
             if name in self.reaches():
-                return await self.send(name, "/relay", Relay(report, 0), Relayed, RELAY_TIME * 1.5)
+                return await self.send(
+                    name, "/relay", Relay(heartbeat, 0), Relayed, RELAY_TIME * 1.5
+                )
         raise HttpError(f"no way to {leader}")
 
     async def notify_cancel(self, job_id: str, needed: int) -> dict[str, bool]:
@@ -194,7 +196,9 @@
         async def tell(name: str) -> None:
             held: bool | None = None
             try:
-                held = not await self.send(name, "/notice", Notice(job_id), bool, NOTICE_TIME)
+                held = not await self.send(
+                    name, "/notice", CancellationNotice(job_id), bool, NOTICE_TIME
+                )
             except HttpError as problem:
                 log.debug("notice to %s: %s", name, problem)
             await answers.put((name, held))
--- /dev/null
+++ b/micadeal/controller/persistence/__init__.py
@@ -0,0 +1,1 @@
+"""What the leader writes to the key-value store."""
--- a/micadeal/controller/records.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -16,15 +16,14 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from micadeal.clock import seconds, wall
-from micadeal.fleet.model import Attempt, Machine
+from micadeal.clock import seconds, utc_now
+from micadeal.fleet.machines import Attempt, Machine
 from micadeal.jobs.model import CHUNK, SMALL_CHUNK, Job, to_bits
-from micadeal.rollout.levels import Level
-from micadeal.rollout.steps import Stock
-from micadeal.scheduling.cluster import Cluster
-from micadeal.state.limits import Limits
-from micadeal.state.service import Urgency
-from micadeal.stored.keys import (
+from micadeal.rollout.feature_level import FeatureLevel
+from micadeal.rollout.migration import MigrationBacklog
+from micadeal.scheduling.cluster_state import ClusterState
+from micadeal.schema.decoding import VersionedRecord
+from micadeal.schema.keys import (
     DONE,
     ENDS,
     FINISHED,
@@ -35,8 +34,9 @@
     PLACED,
     job_of,
 )
-from micadeal.stored.reading import Stored
-from micadeal.wire.codec import BadMessage, convert
+from micadeal.state.limits import Limits
+from micadeal.state.service import Urgency
+from micadeal.wire.codec import MessageFormatError, convert
 from micadeal.wire.state import (
     Condition,
     Drop,
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class WriteBatch:
     operations: tuple[Put | Drop, ...]
     conditions: tuple[Condition, ...]
     urgency: Urgency
@@ -127,7 +127,7 @@
         return True
 
 
-class Recorder:
+class RecordWriter:
     """Chooses what to write next.
 
     Under way at once are one batch of placements, one of what can wait, and a few job ends: a
@@ -139,7 +139,7 @@
 
     def __init__(
         self,
-        cluster: Cluster,
+        cluster: ClusterState,
         limits: Limits,
         present: Limits | None = None,
         level: LevelRecord | None = None,
@@ -172,7 +172,7 @@
     def _writes(self) -> int:
         return self._level.writes
 
-    def level_moved(self, level: LevelRecord) -> None:
+    def feature_level_changed(self, level: LevelRecord) -> None:
         if level.writes != self._writes:
             self._carried.clear()
         self._level = level
@@ -183,16 +183,16 @@
         waiting = self._cluster.unwritten or self._cluster.finished_dirty
         return bool(waiting or self._placing or self._lazying or self._ending)
 
-    def stock(self) -> Stock:
+    def migration_backlog(self) -> MigrationBacklog:
         """Records in layouts other than those written now, as far as the next step needs them."""
         if self._level.level == self._level.oldest:
-            return Stock()
+            return MigrationBacklog()
         keys = [key for key in self.versions if key.startswith((DONE, FINISHED, OLD_PLACED))]
         small = sum(key.startswith(FINISHED) for key in keys)
-        if self._writes >= Level.FENCED:
-            return Stock(older=len(keys) - small)
+        if self._writes >= FeatureLevel.FENCED:
+            return MigrationBacklog(older=len(keys) - small)
         stuck = sum(not self._pieces(key) for key in keys if key.startswith(FINISHED))
-        return Stock(newer=small, stuck=stuck)
+        return MigrationBacklog(newer=small, stuck=stuck)
 
     def drop(self, key: str) -> None:
         self._drops.add(key)
@@ -200,16 +200,16 @@
     def load_images(self, key: str, record: ImagesRecord, now: timedelta) -> None:
         self._pages[key] = (record, now)
 
-    def load_leaving(self, found: Stored[LeavingRecord], now: timedelta) -> list[str]:
+    def load_leaving(self, found: VersionedRecord[LeavingRecord], now: timedelta) -> list[str]:
         """Machines that an earlier leader was about to return, if that was a moment ago."""
         self.versions[found.key] = found.version
         self._leaving[found.key] = now
         record = found.record
-        if record is None or wall().timestamp() - record.at >= LEAVING_TIME.total_seconds():
+        if record is None or utc_now().timestamp() - record.at >= LEAVING_TIME.total_seconds():
             return []
         return record.machines
 
-    def next(self, now: timedelta) -> list[Changes]:
+    def next(self, now: timedelta) -> list[WriteBatch]:
         batches = self._ends()
         if not self._placing and self._cluster.unwritten:
             self._placing = True
@@ -222,7 +222,7 @@
                 batches.append(batch)
         return batches
 
-    def refused(self, changes: Changes) -> None:
+    def refused(self, changes: WriteBatch) -> None:
         """The service called the batch too large.  The same is never asked again."""
         if changes.daring:
             self._present = self._limits
@@ -232,11 +232,11 @@
 
     # -- ends of jobs ----------------------------------------------------------------------
 
-    def _ends(self) -> list[Changes]:
+    def _ends(self) -> list[WriteBatch]:
         """Ends of jobs: first those that follow from a cancellation, then what others wait for."""
-        pipelines = self._cluster.pipelines
-        batches: list[Changes] = []
-        for job in pipelines.doomed.values():
+        dependencies = self._cluster.dependencies
+        batches: list[WriteBatch] = []
+        for job in dependencies.cancelled_by_dependency.values():
             if len(self._ending) >= MOST_ENDING:
                 return batches
             if job.id not in self._ending:
@@ -248,19 +248,19 @@
                 self._cluster.finished_dirty.discard(job_id)
             elif found.complete and job_id not in self._ending:
                 complete.append(found)
-        complete.sort(key=lambda job: not pipelines.needed(job.id))
+        complete.sort(key=lambda job: not dependencies.needed(job.id))
         for job in complete[: MOST_ENDING - len(self._ending)]:
             batches.append(self._end(job, Status.DONE))
         return batches
 
-    def _end(self, job: Job, status: Status) -> Changes:
+    def _end(self, job: Job, status: Status) -> WriteBatch:
         self._ending.add(job.id)
-        end = EndRecord.of(status, job.spec, wall().timestamp())
+        end = EndRecord.of(status, job.spec, utc_now().timestamp())
         operations: list[Put | Drop] = [Put(f"{ENDS}{job.id}", end), Drop(f"{JOBS}{job.id}")]
-        room = self._limits.operations - len(operations)
-        operations += [Drop(key) for key in sorted(job.stored)[:room]]
+        capacity = self._limits.operations - len(operations)
+        operations += [Drop(key) for key in sorted(job.record_keys)[:capacity]]
         conditions = (Condition(f"{JOBS}{job.id}", job.version), Condition(f"{ENDS}{job.id}", 0))
-        return Changes(tuple(operations), conditions, Urgency.END, ends=(job.id, end))
+        return WriteBatch(tuple(operations), conditions, Urgency.END, ends=(job.id, end))
 
     # -- placements ------------------------------------------------------------------------
 
@@ -275,7 +275,7 @@
         self._number += 1
         return f"{PLACED}{self._cluster.token}/{self._number}"
 
-    def _placements(self) -> Changes:
+    def _placements(self) -> WriteBatch:
         placed: list[tuple[str, tuple[Attempt, ...]]] = []
         most = min(MOST_PLACED, self._limits.operations)
         for chunk in self._chunks(self._cluster.unwritten):
@@ -283,7 +283,9 @@
             if len(placed) >= most:
                 break
         operations = tuple(Put(key, self._record(chunk)) for key, chunk in placed)
-        return Changes(operations, self._conditions(operations), Urgency.PLACEMENT, tuple(placed))
+        return WriteBatch(
+            operations, self._conditions(operations), Urgency.PLACEMENT, tuple(placed)
+        )
 
     def _chunks(self, attempts: Iterable[Attempt]) -> Iterator[tuple[Attempt, ...]]:
         """Attempts in parts that fit into a value each."""
@@ -312,7 +314,7 @@
                     machine.machine_type,
                     machine.zone,
                     machine.spot,
-                    machine.session,
+                    machine.incarnation,
                     [],
                 )
             entry.tasks.append(attempt.placed_task)
@@ -326,7 +328,7 @@
 
     # -- what can wait ---------------------------------------------------------------------
 
-    def _lazy(self, now: timedelta) -> Changes | None:
+    def _lazy(self, now: timedelta) -> WriteBatch | None:
         operations: list[Put | Drop] = []
         finished: list[tuple[str, frozenset[int]]] = []
         placed: list[tuple[str, tuple[Attempt, ...]]] = []
@@ -349,7 +351,7 @@
             self._images(now, operations)
         if not operations:
             return None
-        return Changes(
+        return WriteBatch(
             tuple(operations),
             self._conditions(operations),
             Urgency.REST,
@@ -367,16 +369,16 @@
         names = [
             name
             for name, machine in self._cluster.machines.items()
-            if machine.release_asked is not None and machine.attempts and name not in self._left
+            if machine.release_requested is not None and machine.attempts and name not in self._left
         ]
         if len(names) >= MANY_LEAVING:
-            room = self._limits.value_bytes - 64
-            while names and sum(map(_json_size, names)) > room:
+            capacity = self._limits.value_bytes - 64
+            while names and sum(map(_json_size, names)) > capacity:
                 names.pop()
             self._left.update(names)
             key = f"{LEAVING}{self._cluster.token}/{len(self._left)}"
             self._leaving[key] = now
-            operations.append(Put(key, LeavingRecord(wall().timestamp(), names)))
+            operations.append(Put(key, LeavingRecord(utc_now().timestamp(), names)))
         for key, since in list(self._leaving.items()):
             if now - since > LEAVING_TIME:
                 del self._leaving[key]
@@ -409,7 +411,7 @@
                     return daring
                 operations.append(Put(key, record))
                 daring = daring or not self._limits.fits(record)
-                job.stored.add(key)
+                job.record_keys.add(key)
                 finished.append((job.id, indexes))
             self._gathering[job_id] = now
         return daring
@@ -419,13 +421,13 @@
         smaller ones where such a chunk would be too large."""
         fresh = job.finished - job.durable
         for chunk in sorted({index // CHUNK for index in fresh}):
-            indexes = job.within(chunk * CHUNK, CHUNK)
+            indexes = job.with_timeout(chunk * CHUNK, CHUNK)
             record = FinishedRecord(to_bits(indexes, chunk * CHUNK))
-            if self._writes < Level.FENCED and self._present.fits(record):
+            if self._writes < FeatureLevel.FENCED and self._present.fits(record):
                 yield f"{DONE}{job.id}/{chunk}", indexes, record
                 continue
             for small in sorted({index // SMALL_CHUNK for index in fresh & indexes}):
-                indexes = job.within(small * SMALL_CHUNK, SMALL_CHUNK)
+                indexes = job.with_timeout(small * SMALL_CHUNK, SMALL_CHUNK)
                 record = FinishedRecord(to_bits(indexes, small * SMALL_CHUNK))
                 yield f"{FINISHED}{job.id}/{small}", indexes, record
 
@@ -441,8 +443,8 @@
         else:
             start, size, into, target = int(chunk) * SMALL_CHUNK, SMALL_CHUNK, CHUNK, DONE
         found = []
-        for number in sorted({index // into for index in job.within(start, size)}):
-            indexes = job.within(number * into, into)
+        for number in sorted({index // into for index in job.with_timeout(start, size)}):
+            indexes = job.with_timeout(number * into, into)
             record = FinishedRecord(to_bits(indexes, number * into))
             if not self._present.fits(record):
                 return []
@@ -465,7 +467,7 @@
         if now < self._rewrite_due:
             return False
         self._rewrite_due = now + REWRITE_EVERY
-        if self._writes >= Level.FENCED:
+        if self._writes >= FeatureLevel.FENCED:
             for key in self._cluster.records:
                 if key.startswith(OLD_PLACED):
                     # As if something of it were gone: it is merged into a shared record.
@@ -473,7 +475,7 @@
         elif self._level.level == self._writes:
             # Small parts are there where a value of the first layout was too large.
             return False
-        old = DONE if self._writes >= Level.FENCED else FINISHED
+        old = DONE if self._writes >= FeatureLevel.FENCED else FINISHED
         daring = False
         for key in [key for key in self.versions if key.startswith(old)]:
             pieces = self._pieces(key)
@@ -481,7 +483,7 @@
             for target, indexes, record in missing[: most - 1]:
                 operations.append(Put(target, record))
                 job_id = job_of(target)
-                self._cluster.jobs[job_id].stored.add(target)
+                self._cluster.jobs[job_id].record_keys.add(target)
                 finished.append((job_id, indexes))
                 daring = daring or not self._limits.fits(record)
             if pieces and not missing:
@@ -561,7 +563,7 @@
 
     # -- outcomes --------------------------------------------------------------------------
 
-    def committed(self, changes: Changes, revision: int, now: timedelta) -> None:
+    def committed(self, changes: WriteBatch, revision: int, now: timedelta) -> None:
         for operation in changes.operations:
             if isinstance(operation, Put):
                 self.versions[operation.key] = revision
@@ -593,7 +595,7 @@
                 if operation.key.startswith((DONE, FINISHED)):
                     job = self._cluster.jobs.get(job_of(operation.key))
                     if job is not None:
-                        job.stored.discard(operation.key)
+                        job.record_keys.discard(operation.key)
         for job_id, indexes in changes.finished:
             job = self._cluster.jobs.get(job_id)
             if job is not None and not job.over:
@@ -604,7 +606,7 @@
                 if job_of(operation.key) == job_id:
                     self.drop(operation.key)
 
-    def failed(self, changes: Changes, found: dict[str, Item | None], now: timedelta) -> None:
+    def failed(self, changes: WriteBatch, found: dict[str, Item | None], now: timedelta) -> None:
         """Not executed, or unknown: ``found`` is what the service holds now."""
         if changes.ends is not None:
             # If the job is gone from the service it is over, one way or the other; the watch
@@ -617,7 +619,7 @@
                 self.job_over(job)
                 try:
                     self._cluster.job_ended(job_id, convert(EndRecord, item.value), now)
-                except BadMessage as problem:
+                except MessageFormatError as problem:
                     log.error("unreadable record %s: %s", item.key, problem)
                     self._cluster.job_gone(job_id, now)
             return
@@ -650,10 +652,10 @@
     def job_over(self, job: Job | None) -> None:
         """What is left of its finished set, and of its description, is to be dropped."""
         if job is not None:
-            for key in job.stored:
+            for key in job.record_keys:
                 self.drop(key)
 
-    def _settled(self, changes: Changes) -> None:
+    def _settled(self, changes: WriteBatch) -> None:
         if changes.urgency is Urgency.PLACEMENT:
             self._placing = False
         else:
--- a/micadeal/controller/intake.py
+++ b/micadeal/controller/record_loader.py
@@ -9,16 +9,16 @@
 from collections.abc import Mapping
 from datetime import timedelta
 
-from micadeal.clock import steady_at
-from micadeal.controller.messages import Loaded
-from micadeal.controller.records import Recorder
+from micadeal.clock import monotonic_at
+from micadeal.controller.messages import StateLoaded
+from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.jobs.model import CHUNK, SMALL_CHUNK, Job
 from micadeal.operator.policy import Policy
 from micadeal.operator.script import policy_from_values
 from micadeal.scheduling.scheduler import Scheduler
-from micadeal.stored.descriptions import part_keys, whole
-from micadeal.stored.keys import DONE, FINISHED, JOBS
-from micadeal.stored.reading import Stored
+from micadeal.schema.decoding import VersionedRecord
+from micadeal.schema.job_records import join_parts, part_keys
+from micadeal.schema.keys import DONE, FINISHED, JOBS
 from micadeal.wire.codec import convert
 from micadeal.wire.state import (
     Event,
@@ -34,19 +34,19 @@
 MOST_CANCELLED = 3000
 
 
-class Intake:
+class RecordLoader:
     """Feeds one term's scheduler and recorder with records, as they are read and as they change."""
 
-    def __init__(self, scheduler: Scheduler, recorder: Recorder) -> None:
+    def __init__(self, scheduler: Scheduler, record_writer: RecordWriter) -> None:
         self._scheduler = scheduler
         self._cluster = scheduler.cluster
-        self._recorder = recorder
+        self._record_writer = record_writer
         #: The highest level that the operators allow; None: any.
         self.highest_level: int | None = None
         #: Jobs that are cancelled for certain, the latest last, whatever is read of them.
         self.cancelled: dict[str, None] = {}
 
-    def take_over(self, loaded: Loaded, now: timedelta) -> None:
+    def take_over(self, loaded: StateLoaded, now: timedelta) -> None:
         """Build the picture from all that the state service held when the term began."""
         parts = {item.key: item for item in loaded.parts}
         for item in loaded.jobs:
@@ -58,15 +58,15 @@
             self._cluster.load_ended(job_id, end)
         for placed in loaded.placed:
             if placed.record is not None:
-                self._recorder.versions[placed.key] = placed.version
+                self._record_writer.versions[placed.key] = placed.version
                 self._cluster.load_placed(placed.key, placed.record, now)
         for page in loaded.images:
             self._load_images(page, now)
         # With all that may be on machines: it counts for its team until it is gone.
         for job_id in [name for name in self.cancelled if name in self._cluster.jobs]:
             self.job_over(job_id, now)
-        for leaving in loaded.leaving:
-            self._scheduler.return_again(self._recorder.load_leaving(leaving, now), now)
+        for draining in loaded.draining:
+            self._scheduler.return_again(self._record_writer.load_leaving(draining, now), now)
         for job in list(self._cluster.live_jobs()):
             if job.complete:
                 self._cluster.finished_dirty.add(job.id)
@@ -84,35 +84,35 @@
         job_id = item.key.removeprefix(JOBS)
         try:
             keys = part_keys(item.value, job_id)
-            record = whole(item.value, [parts[key].value for key in keys if key in parts])
-            job = Job(record.submission, steady_at(record.submitted_at, now), item.version)
+            record = join_parts(item.value, [parts[key].value for key in keys if key in parts])
+            job = Job(record.submission, monotonic_at(record.submitted_at, now), item.version)
         except (ValueError, OverflowError) as problem:
             # Numbers that are none as well: one such record must not keep all others from a leader.
             log.error("unreadable record %s: %s", item.key, problem)
             return
         for key in keys:
             # All of a description is written in one transaction.
-            self._recorder.versions[key] = item.version
-            job.stored.add(key)
+            self._record_writer.versions[key] = item.version
+            job.record_keys.add(key)
         self._scheduler.job_added(job, now)
 
     def _drop_orphans(self, parts: dict[str, Item]) -> None:
         """Parts of descriptions whose job is over."""
         for key, item in parts.items():
-            if key not in self._recorder.versions:
-                self._recorder.versions[key] = item.version
-                self._recorder.drop(key)
+            if key not in self._record_writer.versions:
+                self._record_writer.versions[key] = item.version
+                self._record_writer.drop(key)
 
-    def _load_finished(self, found: Stored[FinishedRecord]) -> None:
+    def _load_finished(self, found: VersionedRecord[FinishedRecord]) -> None:
         small = found.key.startswith(FINISHED)
         rest = found.key.removeprefix(FINISHED if small else DONE)
         job_id, _, chunk = rest.rpartition("/")
-        self._recorder.versions[found.key] = found.version
+        self._record_writer.versions[found.key] = found.version
         job = self._cluster.jobs.get(job_id)
         if job is None or not chunk.isdigit():
-            self._recorder.drop(found.key)
+            self._record_writer.drop(found.key)
             return
-        job.stored.add(found.key)
+        job.record_keys.add(found.key)
         if found.record is None:
             # Its tasks run once more: a worker that has a result kept gives it at once.
             return
@@ -121,11 +121,11 @@
         except ValueError as problem:
             log.error("unreadable record %s: %s", found.key, problem)
 
-    def _load_images(self, page: Stored[ImagesRecord], now: timedelta) -> None:
-        self._recorder.versions[page.key] = page.version
+    def _load_images(self, page: VersionedRecord[ImagesRecord], now: timedelta) -> None:
+        self._record_writer.versions[page.key] = page.version
         if page.record is not None:
             self._cluster.load_images(page.record, now)
-            self._recorder.load_images(page.key, page.record, now)
+            self._record_writer.load_images(page.key, page.record, now)
 
     def job_event(self, event: Event, now: timedelta, parts: Mapping[str, Item]) -> None:
         if event.drop is not None:
@@ -152,7 +152,7 @@
         self.job_over(job_id, now)
 
     def job_over(self, job_id: str, now: timedelta) -> None:
-        self._recorder.job_over(self._cluster.jobs.get(job_id))
+        self._record_writer.job_over(self._cluster.jobs.get(job_id))
         self._cluster.job_gone(job_id, now)
 
     def jobs_read(self, items: list[Item], now: timedelta, parts: Mapping[str, Item]) -> None:
--- a/micadeal/controller/feeds.py
+++ b/micadeal/controller/watchers.py
@@ -11,22 +11,22 @@
 
 import curio
 
-from micadeal.clock import seconds, steady
-from micadeal.controller.helpers import Helpers, keep_reading
+from micadeal.clock import monotonic, seconds
+from micadeal.controller.background_tasks import BackgroundTasks, poll_forever
 from micadeal.controller.messages import (
-    CatalogRead,
-    EndRead,
-    JobEvents,
-    JobsRead,
-    ListRead,
-    Loaded,
-    NewSettings,
+    CatalogLoaded,
+    JobEndLoaded,
+    JobsChanged,
+    JobsReloaded,
+    MachineListLoaded,
+    SettingsChanged,
+    StateLoaded,
 )
 from micadeal.fleet.cloud import LIST_EVERY, Cloud
-from micadeal.rollout.levels import Level
-from micadeal.state.service import StateError, StateService, TooOld, Urgency
-from micadeal.stored.descriptions import part_keys
-from micadeal.stored.keys import (
+from micadeal.rollout.feature_level import FeatureLevel
+from micadeal.schema.decoding import VersionedRecord, read, read_one, read_placed
+from micadeal.schema.job_records import part_keys
+from micadeal.schema.keys import (
     DONE,
     ENDS,
     FINISHED,
@@ -38,10 +38,10 @@
     PLACED,
     SETTINGS,
 )
-from micadeal.stored.reading import Stored, read, read_one, read_placed
-from micadeal.waiting import sleep
+from micadeal.state.service import RevisionCompactedError, StateService, StateServiceError, Urgency
+from micadeal.timeouts import sleep
 from micadeal.wire.cloud import ListedMachine, MachineType
-from micadeal.wire.codec import BadMessage
+from micadeal.wire.codec import MessageFormatError
 from micadeal.wire.state import (
     EndRecord,
     Event,
@@ -58,33 +58,33 @@
 CATALOG_EVERY = seconds(60)
 
 
-class Feeds:
+class Watchers:
     def __init__(
         self,
         state: StateService,
         cloud: Cloud,
         tell: Callable[[Any], Awaitable[None]],
-        helpers: Helpers,
+        background_tasks: BackgroundTasks,
         oldest: int,
     ) -> None:
-        """``oldest``: no record of an earlier layout is stored (rollout/levels.py)."""
+        """``oldest``: no record of an earlier layout is stored (rollout/feature_level.py)."""
         self._oldest = oldest
         self._state = state
         self._cloud = cloud
         self._tell = tell
-        self._helpers = helpers
+        self._background_tasks = background_tasks
 
     async def lists(self) -> None:
         async def told(machines: list[ListedMachine]) -> None:
-            await self._tell(ListRead(machines))
+            await self._tell(MachineListLoaded(machines))
 
-        await keep_reading("list of machines", self._cloud.machines, told, LIST_EVERY)
+        await poll_forever("list of machines", self._cloud.machines, told, LIST_EVERY)
 
     async def catalogs(self) -> None:
         async def told(types: list[MachineType]) -> None:
-            await self._tell(CatalogRead(types))
+            await self._tell(CatalogLoaded(types))
 
-        await keep_reading("catalog", self._cloud.catalog, told, CATALOG_EVERY)
+        await poll_forever("catalog", self._cloud.catalog, told, CATALOG_EVERY)
 
     async def load(self) -> None:
         """Read everything, then follow what changes."""
@@ -92,26 +92,26 @@
             try:
                 loaded, revision = await self._read_all()
                 break
-            except StateError as problem:
+            except StateServiceError as problem:
                 log.info("loading: %s", problem)
                 await sleep(seconds(0.3))
         await self._tell(loaded)
-        await self._helpers.spawn(self._follow_settings, revision)
+        await self._background_tasks.spawn(self._follow_settings, revision)
         await self._follow_jobs(revision)
 
-    async def _read_all(self) -> tuple[Loaded, int]:
+    async def _read_all(self) -> tuple[StateLoaded, int]:
         """What only leaders change is read all at once: nobody else leads.  Parts of descriptions
         are read after the jobs that they belong to, or one that was just accepted would lack
         them."""
-        asked = steady()
-        older = (OLD_PLACED, DONE) if self._oldest < Level.FENCED else ()
+        asked = monotonic()
+        older = (OLD_PLACED, DONE) if self._oldest < FeatureLevel.FENCED else ()
         prefixes = (PLACED, IMAGES, LEAVING, FINISHED, *older)
-        found: dict[str, list[Item] | StateError] = {}
+        found: dict[str, list[Item] | StateServiceError] = {}
 
         async def fetch(prefix: str) -> None:
             try:
                 found[prefix], _ = await self._state.range(prefix, Urgency.LEASE)
-            except StateError as problem:
+            except StateServiceError as problem:
                 found[prefix] = problem
 
         async with curio.TaskGroup() as group:
@@ -124,12 +124,12 @@
         def items(prefix: str) -> list[Item]:
             # Guards ``ran_twice``: what could not be fetched is not taken for nothing.
             fetched = found[prefix] if prefix in prefixes else []
-            if isinstance(fetched, StateError):
+            if isinstance(fetched, StateServiceError):
                 raise fetched
             return fetched
 
         placed = read_placed(items(PLACED) + items(OLD_PLACED))
-        loaded = Loaded(
+        loaded = StateLoaded(
             jobs,
             placed,
             read(items(IMAGES), ImagesRecord),
@@ -143,7 +143,7 @@
         return loaded, revision
 
     async def _ended(
-        self, jobs: list[Item], placed: list[Stored[PlacedRecord]]
+        self, jobs: list[Item], placed: list[VersionedRecord[PlacedRecord]]
     ) -> dict[str, EndRecord]:
         """End records of jobs that are over but may have tasks on machines: these count still."""
         alive = {item.key[len(JOBS) :] for item in jobs}
@@ -162,21 +162,21 @@
     async def _follow_jobs(self, revision: int) -> None:
         client = self._state.watch_client()
         while True:
-            asked = steady()
+            asked = monotonic()
             try:
                 found = await self._state.changes(JOBS, revision, WATCH_HOLD, client)
                 parts = await self._parts_of(found.events)
                 revision = max(revision, found.revision)
-                await self._tell(JobEvents(found.events, asked, parts))
-            except TooOld:
+                await self._tell(JobsChanged(found.events, asked, parts))
+            except RevisionCompactedError:
                 try:
                     items, revision = await self._state.range(JOBS, Urgency.PLACEMENT)
                     found_parts, _ = await self._state.range(PARTS, Urgency.PLACEMENT)
                     parts = {item.key: item for item in found_parts}
-                    await self._tell(JobsRead(items, asked, parts))
-                except StateError:
+                    await self._tell(JobsReloaded(items, asked, parts))
+                except StateServiceError:
                     await sleep(seconds(0.3))
-            except StateError as problem:
+            except StateServiceError as problem:
                 log.debug("watch of jobs: %s", problem)
                 await sleep(seconds(0.3))
 
@@ -188,7 +188,7 @@
                 continue
             try:
                 keys = part_keys(event.value, event.put.removeprefix(JOBS))
-            except BadMessage:
+            except MessageFormatError:
                 continue
             for key in keys:
                 item = await self._state.get(key, Urgency.PLACEMENT)
@@ -204,17 +204,17 @@
                 revision = max(revision, found.revision)
                 if not found.events:
                     continue
-            except TooOld:
+            except RevisionCompactedError:
                 revision = 0
-            except StateError:
+            except StateServiceError:
                 await sleep(seconds(2))
                 continue
             try:
                 item = await self._state.get(SETTINGS)
                 if item is not None:
                     revision = max(revision, item.version)
-                await self._tell(NewSettings(item))
-            except StateError:
+                await self._tell(SettingsChanged(item))
+            except StateServiceError:
                 await sleep(seconds(2))
 
     async def read_end(self, job_id: str) -> None:
@@ -222,7 +222,7 @@
             try:
                 item = await self._state.get(ENDS + job_id, Urgency.END)
                 break
-            except StateError as problem:
+            except StateServiceError as problem:
                 log.debug("end of %s: %s", job_id, problem)
                 await sleep(seconds(0.3))
         end: EndRecord | None = None
@@ -230,4 +230,4 @@
             log.info("%s is waited for, and neither alive nor over", job_id)
         else:
             end = read_one(item, EndRecord)
-        await self._tell(EndRead(job_id, end))
+        await self._tell(JobEndLoaded(job_id, end))
--- a/micadeal/fleet/boots.py
+++ b/micadeal/fleet/boot_times.py
@@ -16,8 +16,8 @@
 from statistics import median
 
 from micadeal.clock import ZERO, seconds
-from micadeal.fleet.model import Machine
-from micadeal.fleet.offers import Offer
+from micadeal.fleet.instance_offers import InstanceOffer
+from micadeal.fleet.machines import Machine
 
 #: Boots remembered of an offer, and for how long they tell something.
 REMEMBERED = 64
@@ -34,14 +34,14 @@
 
 
 @dataclass(slots=True)
-class Boots:
+class BootTimes:
     """What was seen of each offer: (rented, time to the first message)."""
 
-    _seen: dict[Offer, deque[tuple[timedelta, timedelta]]] = field(default_factory=dict)
+    _seen: dict[InstanceOffer, deque[tuple[timedelta, timedelta]]] = field(default_factory=dict)
 
     def up(self, machine: Machine, now: timedelta) -> None:
         """A machine has come up of which we know when it was rented."""
-        offer = Offer(machine.machine_type, machine.zone, machine.spot)
+        offer = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
         seen = self._seen.setdefault(offer, deque(maxlen=REMEMBERED))
         seen.append((machine.rented, max(now - machine.rented, ZERO)))
 
@@ -61,7 +61,7 @@
     def _overtakers(self, machine: Machine, now: timedelta) -> list[timedelta]:
         """Boot times of those rented with it or later that are up: of its own offer, or if there
         are too few, of all of its type."""
-        own = Offer(machine.machine_type, machine.zone, machine.spot)
+        own = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
         times = self._since(self._seen.get(own, ()), machine, now)
         if len(times) >= OVERTAKERS:
             return times
--- a/micadeal/fleet/cloud.py
+++ b/micadeal/fleet/cloud.py
@@ -6,11 +6,11 @@
 from typing import TypeVar
 from urllib.parse import quote
 
-from micadeal.clock import ZERO, seconds, steady
+from micadeal.clock import ZERO, monotonic, seconds
 from micadeal.http.message import HttpError
 from micadeal.http.network import Network
 from micadeal.state.budget import Budget
-from micadeal.waiting import sleep
+from micadeal.timeouts import sleep
 from micadeal.wire.cloud import (
     Catalog,
     ListedMachine,
@@ -19,7 +19,7 @@
     MachineType,
     RentalRequest,
 )
-from micadeal.wire.codec import BadMessage, decode, encode
+from micadeal.wire.codec import MessageFormatError, decode, encode
 
 T = TypeVar("T")
 
@@ -34,19 +34,19 @@
     """No usable answer; a rental or release may or may not have happened."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """Refused: nothing was rented."""
 
 
 class Cloud:
     def __init__(self, address: str, rps: float, network: Network) -> None:
         self._client = network.client(address, 3)
-        self._budget = Budget(rps * 0.8, rps * 1.6, steady())
+        self._budget = Budget(rps * 0.8, rps * 1.6, monotonic())
 
     async def _request(
         self, method: str, target: str, body: bytes = b"", *, repeatable: bool = True
     ) -> tuple[int, bytes]:
-        while (wait := self._budget.take(1, steady())) > ZERO:
+        while (wait := self._budget.take(1, monotonic())) > ZERO:
             await sleep(wait)
         try:
             status, answer = await self._client.request(
@@ -55,7 +55,7 @@
         except HttpError as problem:
             raise CloudError(str(problem)) from None
         if status == 429:
-            self._budget.drain(steady())
+            self._budget.drain(monotonic())
         return status, answer
 
     async def catalog(self) -> list[MachineType]:
@@ -68,12 +68,12 @@
         if status == 503:
             try:
                 text = decode(dict[str, str], body).get("error", "")
-            except BadMessage:
+            except MessageFormatError:
                 text = ""
             if text == "no capacity":
-                raise NoCapacity
+                raise NoCapacityError
         if status == 400:
-            raise NoCapacity
+            raise NoCapacityError
         return _read(MachineNames, status, body).machines
 
     async def release(self, names: list[str]) -> None:
@@ -101,5 +101,5 @@
         raise CloudError(f"status {status}: {body[:80]!r}")
     try:
         return decode(kind, body)
-    except BadMessage as problem:
+    except MessageFormatError as problem:
         raise CloudError(f"unreadable answer: {problem}") from None
