--- a/micadeal/fleet/gate.py
+++ b/micadeal/fleet/heartbeat_routing.py
@@ -18,7 +18,7 @@
 REMEMBERED = 2000
 
 
-class Way(Enum):
+class HeartbeatRoute(Enum):
     HERE = "here"
     REDIRECT = "redirect"
     RELAY = "relay"
@@ -33,7 +33,7 @@
     rescued: timedelta | None = None
 
 
-class Gate:
+class HeartbeatRouter:
     """Remembers which workers were redirected and which could not reach the leader."""
 
     def __init__(self) -> None:
@@ -41,12 +41,12 @@
 
     def way(
         self, machine: str, leading: bool, leader: str | None, now: timedelta, knows: bool = False
-    ) -> Way:
+    ) -> HeartbeatRoute:
         """``knows``: the worker has shown the present leader's token."""
         if leading:
-            return Way.HERE
+            return HeartbeatRoute.HERE
         if leader is None:
-            return Way.NOWHERE
+            return HeartbeatRoute.NOWHERE
         seen = self._seen.setdefault(machine, _Seen())
         self._seen.move_to_end(machine)
         while len(self._seen) > REMEMBERED:
@@ -54,17 +54,17 @@
         if seen.leader != leader:
             seen.leader, seen.redirected, seen.relayed, seen.rescued = leader, None, None, None
         if seen.relayed is not None and now - seen.relayed < RELAY_TIME:
-            return Way.RELAY
+            return HeartbeatRoute.RELAY
         if seen.redirected is not None and now - seen.redirected < RETURN_TIME:
-            return Way.RELAY
+            return HeartbeatRoute.RELAY
         if knows and (seen.rescued is None or now - seen.rescued > RESCUE_TIME):
             # It most likely came here since the leader did not answer it for 4 s.  To be sent back
             # at once could cost it as long again, which with the time between two reports is
             # more than a lease.
             seen.rescued, seen.redirected = now, None
-            return Way.RELAY
+            return HeartbeatRoute.RELAY
         seen.redirected = now
-        return Way.REDIRECT
+        return HeartbeatRoute.REDIRECT
 
     def relayed(self, machine: str, now: timedelta) -> None:
         seen = self._seen.get(machine)
--- a/micadeal/fleet/offers.py
+++ b/micadeal/fleet/instance_offers.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 
 from micadeal.clock import seconds
-from micadeal.placement.rooms import allowed, type_fits
+from micadeal.placement.bin_packing import allowed, type_fits
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.users import Submission
 
@@ -19,33 +19,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class InstanceOffer:
     machine_type: str
     zone: str
     spot: bool
 
 
 @dataclass(slots=True)
-class Market:
+class InstanceOffers:
     """The catalog, and a pause for each offer that was refused: doubled with every refusal."""
 
     types: dict[str, MachineType] = field(default_factory=dict)
-    _until: dict[Offer, timedelta] = field(default_factory=dict)
-    _pause: dict[Offer, timedelta] = field(default_factory=dict)
+    _until: dict[InstanceOffer, timedelta] = field(default_factory=dict)
+    _pause: dict[InstanceOffer, timedelta] = field(default_factory=dict)
     #: How many machines we held of an offer when more were refused, and when that was.
-    _most: dict[Offer, tuple[int, timedelta]] = field(default_factory=dict)
+    _most: dict[InstanceOffer, tuple[int, timedelta]] = field(default_factory=dict)
 
-    def refused(self, offer: Offer, held: int, now: timedelta) -> None:
+    def refused(self, offer: InstanceOffer, held: int, now: timedelta) -> None:
         self._most[offer] = (held, now)
         pause = min(self._pause.get(offer, FIRST_PAUSE / 2) * 2, LONGEST_PAUSE)
         self._pause[offer] = pause
         self._until[offer] = now + pause
 
-    def granted(self, offer: Offer) -> None:
+    def granted(self, offer: InstanceOffer) -> None:
         self._pause.pop(offer, None)
         self._until.pop(offer, None)
 
-    def left(self, offer: Offer, held: int, now: timedelta) -> int | None:
+    def left(self, offer: InstanceOffer, held: int, now: timedelta) -> int | None:
         """How many more can be had, as far as the last refusal tells; None: not known.
 
         Guards against renting part of a gang's machines in one zone after the other: each time
@@ -56,17 +56,17 @@
             return None
         return max(0, found[0] - held)
 
-    def paused(self, offer: Offer, now: timedelta) -> bool:
+    def paused(self, offer: InstanceOffer, now: timedelta) -> bool:
         until = self._until.get(offer)
         return until is not None and now < until
 
-    def any_paused(self, now: timedelta) -> list[Offer]:
+    def any_paused(self, now: timedelta) -> list[InstanceOffer]:
         return [offer for offer in self._until if self.paused(offer, now)]
 
     def spot_refused(self, now: timedelta) -> bool:
         """Every spot offer was refused lately: what may use spot may then use ordinary too."""
         spots = [
-            Offer(kind.name, zone, True)
+            InstanceOffer(kind.name, zone, True)
             for kind in self.types.values()
             if kind.spot_price is not None
             for zone in kind.zones
@@ -86,9 +86,9 @@
 
     def choices(
         self, spec: Submission, now: timedelta, present: Counter[str]
-    ) -> Iterator[tuple[Offer, MachineType]]:
+    ) -> Iterator[tuple[InstanceOffer, MachineType]]:
         """Offers for a task: cheapest kind first, then zones with the fewest machines."""
-        found: list[tuple[float, int, str, Offer, MachineType]] = []
+        found: list[tuple[float, int, str, InstanceOffer, MachineType]] = []
         for kind in self.types.values():
             if not type_fits(spec, kind):
                 continue
@@ -97,7 +97,7 @@
                 if price is None:
                     continue
                 for zone in kind.zones:
-                    offer = Offer(kind.name, zone, spot)
+                    offer = InstanceOffer(kind.name, zone, spot)
                     if allowed(spec, kind.name, zone, spot) and not self.paused(offer, now):
                         found.append(
                             (_per_task(spec, kind, price), present[zone], zone, offer, kind)
--- a/micadeal/fleet/model.py
+++ b/micadeal/fleet/machines.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from micadeal.clock import ZERO
-from micadeal.fleet.contact import Contact
+from micadeal.fleet.reachability import Reachability
 from micadeal.wire.state import PlacedTask
 from micadeal.wire.workers import TaskState
 
@@ -36,7 +36,7 @@
     started: bool = False
 
     @property
-    def unstarted(self) -> bool:
+    def may_still_start(self) -> bool:
         """Its task may start yet: it is on its machine from when it has its image."""
         return not self.started and self.state in (None, TaskState.FETCHING)
 
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineShape:
+class FreeCapacity:
     """What is free on a machine, and which images it holds or fetches."""
 
     cpus: float
@@ -84,17 +84,17 @@
     #: When we first knew of it, and its age then as far as known.
     known_since: timedelta
     rented: timedelta
-    session: int = 0
+    incarnation: int = 0
     sequence: int = 0
     #: Receipt of its newest report.
     heard: timedelta | None = None
     #: What its messages prove about our contact with it.
-    contact: Contact = field(default_factory=Contact)
+    reachability: Reachability = field(default_factory=Reachability)
     #: A record of an earlier leader names it, the cloud lists it, or we rented it: it is not known
     #: from reports alone.
-    vouched: bool = True
+    confirmed: bool = True
     #: Its worker has shown our token: answers of older leaders are lost on it.
-    knows_us: bool = False
+    has_our_token: bool = False
     up_since: timedelta | None = None
     notice_end: timedelta | None = None
     attempts: dict[AttemptKey, Attempt] = field(default_factory=dict)
@@ -103,12 +103,12 @@
     #: Images seen on it, by last use.
     images: dict[str, timedelta] = field(default_factory=dict)
     #: For which job tasks were stopped here, and until when others keep off.
-    cleared_for: tuple[str, timedelta] | None = None
+    preempted_for: tuple[str, timedelta] | None = None
     #: The job for which room is gathered here: only production work is added for others.
-    kept_for: str | None = None
+    reserved_for: str | None = None
     #: Gets no new work; returned when empty.
-    leaving: str | None = None
-    release_asked: timedelta | None = None
+    draining: str | None = None
+    release_requested: timedelta | None = None
     #: Silent past its lease: nothing is on it, but it may come back.
     lost: bool = False
     idle_since: timedelta | None = None
@@ -120,7 +120,7 @@
     #: The cloud says that it has booted, whether or not we have heard of it.
     listed_running: bool = False
     #: What a pass derives from the attempts and images on it, kept until one of them changes.
-    shape: MachineShape | None = None
+    shape: FreeCapacity | None = None
     #: Has been in a list; how many lists in a row have missed it since.
     listed: bool = False
     missing_lists: int = 0
@@ -132,9 +132,9 @@
     def usable(self, now: timedelta, silence: timedelta) -> bool:
         """May get new work: up, ours, not leaving, heard from lately, and it hears us."""
         return (
-            self.knows_us
-            and self.leaving is None
-            and not self.contact.deaf
+            self.has_our_token
+            and self.draining is None
+            and not self.reachability.receives_nothing
             and not self.lost
             and self.notice_end is None
             and self.heard is not None
--- a/micadeal/fleet/contact.py
+++ b/micadeal/fleet/reachability.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Contact:
+class Reachability:
     #: Highest token that it has shown.
     token: int = 0
     #: Receipt of its newest message, be it a report or an answer to a command.  Whatever it sent
@@ -45,7 +45,7 @@
     asked: timedelta | None = None
     #: Its worker began anew.  Of such a machine nothing that comes is certain any more: a copy of
     #: what the process before it sent would be taken for news.
-    anew: bool = False
+    restarted: bool = False
 
     def take(self, token: int, now: timedelta) -> None:
         """A newer message was received."""
@@ -68,19 +68,23 @@
         if after and self.missed < MOST_MISSES:
             self.seen()
 
-    def not_told(self, asked: timedelta) -> None:
+    def probe_unanswered(self, asked: timedelta) -> None:
         """It did not answer a question of ours: with an answer that had no effect, that will do."""
         if self.missed_since is not None and asked >= self.missed_since:
             self.missed = max(self.missed, MISSES)
 
     @property
-    def deaf(self) -> bool:
+    def receives_nothing(self) -> bool:
         return self.missed >= MISSES
 
-    def deaf_for(self, now: timedelta) -> timedelta:
-        return ZERO if self.missed_since is None or not self.deaf else now - self.missed_since
+    def receives_nothing_for(self, now: timedelta) -> timedelta:
+        return (
+            ZERO
+            if self.missed_since is None or not self.receives_nothing
+            else now - self.missed_since
+        )
 
-    def proves_anew(self, asked: timedelta | None) -> bool:
+    def proves_restart(self, asked: timedelta | None) -> bool:
         """Whether a message that looks older than one taken before proves that its worker began
         anew: only an answer to a question that was put after that one had come.  Not at the same
         reading of the clock, which moves in steps: the order of the two is not known then."""
--- a/micadeal/http/client.py
+++ b/micadeal/http/client.py
@@ -11,7 +11,7 @@
 from curio import socket
 
 from micadeal.http.message import HttpError
-from micadeal.waiting import within
+from micadeal.timeouts import with_timeout
 from micadeal.wire.address import parse_address
 
 READ_SIZE = 64 * 1024
@@ -126,4 +126,4 @@
 ) -> tuple[int, bytes]:
     """One request on a connection of its own."""
     client = Client(address, keep=0)
-    return await within(timeout, client.request(method, target, body, timeout=timeout))
+    return await with_timeout(timeout, client.request(method, target, body, timeout=timeout))
--- a/micadeal/http/server.py
+++ b/micadeal/http/server.py
@@ -13,7 +13,7 @@
 from curio import socket
 
 from micadeal.http.message import BODY_LIMIT, Answer, HttpError, Request, error
-from micadeal.waiting import sleep, within
+from micadeal.timeouts import sleep, with_timeout
 
 log = logging.getLogger(__name__)
 
@@ -88,7 +88,7 @@
                 if request is None:
                     return
                 reply = await self._handler(request)
-            except _TooLarge:
+            except _BodyTooLargeError:
                 reply = error(400, "body too large")
             except h11.RemoteProtocolError as problem:
                 if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
@@ -114,8 +114,8 @@
         elif isinstance(head, h11.ConnectionClosed):
             return None
         else:
-            return await within(REQUEST_TIME, self._rest(head))
-        return await within(REQUEST_TIME, self._rest(None))
+            return await with_timeout(REQUEST_TIME, self._rest(head))
+        return await with_timeout(REQUEST_TIME, self._rest(None))
 
     async def _rest(self, head: Any) -> Request | None:
         chunks: list[bytes] = []
@@ -134,7 +134,7 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > BODY_LIMIT:
-                    raise _TooLarge
+                    raise _BodyTooLargeError
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 break
@@ -146,7 +146,7 @@
     async def _receive(self, limit: timedelta) -> bool:
         """More bytes from the peer; False when it went away between requests."""
         try:
-            data = await within(limit, self._client.recv(READ_SIZE))
+            data = await with_timeout(limit, self._client.recv(READ_SIZE))
         except (OSError, TimeoutError):
             if self._http.their_state is h11.IDLE:
                 return False
@@ -167,8 +167,8 @@
         data = http.send(h11.Response(status_code=reply.status, headers=headers)) or b""
         data += http.send(h11.Data(data=reply.body)) or b""
         data += http.send(h11.EndOfMessage()) or b""
-        await within(REQUEST_TIME, self._client.sendall(data))
+        await with_timeout(REQUEST_TIME, self._client.sendall(data))
 
 
-class _TooLarge(Exception):
+class _BodyTooLargeError(Exception):
     pass
--- a/micadeal/jobs/pipeline.py
+++ b/micadeal/jobs/dependencies.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class JobEnd:
     """How a job that others need ended."""
 
     done: bool
@@ -32,16 +32,16 @@
 
 
 @dataclass(slots=True)
-class Pipelines:
+class JobDependencies:
     """Kept by the leader over the jobs that it knows; ``jobs`` is its own map of them."""
 
     jobs: dict[str, Job]
     #: Live jobs that need a cancelled one: their own end is to be recorded.  None of them has a
     #: task anywhere, since what it needs was never done.
-    doomed: dict[str, Job] = field(default_factory=dict)
+    cancelled_by_dependency: dict[str, Job] = field(default_factory=dict)
     #: Something happened since ``unread`` was asked for.
     changed: bool = False
-    _ends: dict[str, End] = field(default_factory=dict)
+    _ends: dict[str, JobEnd] = field(default_factory=dict)
     _needed_by: dict[str, dict[str, Job]] = field(default_factory=dict)
     _again: dict[str, timedelta] = field(default_factory=dict)
 
@@ -59,7 +59,7 @@
         self._settle(job)
         self.changed = True
 
-    def ended(self, name: str, end: End) -> None:
+    def ended(self, name: str, end: JobEnd) -> None:
         """The state service holds the end of a job."""
         needing = self._needed_by.get(name)
         if needing is None or name in self._ends:
@@ -71,7 +71,7 @@
 
     def gone(self, job: Job) -> None:
         """A job is over: it needs nothing any more.  What needs it is told by ``ended``."""
-        self.doomed.pop(job.id, None)
+        self.cancelled_by_dependency.pop(job.id, None)
         self._again.pop(job.id, None)
         self.changed = True
         for name in job.spec.prerequisites or ():
@@ -117,7 +117,7 @@
 
     # -- parts -----------------------------------------------------------------------------
 
-    def _apply(self, job: Job, name: str, end: End) -> None:
+    def _apply(self, job: Job, name: str, end: JobEnd) -> None:
         if not end.done:
             self._doom(job)
             return
@@ -129,10 +129,10 @@
         stack = [first]
         while stack:
             job = stack.pop()
-            if job.over or job.doomed:
+            if job.over or job.cancelled_by_dependency:
                 continue
-            job.doomed = True
-            self.doomed[job.id] = job
+            job.cancelled_by_dependency = True
+            self.cancelled_by_dependency[job.id] = job
             self.changed = True
             stack += self._needed_by.get(job.id, {}).values()
 
--- a/micadeal/jobs/model.py
+++ b/micadeal/jobs/model.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 
 from micadeal.clock import ZERO, seconds
-from micadeal.fleet.model import Attempt
+from micadeal.fleet.machines import Attempt
 from micadeal.sharing.order import RANK
 from micadeal.wire.users import Priority, Shape, Submission
 
@@ -31,7 +31,7 @@
     finished: set[int] = field(default_factory=set)
     durable: set[int] = field(default_factory=set)
     #: Keys of the parts of the finished set that the state service holds, or may hold.
-    stored: set[str] = field(default_factory=set)
+    record_keys: set[str] = field(default_factory=set)
     attempts: dict[int, list[Attempt]] = field(default_factory=dict)
     #: No longer in the state service's list of jobs: nothing of it may start any more.
     over: bool = False
@@ -42,10 +42,10 @@
     #: Since when it passes on machines without its image; None: it last started on one with it.
     passed_since: timedelta | None = None
     reasons: Counter[str] = field(default_factory=Counter)
-    #: Jobs that it names and that are not recorded done (``jobs/pipeline.py``).
+    #: Jobs that it names and that are not recorded done (``jobs/dependencies.py``).
     needs: set[str] = field(default_factory=set)
     #: It needs a cancelled job: its own end is about to be recorded.
-    doomed: bool = False
+    cancelled_by_dependency: bool = False
     #: From when its times count: its submission, or the end of the last job that it needs.
     ready: timedelta = field(init=False)
     #: Its own priority, or the highest of the jobs that need it, and which of them has that.
@@ -95,7 +95,7 @@
     @property
     def blocked(self) -> bool:
         """Nothing of it may start: a job that it needs is not recorded done."""
-        return bool(self.needs) or self.doomed
+        return bool(self.needs) or self.cancelled_by_dependency
 
     @property
     def order(self) -> tuple[int, timedelta, str]:
@@ -156,7 +156,7 @@
     def may_start(self) -> bool:
         """Whether a task that was placed may start yet: that may be under way, its image is being
         fetched, or nothing was heard of it."""
-        return any(attempt.unstarted for attempt in self.all_attempts())
+        return any(attempt.may_still_start for attempt in self.all_attempts())
 
     def all_attempts(self) -> Iterator[Attempt]:
         for attempts in self.attempts.values():
@@ -205,7 +205,7 @@
     def complete(self) -> bool:
         return not self.is_service and len(self.finished) >= self.spec.tasks
 
-    def within(self, start: int, size: int) -> frozenset[int]:
+    def with_timeout(self, start: int, size: int) -> frozenset[int]:
         """Finished tasks of a chunk."""
         return frozenset(index for index in self.finished if start <= index < start + size)
 
--- a/micadeal/leadership/election.py
+++ b/micadeal/leadership/election.py
@@ -7,23 +7,23 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from micadeal.clock import ZERO, seconds, steady
+from micadeal.clock import ZERO, monotonic, seconds
 from micadeal.leadership.term import Term
-from micadeal.rollout import seat as seats
+from micadeal.rollout import leader_lock as leader_locks
+from micadeal.rollout.leader_lock import LeaderLock
 from micadeal.rollout.membership import Process
-from micadeal.rollout.seat import Seat
+from micadeal.schema.keys import LEADER, LEADER_LOCK, MEMBER
 from micadeal.state.service import (
-    Conflict,
-    LeaseGone,
-    StateError,
+    ConflictError,
+    LeaseExpiredError,
+    RevisionCompactedError,
     StateService,
-    TooOld,
+    StateServiceError,
     Urgency,
     lease_end,
 )
-from micadeal.stored.keys import LEADER, MEMBER, SEAT
-from micadeal.waiting import sleep
-from micadeal.wire.codec import BadMessage
+from micadeal.timeouts import sleep
+from micadeal.wire.codec import MessageFormatError
 
 log = logging.getLogger(__name__)
 
@@ -42,39 +42,42 @@
 class Elected:
     term: Term
     #: All that was recorded when we stood; the level is as it was then.
-    seat: Seat
+    leader_lock: LeaderLock
 
 
 @dataclass(frozen=True, slots=True)
-class Renewed:
+class LeaderLeaseRenewed:
     token: int
     valid_until: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class Deposed:
+class LeadershipLost:
     token: int
     why: str
 
 
 @dataclass(frozen=True, slots=True)
-class LeaderSeen:
+class LeaderObserved:
     controller: str | None
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class SeatSeen:
-    seat: Seat
+class LeaderLockRead:
+    leader_lock: LeaderLock
 
 
-Listener = Callable[[Elected | Renewed | Deposed | LeaderSeen | SeatSeen], Awaitable[None]]
+Listener = Callable[
+    [Elected | LeaderLeaseRenewed | LeadershipLost | LeaderObserved | LeaderLockRead],
+    Awaitable[None],
+]
 
 
-async def read_seat(state: StateService) -> Seat:
-    items, revision = await state.range(SEAT, Urgency.LEASE)
+async def read_leader_lock(state: StateService) -> LeaderLock:
+    items, revision = await state.range(LEADER_LOCK, Urgency.LEASE)
     leader = await state.get(LEADER, Urgency.LEASE)
-    return seats.read(items if leader is None else [leader, *items], revision)
+    return leader_locks.read(items if leader is None else [leader, *items], revision)
 
 
 class Election:
@@ -90,7 +93,7 @@
         started_at: float,
         state: StateService,
         listener: Listener,
-        deference: Callable[[], timedelta] = lambda: ZERO,
+        election_delay: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
         """``started_at``: time of day; ``deference``: how long to leave an empty seat to others."""
         self._name = name
@@ -98,10 +101,10 @@
         self._started_at = started_at
         self._state = state
         self._listener = listener
-        self._deference = deference
+        self._election_delay = election_delay
         self._watch = state.watch_client()
         self._resigned: str | None = None
-        self._standing = True
+        self._follower_leases = True
         self._registered = False
 
     def resign(self, why: str = "a higher token was seen") -> None:
@@ -110,115 +113,128 @@
 
     def retire(self) -> None:
         """This process is about to end: hand over, and stand no more."""
-        self._standing = False
+        self._follower_leases = False
         self.resign("this process ends")
 
     async def run(self) -> None:
         while True:
             try:
                 await self._round()
-            except (StateError, LeaseGone, Conflict, BadMessage) as problem:
+            except (
+                StateServiceError,
+                LeaseExpiredError,
+                ConflictError,
+                MessageFormatError,
+            ) as problem:
                 log.debug("election: %s", problem)
                 await sleep(timedelta(milliseconds=300))
 
     async def _round(self) -> None:
-        seat = await read_seat(self._state)
-        if not self._registered or MEMBER + self._name not in seat.versions:
+        leader_lock = await read_leader_lock(self._state)
+        if not self._registered or MEMBER + self._name not in leader_lock.versions:
             # Never again otherwise: two processes under one name would go on replacing each other.
-            seat = await self._register(seat)
-        await self._listener(SeatSeen(seat))
-        if seat.taken and seat.leader is not None:
-            if seat.leader.controller == self._name:
+            leader_lock = await self._register(leader_lock)
+        await self._listener(LeaderLockRead(leader_lock))
+        if leader_lock.taken and leader_lock.leader is not None:
+            if leader_lock.leader.controller == self._name:
                 # Our own earlier process, or a transaction of ours that was applied without an
                 # answer: that term is over either way, and nobody need wait for its lease.
-                await self._state.end_lease(seat.lease)
+                await self._state.end_lease(leader_lock.lease)
                 await sleep(timedelta(milliseconds=20))
                 return
-            await self._listener(LeaderSeen(seat.leader.controller, seat.token))
-        elif self._standing and seats.refusal(seat, self._name, self._process) is None:
-            await self._stand(seat)
+            await self._listener(LeaderObserved(leader_lock.leader.controller, leader_lock.token))
+        elif (
+            self._follower_leases
+            and leader_locks.refusal(leader_lock, self._name, self._process) is None
+        ):
+            await self._stand(leader_lock)
             return
-        await self._await_change(seat)
+        await self._await_change(leader_lock)
 
-    async def _register(self, seat: Seat) -> Seat:
+    async def _register(self, leader_lock: LeaderLock) -> LeaderLock:
         """Write the record of our process, before it takes part in anything."""
-        if not seats.registered(seat, self._name, self._process):
-            conditions, changes = seats.registration(
-                seat, self._name, self._process, self._started_at
+        if not leader_locks.registered(leader_lock, self._name, self._process):
+            conditions, changes = leader_locks.registration(
+                leader_lock, self._name, self._process, self._started_at
             )
             await self._state.commit(conditions, changes, Urgency.LEASE)
-            seat = await read_seat(self._state)
+            leader_lock = await read_leader_lock(self._state)
         self._registered = True
-        return seat
+        return leader_lock
 
-    async def _await_change(self, seat: Seat) -> None:
+    async def _await_change(self, leader_lock: LeaderLock) -> None:
         # What ends a term changes there.
-        prefix = SEAT if seat.fenced else LEADER
-        after = seat.revision
+        prefix = LEADER_LOCK if leader_lock.fenced else LEADER
+        after = leader_lock.revision
         while True:
             try:
                 found = await self._state.changes(prefix, after, WATCH_HOLD, self._watch)
-            except TooOld:
+            except RevisionCompactedError:
                 return
-            if any(event.version > seat.revision for event in found.events):
+            if any(event.version > leader_lock.revision for event in found.events):
                 return
             after = max(after, found.revision)
             if not found.events:
                 # A watch that was opened on a connection since cut would never tell: look again.
                 return
 
-    async def _stand(self, seat: Seat) -> None:
-        wait = self._deference()
+    async def _stand(self, leader_lock: LeaderLock) -> None:
+        wait = self._election_delay()
         if wait:
             await sleep(wait)
-            seat = await read_seat(self._state)
-            if seat.taken or seats.refusal(seat, self._name, self._process) is not None:
+            leader_lock = await read_leader_lock(self._state)
+            if (
+                leader_lock.taken
+                or leader_locks.refusal(leader_lock, self._name, self._process) is not None
+            ):
                 return
-        sent = steady()
+        sent = monotonic()
         lease = await self._state.new_lease(LEASE_TIME)
-        conditions, changes = seats.standing(seat, self._name, self._process, lease)
+        conditions, changes = leader_locks.follower_leases(
+            leader_lock, self._name, self._process, lease
+        )
         try:
             token = await self._state.commit(conditions, changes, Urgency.LEASE, STAND_TIME)
-        except Conflict:
+        except ConflictError:
             await self._state.end_lease(lease)
             return
-        except StateError as problem:
+        except StateServiceError as problem:
             # Guards against seconds without a leader where answers are lost: nobody else knows
             # this lease, so a seat that is held by it is ours, and the term has begun.
             log.debug("standing: %s", problem)
-            found = await read_seat(self._state)
+            found = await read_leader_lock(self._state)
             if not found.taken or found.lease != lease:
                 raise
             token = found.token
-        self._resigned = None if self._standing else self._resigned
+        self._resigned = None if self._follower_leases else self._resigned
         term = Term(token, lease, lease_end(sent, LEASE_TIME), None, token)
         log.info("elected with token %d", token)
-        await self._listener(Elected(term, seat))
+        await self._listener(Elected(term, leader_lock))
         why = await self._keep(term, sent)
         log.info("term %d is over: %s", token, why)
-        await self._listener(Deposed(token, why))
+        await self._listener(LeadershipLost(token, why))
 
     async def _keep(self, term: Term, sent: timedelta) -> str:
         """Renew until the lease is gone; an outage alone does not end the term.  ``sent``: when the
         lease was asked for."""
         due = sent + RENEW_EVERY
         while True:
-            while self._resigned is None and steady() < due:
-                await sleep(min(due - steady(), RESIGN_LOOK))
+            while self._resigned is None and monotonic() < due:
+                await sleep(min(due - monotonic(), RESIGN_LOOK))
             if self._resigned is not None:
                 try:
                     await self._state.end_lease(term.lease)
-                except StateError:
+                except StateServiceError:
                     log.debug("the lease of token %d is left to run out", term.token)
                 return self._resigned
-            sent = steady()
+            sent = monotonic()
             due = sent + RENEW_EVERY
             try:
                 await self._state.renew(term.lease, timeout=seconds(0.9))
-            except LeaseGone:
+            except LeaseExpiredError:
                 return "the lease has run out"
-            except StateError as problem:
+            except StateServiceError as problem:
                 log.debug("renewal: %s", problem)
-                due = steady() + seconds(0.2)
+                due = monotonic() + seconds(0.2)
                 continue
-            await self._listener(Renewed(term.token, lease_end(sent, LEASE_TIME)))
+            await self._listener(LeaderLeaseRenewed(term.token, lease_end(sent, LEASE_TIME)))
--- a/micadeal/leadership/standin.py
+++ b/micadeal/leadership/follower_leases.py
@@ -27,7 +27,7 @@
 from datetime import timedelta
 
 from micadeal.clock import DRIFT, seconds
-from micadeal.wire.workers import Order, Report, TaskState, Verb
+from micadeal.wire.workers import Command, CommandKind, Heartbeat, TaskState
 
 #: How long the word given with an answer to a leader's ping holds.  Leaders ping every second.
 ABSTAIN = seconds(4)
@@ -38,9 +38,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timing:
+class RenewalTiming:
     #: After a silence of this length a worker's lease has certainly run out.
-    lease_over: timedelta
+    lease_expiry: timedelta
     #: A task must be gone so long after its user was told "cancelled".
     cancel: timedelta
     #: How many controllers there are.
@@ -58,7 +58,7 @@
         """Whether standing in can be safe and of use here: a cancellation that a consenting
         controller learned of reaches the one that stands in before its consent is over, or the
         workers' leases have run out in time; and there is a majority without the leader."""
-        return self.size >= 3 and self.consent + self.lease_over <= self.cancel
+        return self.size >= 3 and self.consent + self.lease_expiry <= self.cancel
 
     @property
     def settled(self) -> timedelta:
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class RenewalState:
     """What a controller remembers of itself.  A restart forgets it: ``born`` stands for that."""
 
     born: timedelta
@@ -78,13 +78,13 @@
     bound_token: int = 0
     bound_until: timedelta | None = None
 
-    def hear_leader(self, token: int, now: timedelta) -> Memory:
+    def hear_leader(self, token: int, now: timedelta) -> RenewalState:
         """The leader of a term has spoken: we keep quiet for it from now on."""
         if token < self.token:
             return self
         return replace(self, token=token, led=now)
 
-    def bind(self, token: int, until: timedelta) -> Memory:
+    def bind(self, token: int, until: timedelta) -> RenewalState:
         if token < self.bound_token:
             return self
         if token == self.bound_token and self.bound_until is not None:
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class RenewalPromise:
     """What a controller says of itself in answer to a ping; spans count from the answer."""
 
     age: timedelta
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class PeerRenewalView:
     """What we know of one other controller."""
 
     #: When we asked what it answered last; None: it never did, or by a version without words.
@@ -130,22 +130,27 @@
     listed: timedelta | None = None
 
     def hear(
-        self, word: Word | None, asked: timedelta, now: timedelta, token: int, timing: Timing
-    ) -> View:
+        self,
+        word: RenewalPromise | None,
+        asked: timedelta,
+        now: timedelta,
+        token: int,
+        timing: RenewalTiming,
+    ) -> PeerRenewalView:
         """Its answer to our ping; ``token`` is that of the term we led when we asked, else 0."""
         if self.asked is not None and asked < self.asked:
             return self
         quiet = asked + timing.abstain - timing.slack if token else self.quiet_until
         if word is None:
             # The version before: it never stands in, consents or counts lists.
-            return View(asked=asked, quiet_until=quiet)
+            return PeerRenewalView(asked=asked, quiet_until=quiet)
         # A consent says nothing without the list that goes with it.
         consent = word.consent if word.told else 0
         born = now - word.age
         # A process speaks with words from its start on or never: who was started a moment ago
         # itself need not hear an old one for long to know that.
         since = min(asked, born) if self.speaks_since is None else self.speaks_since
-        return View(
+        return PeerRenewalView(
             asked=asked,
             speaks_since=since,
             quiet_until=quiet,
@@ -158,13 +163,15 @@
             listed=asked if word.told else self.listed,
         )
 
-    def keeps_list(self, now: timedelta, timing: Timing) -> bool:
+    def keeps_list(self, now: timedelta, timing: RenewalTiming) -> bool:
         """Whether it has kept a list of cancellations for so long that nothing told by a version
         without lists, which tells "cancelled" by itself, is of any concern."""
         return self.speaks_since is not None and now - self.speaks_since >= timing.settled
 
 
-def synced(memory: Memory, views: Iterable[View], now: timedelta, timing: Timing) -> bool:
+def synced(
+    memory: RenewalState, views: Iterable[PeerRenewalView], now: timedelta, timing: RenewalTiming
+) -> bool:
     """Whether our list of cancellations lacks nothing: what an earlier process of ours had on it
     is over by now, or was given to us by *all* others, whose lists lack nothing."""
     if now - memory.born >= timing.settled:
@@ -172,7 +179,9 @@
     return all(view.told is not None and view.told >= memory.born for view in views)
 
 
-def may_consent(memory: Memory, token: int, synced: bool, now: timedelta, timing: Timing) -> bool:
+def may_consent(
+    memory: RenewalState, token: int, synced: bool, now: timedelta, timing: RenewalTiming
+) -> bool:
     """Whether another controller may be allowed to stand in under ``token``.
 
     Not while our word to that leader, or one that an earlier process of ours gave, still holds.
@@ -181,8 +190,12 @@
     return synced and 0 < token >= memory.token and now - since >= timing.abstain + timing.slack
 
 
-def may_stand_in(
-    memory: Memory, views: Iterable[View], synced: bool, now: timedelta, timing: Timing
+def may_renew_leases(
+    memory: RenewalState,
+    views: Iterable[PeerRenewalView],
+    synced: bool,
+    now: timedelta,
+    timing: RenewalTiming,
 ) -> bool:
     """Whether to answer workers under the token that we were told, with no starts."""
     if not timing.possible or not memory.token:
@@ -198,11 +211,15 @@
     return consents >= timing.majority - 1
 
 
-def may_count_lease_over(
-    token: int, began: timedelta, views: Iterable[View], now: timedelta, timing: Timing
+def may_expire_leases(
+    token: int,
+    began: timedelta,
+    views: Iterable[PeerRenewalView],
+    now: timedelta,
+    timing: RenewalTiming,
 ) -> bool:
     """Whether a leader may take the leases of workers that are silent to it for run out: nobody
-    else can have renewed one in the last ``lease_over``.
+    else can have renewed one in the last ``lease_expiry``.
 
     A term's token is unknown to all before it began, so only what came after that counts.
     """
@@ -210,27 +227,29 @@
     for view in views:
         if view.quiet_until is None or now >= view.quiet_until:
             continue
-        bound = began - timing.lease_over
+        bound = began - timing.lease_expiry
         if view.born is not None and view.born > began:
             # What its earlier process consented to it does not know.
             bound = view.born + timing.consent + timing.slack
         if view.bound_token >= token and view.bound_until is not None:
             bound = max(bound, view.bound_until)
-        words += now - bound > timing.lease_over
+        words += now - bound > timing.lease_expiry
     return words >= timing.majority - 1
 
 
-def stops(report: Report, cancelled: Container[str]) -> list[Order]:
+def stop_commands(heartbeat: Heartbeat, cancelled: Container[str]) -> list[Command]:
     """What to stop of what a worker shows, by whoever answers it without a picture of the jobs."""
-    orders: list[Order] = []
-    for task in report.tasks:
+    commands: list[Command] = []
+    for task in heartbeat.tasks:
         job_id, _, _ = task.task.rpartition("/")
         if job_id in cancelled and task.state != TaskState.EXITED.value:
-            orders.append(Order(Verb.STOP, task.task, task.attempt, 0.0))
-    return orders
+            commands.append(Command(CommandKind.STOP, task.task, task.attempt, 0.0))
+    return commands
 
 
-def all_cancellations_by(views: Iterable[View], now: timedelta, timing: Timing) -> timedelta | None:
+def cancellations_known_until(
+    views: Iterable[PeerRenewalView], now: timedelta, timing: RenewalTiming
+) -> timedelta | None:
     """Up to which instant a controller, itself synced, knows of every cancellation told, if it has
     taken in all lists that it was given; None if it can't say."""
     told: list[timedelta] = []
@@ -244,7 +263,9 @@
     return told[others - 1] if 0 < others <= len(told) else None
 
 
-def listed_by(views: Iterable[View], informed: timedelta | None) -> timedelta | None:
+def cancellations_listed_until(
+    views: Iterable[PeerRenewalView], informed: timedelta | None
+) -> timedelta | None:
     """Up to which instant a leader knows of every cancellation told, if it has taken in all lists
     that it was given, whole or not; None if it can't say.
 
--- a/micadeal/leadership/term.py
+++ b/micadeal/leadership/term.py
@@ -15,7 +15,7 @@
 LAG = timedelta(seconds=5)
 
 
-class Power(Enum):
+class Authority(Enum):
     """What the term allows at an instant."""
 
     #: Everything: start tasks, rent, record ends.
@@ -48,18 +48,18 @@
     #: say so are not read yet.
     informed: timedelta | None
     #: The version of ``leader`` that every write depends on; moves with the level
-    #: (rollout/seat.py).
+    #: (rollout/leader_lock.py).
     fence: int = 0
 
-    def power(
+    def authority(
         self,
         now: timedelta,
         peers: list[PeerContact | None],
         lease_time: timedelta,
         cancel_time: timedelta,
-        told_by: timedelta | None = None,
-    ) -> Power:
-        """``told_by``: up to then every cancellation is known by a majority's lists."""
+        cancellations_known_until: timedelta | None = None,
+    ) -> Authority:
+        """``cancellations_known_until``: up to then a majority's lists hold every cancellation."""
         # A task whose worker we answer lives for a worker's lease after the report.  So answers
         # must end early enough that it is gone ``cancel_time`` after any cancellation that
         # another controller could have accepted unknown to us.  A lease of the state service does
@@ -67,7 +67,9 @@
         # a watch that stands still, an outage that has just ended).
         grace = (cancel_time - lease_time) * (1 - DRIFT) - MARGIN
         informed = self.informed
-        known = [instant for instant in (informed, told_by) if instant is not None]
+        known = [
+            instant for instant in (informed, cancellations_known_until) if instant is not None
+        ]
         if informed is not None and peers:
             # Every peer's word that it has told no user "cancelled" since ``informed`` moves the
             # bound on: so an outage that all share may last for as long as it likes.
@@ -77,9 +79,9 @@
             if len(silent) == len(peers):
                 known.append(min(silent))
         if not known:
-            return Power.NONE
+            return Authority.NONE
         if now < self.valid_until:
             # Where a cancellation has hardly more time than a lease, the ordinary age of what is
             # known would do: a leader in touch must not stop answering for that.
-            return Power.FULL if now < max(known) + max(grace, LAG) else Power.NONE
-        return Power.RENEW_ONLY if now < max(known) + grace else Power.NONE
+            return Authority.FULL if now < max(known) + max(grace, LAG) else Authority.NONE
+        return Authority.RENEW_ONLY if now < max(known) + grace else Authority.NONE
--- a/micadeal/operator/options.py
+++ b/micadeal/operator/options.py
@@ -8,19 +8,24 @@
 
 import msgspec
 
-from micadeal.operator.platform import BadSettings
+from micadeal.operator.platform import InvalidSettingsError
 
 
-class Options(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    #: Followers keep workers' leases alive while nobody can lead (leadership/standin.py).
-    stand_in: bool = False
+class Options(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"renew_leases_as_follower": "stand_in"},
+):
+    #: Followers keep workers' leases alive while nobody can lead (leadership/follower_leases.py).
+    renew_leases_as_follower: bool = False
 
 
 def load(path: Path) -> Options:
-    """Raises ``BadSettings`` with one line that says what is wrong."""
+    """Raises ``InvalidSettingsError`` with one line that says what is wrong."""
     try:
         return msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Options)
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as problem:
-        raise BadSettings(f"{path}: {problem}") from None
+        raise InvalidSettingsError(f"{path}: {problem}") from None
     except msgspec.ValidationError as problem:
-        raise BadSettings(f"{path}: {str(problem).replace('`', chr(39))}") from None
+        raise InvalidSettingsError(f"{path}: {str(problem).replace('`', chr(39))}") from None
--- a/micadeal/operator/platform.py
+++ b/micadeal/operator/platform.py
@@ -15,7 +15,7 @@
 from micadeal.wire.address import parse_address
 
 
-class BadSettings(ValueError):
+class InvalidSettingsError(ValueError):
     """One line that names what is missing or senseless."""
 
 
@@ -139,18 +139,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Workers:
-    report: timedelta
+    heartbeat_interval: timedelta
     lease: timedelta
     gang_wait: timedelta
     gang_peer: timedelta
-    cancel: timedelta
+    cancel_timeout: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
     kind: str
     job_class: str
-    within: timedelta
+    with_timeout: timedelta
 
 
 @dataclass(frozen=True, slots=True)
@@ -178,7 +178,7 @@
     try:
         text = path.read_bytes().decode()
     except (OSError, UnicodeDecodeError) as problem:
-        raise BadSettings(f"{path}: {problem}") from None
+        raise InvalidSettingsError(f"{path}: {problem}") from None
     return parse(text)
 
 
@@ -186,9 +186,9 @@
     try:
         file = msgspec.convert(tomllib.loads(text), _File)
     except tomllib.TOMLDecodeError as problem:
-        raise BadSettings(f"not TOML: {problem}") from None
+        raise InvalidSettingsError(f"not TOML: {problem}") from None
     except msgspec.ValidationError as problem:
-        raise BadSettings(str(problem).replace("`", "'")) from None
+        raise InvalidSettingsError(str(problem).replace("`", "'")) from None
     return _check(file)
 
 
@@ -196,13 +196,13 @@
     try:
         return parse_address(text)
     except ValueError as problem:
-        raise BadSettings(f"{name}: {problem}") from None
+        raise InvalidSettingsError(f"{name}: {problem}") from None
 
 
 def _positive(**values: float) -> None:
     for name, value in values.items():
         if not (math.isfinite(value) and value > 0):
-            raise BadSettings(f"{name.replace('__', '.')} must be above 0, not {value}")
+            raise InvalidSettingsError(f"{name.replace('__', '.')} must be above 0, not {value}")
 
 
 def _sure_limits(now: Limits, coming: _NextState) -> Limits:
@@ -243,21 +243,21 @@
         }
     )
     if not cluster.zones:
-        raise BadSettings("cluster.zones must name at least one zone")
+        raise InvalidSettingsError("cluster.zones must name at least one zone")
     if file.zone not in cluster.zones:
-        raise BadSettings(f"domain {file.zone!r} is not one of cluster.zones")
+        raise InvalidSettingsError(f"domain {file.zone!r} is not one of cluster.zones")
     if workers.lease_s >= workers.cancel_s:
-        raise BadSettings("cluster.workers.cancel_s must be above cluster.workers.lease_s")
+        raise InvalidSettingsError("cluster.workers.cancel_s must be above cluster.workers.lease_s")
     teams: dict[str, Team] = {}
     for team in cluster.teams:
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
             value = getattr(team, name)
             if not (math.isfinite(value) and value >= 0):
-                raise BadSettings(f"team {team.name!r}: {name} must not be negative")
+                raise InvalidSettingsError(f"team {team.name!r}: {name} must not be negative")
         for name in ("cpus", "gpus"):
             most = getattr(team, name + "_max")
             if most and getattr(team, name) > most:
-                raise BadSettings(f"team {team.name!r}: {name} is above {name}_max")
+                raise InvalidSettingsError(f"team {team.name!r}: {name} is above {name}_max")
         teams[team.name] = Team(
             team.name, team.cpus, team.gpus, team.cpus_max or None, team.gpus_max or None
         )
--- a/micadeal/operator/script.py
+++ b/micadeal/operator/script.py
@@ -10,7 +10,7 @@
 
 from micadeal.clock import seconds
 from micadeal.operator.policy import Flexible, Policy, TeamPolicy
-from micadeal.wire.codec import BadMessage, convert
+from micadeal.wire.codec import MessageFormatError, convert
 
 EXAMPLE = """\
 # Every name may be left out.  Durations are in seconds.
@@ -35,7 +35,7 @@
 """
 
 
-class BadScript(ValueError):
+class InvalidScriptError(ValueError):
     """Refused: with file, line and reason."""
 
 
@@ -63,15 +63,15 @@
 
 def _check(name: str, value: float, least: float, most: float) -> None:
     if not (math.isfinite(value) and least <= value <= most):
-        raise BadScript(f"{name} must be between {least:g} and {most:g}, not {value:g}")
+        raise InvalidScriptError(f"{name} must be between {least:g} and {most:g}, not {value:g}")
 
 
 def policy_from_values(values: dict[str, Any]) -> Policy:
-    """Raises ``BadScript``."""
+    """Raises ``InvalidScriptError``."""
     try:
         read = convert(_Values, values)
-    except BadMessage as problem:
-        raise BadScript(str(problem)) from None
+    except MessageFormatError as problem:
+        raise InvalidScriptError(str(problem)) from None
     _check("refresh_s", read.refresh_s, 0.25, 60)
     _check("minimum_timeout_s", read.minimum_timeout_s, 0, 86_400)
     _check("share_timeout_s", read.share_timeout_s, 0, 86_400)
@@ -84,7 +84,7 @@
         if team.minimum_timeout_s is not None:
             _check(f"teams[{name!r}].minimum_timeout_s", team.minimum_timeout_s, 0, 86_400)
         if team.order not in ("priority", "submitted"):
-            raise BadScript(f'teams[{name!r}].order must be "priority" or "submitted"')
+            raise InvalidScriptError(f'teams[{name!r}].order must be "priority" or "submitted"')
         teams[name] = TeamPolicy(
             team.weight,
             team.running_jobs,
@@ -97,7 +97,7 @@
         _check(f"flexible[{name!r}].money", word.money, 0, 1e6)
         _check(f"flexible[{name!r}].carbon", word.carbon, 0, 1e6)
         if not word.money and not word.carbon:
-            raise BadScript(f"flexible[{name!r}] gives weight to neither money nor carbon")
+            raise InvalidScriptError(f"flexible[{name!r}] gives weight to neither money nor carbon")
         flexible[name] = Flexible(word.slack, word.money, word.carbon)
     return Policy(
         seconds(read.refresh_s),
@@ -113,9 +113,9 @@
 
 
 def check_highest_level(value: Any) -> int | None:
-    """Raises ``BadScript``.  None: not held."""
+    """Raises ``InvalidScriptError``.  None: not held."""
     if value is not None and (type(value) is not int or not 0 <= value < 1000):
-        raise BadScript(f"{HIGHEST_LEVEL} must be a whole number from 0 on, not {value!r}")
+        raise InvalidScriptError(f"{HIGHEST_LEVEL} must be a whole number from 0 on, not {value!r}")
     return value
 
 
@@ -123,7 +123,7 @@
     """The values that a script sets, checked, and the highest level that it allows.
 
     The level is none of the values: versions that know of no levels refuse values that they do not
-    know, and would take none of the others up.  Raises ``BadScript``.
+    know, and would take none of the others up.  Raises ``InvalidScriptError``.
     """
     import starlark  # only the command line evaluates scripts: controllers start without it
 
@@ -132,7 +132,7 @@
         tree = starlark.parse(name, script)
         starlark.eval(module, tree, starlark.Globals.standard())
     except starlark.StarlarkError as problem:
-        raise BadScript(str(problem)) from None
+        raise InvalidScriptError(str(problem)) from None
     values: dict[str, Any] = {}
     for key in _Values.__struct_fields__:
         value = module[key]
@@ -141,9 +141,9 @@
     try:
         policy_from_values(values)
         level = check_highest_level(module[HIGHEST_LEVEL])
-    except BadScript as problem:
+    except InvalidScriptError as problem:
         line = _line_of(script, str(problem))
-        raise BadScript(f"{name}:{line}: {problem}") from None
+        raise InvalidScriptError(f"{name}:{line}: {problem}") from None
     return values, level
 
 
--- a/micadeal/placement/rooms.py
+++ b/micadeal/placement/bin_packing.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Room:
+class MachineCapacity:
     name: str
     machine_type: str
     zone: str
@@ -55,20 +55,20 @@
     #: Place in the pass: of equally good rooms the first is taken.
     order: int = 0
     #: The job for which something is being stopped here: no other goes in.
-    cleared_for: str | None = None
-    #: It is not cleared but gathered for that job (scheduling/gathering.py).
+    preempted_for: str | None = None
+    #: It is not cleared but gathered for that job (scheduling/reservations.py).
     kept: bool = False
 
     def fits(self, spec: Submission) -> bool:
         return (
-            (self.cleared_for is None or self.open_to(spec))
+            (self.preempted_for is None or self.open_to(spec))
             and spec.gpus <= self.gpus + EPSILON
             and spec.cpus <= self.cpus + EPSILON
             and spec.memory_gb <= self.memory_gb + EPSILON
         )
 
     def open_to(self, spec: Submission) -> bool:
-        return self.cleared_for == spec.job_id or (
+        return self.preempted_for == spec.job_id or (
             self.kept and spec.priority is Priority.PRODUCTION
         )
 
@@ -136,7 +136,7 @@
         return not self.spec.spread or self.zones[zone] < spread_limit(self.spec)
 
 
-def rank(spec: Submission, room: Room, zones: Counter[str]) -> tuple[float, ...]:
+def rank(spec: Submission, capacity: MachineCapacity, zones: Counter[str]) -> tuple[float, ...]:
     """Smaller is better.
 
     Up before booting before wished; what takes no accelerators where none is left, since the cores
@@ -145,58 +145,60 @@
     fetched, or nothing else being fetched; zones with fewer tasks of the job; then the fullest
     machine, so that others can empty and be returned.
     """
-    if spec.image in room.images:
+    if spec.image in capacity.images:
         image = 0
-    elif spec.image in room.fetching:
+    elif spec.image in capacity.fetching:
         image = 1
     else:
         # Fetches of several images on one machine share its rate: each takes longer.  That is no
         # reason to rent more machines.
-        image = 2 + len(room.fetching) if room.up else 2
-    kind = 0 if room.spot or not spec.spot_allowed else 1
-    stage = 2 if room.wish else 0 if room.up else 1
+        image = 2 + len(capacity.fetching) if capacity.up else 2
+    kind = 0 if capacity.spot or not spec.spot_allowed else 1
+    stage = 2 if capacity.wish else 0 if capacity.up else 1
     # What runs until it is cancelled pays for the empty rest of its machine all the time: it
     # shares one with its like before it looks for its image.
-    alone = 1 if spec.shape is Shape.SERVICE and not room.bound_tasks else 0
-    strands = 1 if not spec.gpus and room.gpus > EPSILON else 0
+    alone = 1 if spec.shape is Shape.SERVICE and not capacity.bound_tasks else 0
+    strands = 1 if not spec.gpus and capacity.gpus > EPSILON else 0
     return (
         stage,
         strands,
         kind,
         alone,
         image,
-        zones[room.zone] if spec.spread else 0,
-        0 if room.tasks else 1,
-        room.gpus,
-        room.cpus,
+        zones[capacity.zone] if spec.spread else 0,
+        0 if capacity.tasks else 1,
+        capacity.gpus,
+        capacity.cpus,
     )
 
 
-def worth_it(spec: Submission, room: Room, batch_on_ordinary: bool) -> bool:
+def worth_it(spec: Submission, capacity: MachineCapacity, batch_on_ordinary: bool) -> bool:
     """An ordinary machine is not kept for work that may run on a cheaper one."""
-    return bool(room.spot or room.bound_tasks or batch_on_ordinary or not spec.spot_allowed)
+    return bool(capacity.spot or capacity.bound_tasks or batch_on_ordinary or not spec.spot_allowed)
 
 
 def choose(
-    spec: Submission, rooms: Iterable[Room], rule: ZoneRule, batch_on_ordinary: bool
-) -> Room | None:
+    spec: Submission, capacities: Iterable[MachineCapacity], rule: ZoneRule, batch_on_ordinary: bool
+) -> MachineCapacity | None:
     """The best room for one more task."""
-    best: Room | None = None
+    best: MachineCapacity | None = None
     best_rank: tuple[float, ...] = ()
-    for room in rooms:
-        if not room.fits(spec) or not allowed(spec, room.machine_type, room.zone, room.spot):
+    for capacity in capacities:
+        if not capacity.fits(spec) or not allowed(
+            spec, capacity.machine_type, capacity.zone, capacity.spot
+        ):
             continue
-        if not rule.permits(room.zone):
+        if not rule.permits(capacity.zone):
             continue
-        if not worth_it(spec, room, batch_on_ordinary):
+        if not worth_it(spec, capacity, batch_on_ordinary):
             continue
-        value = rank(spec, room, rule.zones)
+        value = rank(spec, capacity, rule.zones)
         if best is None or value < best_rank:
-            best, best_rank = room, value
+            best, best_rank = capacity, value
     return best
 
 
-class Picker:
+class MachineRanking:
     """Picks rooms for the tasks of one job, one after the other, as ``choose`` would.
 
     The rooms are ranked once, not anew for each task.  That holds because within a pass rooms only
@@ -207,60 +209,68 @@
     __slots__ = ("_batch_on_ordinary", "_heap", "_rule", "_spec")
 
     def __init__(
-        self, spec: Submission, rooms: Iterable[Room], rule: ZoneRule, batch_on_ordinary: bool
+        self,
+        spec: Submission,
+        capacities: Iterable[MachineCapacity],
+        rule: ZoneRule,
+        batch_on_ordinary: bool,
     ) -> None:
         self._spec = spec
         self._rule = rule
         self._batch_on_ordinary = batch_on_ordinary
-        self._heap: list[tuple[tuple[float, ...], int, str, Room]] = []
-        for room in rooms:
-            if room.fits(spec) and self._open(room):
-                self._heap.append((rank(spec, room, rule.zones), room.order, room.name, room))
+        self._heap: list[tuple[tuple[float, ...], int, str, MachineCapacity]] = []
+        for capacity in capacities:
+            if capacity.fits(spec) and self._open(capacity):
+                self._heap.append(
+                    (rank(spec, capacity, rule.zones), capacity.order, capacity.name, capacity)
+                )
         heapify(self._heap)
 
-    def _open(self, room: Room) -> bool:
+    def _open(self, capacity: MachineCapacity) -> bool:
         spec = self._spec
-        return allowed(spec, room.machine_type, room.zone, room.spot) and worth_it(
-            spec, room, self._batch_on_ordinary
+        return allowed(spec, capacity.machine_type, capacity.zone, capacity.spot) and worth_it(
+            spec, capacity, self._batch_on_ordinary
         )
 
-    def refresh(self, room: Room) -> None:
+    def refresh(self, capacity: MachineCapacity) -> None:
         """Something was booked into the room, or it is new."""
-        if room.fits(self._spec) and self._open(room):
-            value = rank(self._spec, room, self._rule.zones)
-            heappush(self._heap, (value, room.order, room.name, room))
+        if capacity.fits(self._spec) and self._open(capacity):
+            value = rank(self._spec, capacity, self._rule.zones)
+            heappush(self._heap, (value, capacity.order, capacity.name, capacity))
 
-    def best(self) -> Room | None:
+    def best(self) -> MachineCapacity | None:
         """The room for the next task; the caller books it and says so to ``refresh``."""
         while self._heap:
-            value, order, name, room = self._heap[0]
-            if not room.fits(self._spec) or not self._rule.permits(room.zone):
+            value, order, name, capacity = self._heap[0]
+            if not capacity.fits(self._spec) or not self._rule.permits(capacity.zone):
                 # Neither comes back within a pass.
                 heappop(self._heap)
                 continue
-            now = rank(self._spec, room, self._rule.zones)
+            now = rank(self._spec, capacity, self._rule.zones)
             if now == value:
-                return room
-            heapreplace(self._heap, (now, order, name, room))
+                return capacity
+            heapreplace(self._heap, (now, order, name, capacity))
         return None
 
 
 def choose_gang(
-    spec: Submission, rooms: Sequence[Room], batch_on_ordinary: bool
-) -> list[Room] | None:
+    spec: Submission, capacities: Sequence[MachineCapacity], batch_on_ordinary: bool
+) -> list[MachineCapacity] | None:
     """Rooms for all tasks of a gang, or None.  The rooms come back booked.
 
     With ``one_zone`` each zone is tried and the one that can start soonest is taken.
     """
-    by_zone: dict[str | None, list[Room]] = {}
-    for room in rooms:
-        if room.fits(spec) and allowed(spec, room.machine_type, room.zone, room.spot):
-            by_zone.setdefault(room.zone if spec.one_zone else None, []).append(room)
-    best: list[Room] | None = None
+    by_zone: dict[str | None, list[MachineCapacity]] = {}
+    for capacity in capacities:
+        if capacity.fits(spec) and allowed(
+            spec, capacity.machine_type, capacity.zone, capacity.spot
+        ):
+            by_zone.setdefault(capacity.zone if spec.one_zone else None, []).append(capacity)
+    best: list[MachineCapacity] | None = None
     best_cost: tuple[float, ...] = ()
     for zone in sorted(by_zone, key=str):
         fitting = by_zone[zone]
-        if sum(room.places(spec) for room in fitting) < spec.tasks:
+        if sum(capacity.places(spec) for capacity in fitting) < spec.tasks:
             continue
         found = _fill(fitting, spec, batch_on_ordinary)
         if found is None:
@@ -270,28 +280,30 @@
             float(sum(1 for r in found if not r.up)),
             float(sum(1 for r in found if spec.image not in r.images)),
         )
-        for room in found:
-            room.unbook(spec)
+        for capacity in found:
+            capacity.unbook(spec)
         if best is None or cost < best_cost:
             best, best_cost = found, cost
     if best is not None:
-        for room in best:
-            room.book(spec)
+        for capacity in best:
+            capacity.book(spec)
     return best
 
 
-def _fill(rooms: list[Room], spec: Submission, batch_on_ordinary: bool) -> list[Room] | None:
+def _fill(
+    capacities: list[MachineCapacity], spec: Submission, batch_on_ordinary: bool
+) -> list[MachineCapacity] | None:
     rule = ZoneRule(spec)
-    picker = Picker(spec, rooms, rule, batch_on_ordinary)
-    chosen: list[Room] = []
+    picker = MachineRanking(spec, capacities, rule, batch_on_ordinary)
+    chosen: list[MachineCapacity] = []
     for _ in range(spec.tasks):
-        room = picker.best()
-        if room is None:
+        capacity = picker.best()
+        if capacity is None:
             for taken in chosen:
                 taken.unbook(spec)
             return None
-        room.book(spec)
-        rule.zones[room.zone] += 1
-        chosen.append(room)
-        picker.refresh(room)
+        capacity.book(spec)
+        rule.zones[capacity.zone] += 1
+        chosen.append(capacity)
+        picker.refresh(capacity)
     return chosen
--- a/micadeal/rollout/levels.py
+++ b/micadeal/rollout/feature_level.py
@@ -13,7 +13,7 @@
 from micadeal.wire.state import LevelRecord
 
 
-class Level(IntEnum):
+class FeatureLevel(IntEnum):
     #: As the versions that know of no levels write and behave; in force where no record says more.
     FIRST = 0
     #: ``leader`` never vanishes, so those versions can't be elected; finished sets are in small
@@ -29,8 +29,8 @@
     """
 
     name: str
-    lowest: int = int(Level.FIRST)
-    highest: int = int(Level.FENCED)
+    lowest: int = int(FeatureLevel.FIRST)
+    highest: int = int(FeatureLevel.FENCED)
 
     def refusal(self, record: LevelRecord) -> str | None:
         """Why a process of this build may neither lead nor serve users; None: it may."""
--- a/micadeal/rollout/seat.py
+++ b/micadeal/rollout/leader_lock.py
@@ -21,27 +21,27 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from micadeal.rollout.levels import Build, Level, sensible
+from micadeal.rollout.feature_level import Build, FeatureLevel, sensible
 from micadeal.rollout.membership import Process
-from micadeal.stored.keys import HELD, LEADER, LEVEL, MEMBER
-from micadeal.wire.codec import BadMessage, convert
+from micadeal.schema.keys import LEADER, LEVEL, LOCK_HOLDER, MEMBER
+from micadeal.wire.codec import MessageFormatError, convert
 from micadeal.wire.state import (
     Condition,
     Drop,
-    HeldRecord,
     Item,
     LeaderRecord,
     LevelRecord,
+    LockHolderRecord,
     MemberRecord,
     Put,
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class LeaderLock:
     revision: int
     leader: LeaderRecord | None = None
-    held: HeldRecord | None = None
+    held: LockHolderRecord | None = None
     level: LevelRecord = field(default_factory=LevelRecord)
     members: Mapping[str, Process] = field(default_factory=dict)
     #: Versions of all keys, readable or not.
@@ -69,7 +69,7 @@
 
     @property
     def fenced(self) -> bool:
-        return self.level.level >= Level.FENCED
+        return self.level.level >= FeatureLevel.FENCED
 
     @property
     def lease(self) -> int:
@@ -79,92 +79,97 @@
         return 0 if self.leader is None else self.leader.lease
 
 
-def read(items: Iterable[Item], revision: int) -> Seat:
+def read(items: Iterable[Item], revision: int) -> LeaderLock:
     """A damaged record is named, not guessed at: nobody leads by a level that can't be read."""
     versions: dict[str, int] = {}
     members: dict[str, Process] = {}
     damaged: list[str] = []
     leader: LeaderRecord | None = None
-    held: HeldRecord | None = None
+    held: LockHolderRecord | None = None
     level = LevelRecord()
     for item in items:
         versions[item.key] = item.version
         try:
             if item.key == LEADER:
                 leader = convert(LeaderRecord, item.value)
-            elif item.key == HELD:
-                held = convert(HeldRecord, item.value)
+            elif item.key == LOCK_HOLDER:
+                held = convert(LockHolderRecord, item.value)
             elif item.key == LEVEL:
                 found = convert(LevelRecord, item.value)
                 if not sensible(found):
-                    raise BadMessage("no such level")
+                    raise MessageFormatError("no such level")
                 level = found
             elif item.key.startswith(MEMBER):
                 found_member = convert(MemberRecord, item.value)
                 build = Build(found_member.build, found_member.lowest, found_member.highest)
                 members[item.key.removeprefix(MEMBER)] = Process(found_member.process, build)
-        except BadMessage:
+        except MessageFormatError:
             damaged.append(item.key)
-    return Seat(revision, leader, held, level, members, versions, tuple(damaged))
+    return LeaderLock(revision, leader, held, level, members, versions, tuple(damaged))
 
 
-def registered(seat: Seat, name: str, process: Process) -> bool:
-    member = seat.members.get(name)
+def registered(leader_lock: LeaderLock, name: str, process: Process) -> bool:
+    member = leader_lock.members.get(name)
     return member is not None and member.id == process.id
 
 
 def registration(
-    seat: Seat, name: str, process: Process, started_at: float
+    leader_lock: LeaderLock, name: str, process: Process, started_at: float
 ) -> tuple[list[Condition], list[Put | Drop]]:
     """Writes the record of our process; depends on the one before, so that a transaction of an
     earlier process that is applied late can't undo it."""
     key = MEMBER + name
     build = process.build
     record = MemberRecord(process.id, build.name, build.lowest, build.highest, started_at)
-    return [seat.unchanged(key)], [Put(key, record)]
+    return [leader_lock.unchanged(key)], [Put(key, record)]
 
 
-def refusal(seat: Seat, name: str, process: Process) -> str | None:
+def refusal(leader_lock: LeaderLock, name: str, process: Process) -> str | None:
     """Why this process must not stand for the seat, nor serve users; None: it may."""
     for key in (LEVEL, LEADER):
-        if key in seat.damaged:
+        if key in leader_lock.damaged:
             return f"the record {key} can't be read: nobody leads by it until it is mended"
-    refused = process.build.refusal(seat.level)
-    if refused is None and not registered(seat, name, process):
+    refused = process.build.refusal(leader_lock.level)
+    if refused is None and not registered(leader_lock, name, process):
         return f"another process is recorded for {name}"
     return refused
 
 
-def standing(
-    seat: Seat, name: str, process: Process, lease: int
+def follower_leases(
+    leader_lock: LeaderLock, name: str, process: Process, lease: int
 ) -> tuple[list[Condition], list[Put | Drop]]:
     """Takes an empty seat.  Depends on the level and on our own member record, so that neither a
     raise nor a later process of ours can come in between."""
-    conditions = [seat.unchanged(key) for key in (LEADER, LEVEL, MEMBER + name)]
-    if not seat.fenced:
+    conditions = [leader_lock.unchanged(key) for key in (LEADER, LEVEL, MEMBER + name)]
+    if not leader_lock.fenced:
         return conditions, [Put(LEADER, LeaderRecord(name, lease), lease)]
-    conditions.append(Condition(HELD, 0))
+    conditions.append(Condition(LOCK_HOLDER, 0))
     return conditions, [
         Put(LEADER, LeaderRecord(name, lease)),
-        Put(HELD, HeldRecord(name, lease), lease),
+        Put(LOCK_HOLDER, LockHolderRecord(name, lease), lease),
     ]
 
 
 def moving(
-    seat: Seat, to: LevelRecord, name: str, lease: int, token: int, depends_on: Sequence[str]
+    leader_lock: LeaderLock,
+    to: LevelRecord,
+    name: str,
+    lease: int,
+    token: int,
+    depends_on: Sequence[str],
 ) -> tuple[list[Condition], list[Put | Drop]]:
     """Moves the level, as the leader of the term with this token.
 
     ``depends_on``: names of controllers whose member records must be as they were read.
     """
     members = (MEMBER + who for who in depends_on)
-    conditions = [seat.unchanged(key) for key in (LEADER, LEVEL, *members)]
+    conditions = [leader_lock.unchanged(key) for key in (LEADER, LEVEL, *members)]
     leader = LeaderRecord(name, lease, token)
     changes: list[Put | Drop] = [Put(LEVEL, to)]
-    if to.level >= Level.FENCED:
-        changes += [Put(LEADER, leader), Put(HELD, HeldRecord(name, lease), lease)]
+    if to.level >= FeatureLevel.FENCED:
+        changes += [Put(LEADER, leader), Put(LOCK_HOLDER, LockHolderRecord(name, lease), lease)]
     else:
         changes.append(Put(LEADER, leader, lease))
-        if HELD in seat.versions:
-            changes.append(Drop(HELD))
+        if LOCK_HOLDER in leader_lock.versions:
+            changes.append(Drop(LOCK_HOLDER))
     return conditions, changes
--- a/micadeal/rollout/membership.py
+++ b/micadeal/rollout/membership.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from micadeal.clock import seconds
-from micadeal.rollout.levels import Build
+from micadeal.rollout.feature_level import Build
 
 #: A peer that answered a question asked within this time is present.  They are asked every second.
 FRESH = seconds(2.5)
@@ -21,7 +21,7 @@
 ALIKE = seconds(8)
 ROLL = seconds(300)
 #: How long a process that will probably be ended soon leaves an empty seat to others.
-DEFERENCE = seconds(0.4)
+ELECTION_DELAY = seconds(0.4)
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class PeerObservation:
     """What we know of one other controller from its answers to our questions."""
 
     #: None: it never answered, or is of a version that knows of no levels.
@@ -69,11 +69,11 @@
         age: timedelta | None = None,
         state_age: timedelta | None = None,
         reaches: Iterable[str] = (),
-    ) -> Sight:
+    ) -> PeerObservation:
         if self.heard is not None and asked < self.heard:
             return self
         same = self.heard is not None and process == self.process
-        return Sight(
+        return PeerObservation(
             process,
             self.since if same else asked,
             asked,
@@ -93,18 +93,22 @@
         return self.heard - self.since
 
 
-def presence(name: str, sights: Mapping[str, Sight], now: timedelta) -> Presence:
-    sight = sights[name]
-    if sight.present(now):
+def presence(name: str, observations: Mapping[str, PeerObservation], now: timedelta) -> Presence:
+    observation = observations[name]
+    if observation.present(now):
         return Presence.PRESENT
-    others = (other for peer, other in sights.items() if peer != name)
+    others = (other for peer, other in observations.items() if peer != name)
     if any(other.present(now) and name in other.reaches for other in others):
         return Presence.SEEN_BY_OTHERS
-    return Presence.SILENT if sight.heard is not None else Presence.UNSEEN
+    return Presence.SILENT if observation.heard is not None else Presence.UNSEEN
 
 
-def deference(
-    own: Process, born: timedelta, sights: Iterable[Sight], in_touch: timedelta, now: timedelta
+def election_delay(
+    own: Process,
+    born: timedelta,
+    observations: Iterable[PeerObservation],
+    state_reachable: timedelta,
+    now: timedelta,
 ) -> timedelta:
     """How long to leave an empty seat to others before standing for it.
 
@@ -112,13 +116,13 @@
     were a moment ago, will be ended again soon.  Only a help: whoever is not there to stand costs
     this wait, and nothing else.
     """
-    for sight in sights:
-        if sight.process is None or sight.born is None or not sight.present(now):
+    for observation in observations:
+        if observation.process is None or observation.born is None or not observation.present(now):
             continue
-        if sight.state_age is None or sight.state_age > in_touch:
+        if observation.state_age is None or observation.state_age > state_reachable:
             continue
-        later = sight.process.build.highest > own.build.highest
-        younger = sight.born - born > ALIKE and now - sight.born < ROLL
+        later = observation.process.build.highest > own.build.highest
+        younger = observation.born - born > ALIKE and now - observation.born < ROLL
         if later or younger:
-            return DEFERENCE
+            return ELECTION_DELAY
     return timedelta(0)
--- a/micadeal/scheduling/space.py
+++ b/micadeal/scheduling/capacity.py
@@ -6,48 +6,60 @@
 from datetime import timedelta
 
 from micadeal.clock import seconds
-from micadeal.fleet.model import Machine, MachineShape
-from micadeal.fleet.offers import Offer
-from micadeal.placement.rooms import Room
-from micadeal.scheduling.cluster import Cluster
+from micadeal.fleet.instance_offers import InstanceOffer
+from micadeal.fleet.machines import FreeCapacity, Machine
+from micadeal.placement.bin_packing import MachineCapacity
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.cloud import MachineType
 
 #: A machine that has not been heard of for so many report intervals gets no new work.
-SILENT_REPORTS = 2.6
+SILENT_HEARTBEATS = 2.6
 
 
-def build_rooms(cluster: Cluster, now: timedelta, pending: Counter[Offer]) -> list[Room]:
+def build_capacities(
+    cluster: ClusterState, now: timedelta, pending: Counter[InstanceOffer]
+) -> list[MachineCapacity]:
     """Rooms of machines that are up or booting, and of those asked for but not answered yet."""
-    silence = cluster.workers.report * SILENT_REPORTS
-    rooms: list[Room] = []
+    silence = cluster.workers.heartbeat_interval * SILENT_HEARTBEATS
+    capacities: list[MachineCapacity] = []
     for machine in cluster.machines.values():
         kind = cluster.types.get(machine.machine_type)
-        if kind is None or machine.leaving or machine.lost or machine.notice_end is not None:
+        if kind is None or machine.draining or machine.lost or machine.notice_end is not None:
             continue
         usable = machine.usable(now, silence)
-        if not usable and machine.up and (machine.knows_us or _unproven(machine, now, silence)):
+        if (
+            not usable
+            and machine.up
+            and (machine.has_our_token or _unproven(machine, now, silence))
+        ):
             continue
-        if not machine.up and cluster.boots.late(machine, seconds(kind.boot_s), now):
+        if not machine.up and cluster.boot_times.late(machine, seconds(kind.boot_s), now):
             # What waits gets room elsewhere; if it comes after all, it is used or returned.
             continue
-        rooms.append(_room(cluster, machine, kind, usable, len(rooms)))
+        capacities.append(_room(cluster, machine, kind, usable, len(capacities)))
     for offer, count in pending.items():
         kind = cluster.types.get(offer.machine_type)
         if kind is not None:
             for number in range(count):
                 name = f"asked for {offer.zone} {offer.spot} {number}"
-                rooms.append(empty_room(name, offer, kind, len(rooms), wish=False))
-    return rooms
+                capacities.append(empty_capacity(name, offer, kind, len(capacities), wish=False))
+    return capacities
 
 
 def _unproven(machine: Machine, now: timedelta, silence: timedelta) -> bool:
     """Whether a machine that has reported, but not shown our token, should have shown it by now: it
     does not hear us, or is gone and what came was held up by the network."""
-    return machine.contact.deaf or machine.up_since is None or now - machine.up_since > silence
+    return (
+        machine.reachability.receives_nothing
+        or machine.up_since is None
+        or now - machine.up_since > silence
+    )
 
 
-def empty_room(name: str, offer: Offer, kind: MachineType, order: int, wish: bool) -> Room:
-    return Room(
+def empty_capacity(
+    name: str, offer: InstanceOffer, kind: MachineType, order: int, wish: bool
+) -> MachineCapacity:
+    return MachineCapacity(
         name,
         offer.machine_type,
         offer.zone,
@@ -61,12 +73,14 @@
     )
 
 
-def _room(cluster: Cluster, machine: Machine, kind: MachineType, usable: bool, order: int) -> Room:
+def _room(
+    cluster: ClusterState, machine: Machine, kind: MachineType, usable: bool, order: int
+) -> MachineCapacity:
     shape = machine.shape
     if shape is None:
-        # Derived anew only when something on the machine has changed (``Cluster`` clears it).
+        # Derived anew only when something on the machine has changed (``ClusterState`` clears it).
         shape = machine.shape = _shape(cluster, machine, kind)
-    return Room(
+    return MachineCapacity(
         machine.name,
         machine.machine_type,
         machine.zone,
@@ -82,12 +96,12 @@
         shape.bound_tasks,
         0,
         order,
-        machine.kept_for if machine.cleared_for is None else machine.cleared_for[0],
-        machine.cleared_for is None and machine.kept_for is not None,
+        machine.reserved_for if machine.preempted_for is None else machine.preempted_for[0],
+        machine.preempted_for is None and machine.reserved_for is not None,
     )
 
 
-def _shape(cluster: Cluster, machine: Machine, kind: MachineType) -> MachineShape:
+def _shape(cluster: ClusterState, machine: Machine, kind: MachineType) -> FreeCapacity:
     cpus, gpus, memory = kind.cpus, kind.gpus, kind.memory_gb
     bound = 0
     fetching: set[str] = set()
@@ -100,7 +114,7 @@
             bound += 1
         if attempt.running_since is None and spec.image in machine.images:
             fetching.add(spec.image)
-    return MachineShape(
+    return FreeCapacity(
         cpus,
         gpus,
         memory,
@@ -111,7 +125,7 @@
     )
 
 
-def _in_cache(cluster: Cluster, machine: Machine, kind: MachineType) -> set[str]:
+def _in_cache(cluster: ClusterState, machine: Machine, kind: MachineType) -> set[str]:
     """Images that the machine still holds, as far as sizes seen in jobs tell."""
     kept: set[str] = set()
     total = 0.0
--- a/micadeal/scheduling/cluster.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -13,18 +13,18 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from micadeal.clock import DRIFT, ZERO, seconds, steady_at
-from micadeal.fleet.boots import Boots
-from micadeal.fleet.contact import ANSWERED_SHARE
-from micadeal.fleet.model import Attempt, Machine
-from micadeal.fleet.offers import Offer
+from micadeal.clock import DRIFT, ZERO, monotonic_at, seconds
+from micadeal.fleet.boot_times import BootTimes
+from micadeal.fleet.instance_offers import InstanceOffer
+from micadeal.fleet.machines import Attempt, Machine
+from micadeal.fleet.reachability import ANSWERED_SHARE
+from micadeal.jobs.dependencies import JobDependencies, JobEnd
 from micadeal.jobs.model import Job
-from micadeal.jobs.pipeline import End, Pipelines
 from micadeal.operator.platform import Team, Workers
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.state import EndRecord, ImagesRecord, PlacedRecord
 from micadeal.wire.users import Priority, Shape, Status, Submission
-from micadeal.wire.workers import Order, Report, TaskReport, TaskState, Verb
+from micadeal.wire.workers import Command, CommandKind, Heartbeat, TaskState, TaskStatus
 
 log = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
     return job.save_time + GRACE_MARGIN if job.can_save else ZERO
 
 
-def lease_over(workers: Workers) -> timedelta:
+def lease_expiry(workers: Workers) -> timedelta:
     """After a silence of this length a worker's lease has certainly run out."""
     return workers.lease * (1 + 2 * DRIFT) + LEASE_MARGIN
 
@@ -67,12 +67,12 @@
     return attempt.running_since is not None and now - attempt.running_since > PROVEN
 
 
-class HigherToken(Exception):
+class StaleTokenError(Exception):
     """A worker has seen the token of a later leader."""
 
 
 @dataclass(slots=True)
-class Cluster:
+class ClusterState:
     token: int
     workers: Workers
     teams: dict[str, Team]
@@ -98,7 +98,7 @@
     #: Names of machines that are certainly gone: a late report or list brings none back.
     gone: dict[str, timedelta] = field(default_factory=dict)
     #: What boots took lately.
-    boots: Boots = field(default_factory=Boots)
+    boot_times: BootTimes = field(default_factory=BootTimes)
     #: Sums over finished attempts, for the overview and the tests.
     events: Counter[str] = field(default_factory=Counter)
     #: Where timing is switched on: class of each task that ended, and the time that it took as a
@@ -109,11 +109,11 @@
     #: Jobs that turned out to be over, and of which users have to be told so from now on.
     ended: list[str] = field(default_factory=list)
     #: Which of the jobs wait for which others.
-    pipelines: Pipelines = field(init=False)
+    dependencies: JobDependencies = field(init=False)
     _attempts: int = 0
 
     def __post_init__(self) -> None:
-        self.pipelines = Pipelines(self.jobs)
+        self.dependencies = JobDependencies(self.jobs)
 
     # -- jobs ------------------------------------------------------------------------------
 
@@ -123,7 +123,7 @@
         self.image_sizes[job.spec.image] = job.spec.image_gb
         if len(self.image_sizes) > MOST_SIZES:
             del self.image_sizes[next(iter(self.image_sizes))]
-        self.pipelines.add(job)
+        self.dependencies.add(job)
         self.changed = True
 
     def job_gone(self, job_id: str, now: timedelta) -> None:
@@ -131,13 +131,13 @@
 
         Which of the two it is, for jobs that need it, is read from its end.
         """
-        self.pipelines.look_again(job_id)
+        self.dependencies.look_again(job_id)
         job = self.jobs.get(job_id)
         if job is None or job.over:
             return
         job.over = True
         self.ended.append(job_id)
-        self.pipelines.gone(job)
+        self.dependencies.gone(job)
         self.changed = True
         for attempt in list(job.all_attempts()):
             self.stop(attempt, ZERO, now)
@@ -149,7 +149,9 @@
         if job is not None and end.status is Status.DONE:
             job.durable |= job.finished
         self.job_gone(job_id, now)
-        self.pipelines.ended(job_id, End(end.status is Status.DONE, steady_at(end.ended_at, now)))
+        self.dependencies.ended(
+            job_id, JobEnd(end.status is Status.DONE, monotonic_at(end.ended_at, now))
+        )
         self.changed = True
 
     def _forget_job(self, job: Job) -> None:
@@ -233,8 +235,8 @@
                     entry.name, entry.address, entry.machine_type, entry.zone, entry.spot, now, now
                 )
             # Records are immutable, so that of a later session is the later one.
-            if entry.session >= machine.session:
-                machine.session, machine.address = entry.session, entry.address
+            if entry.incarnation >= machine.incarnation:
+                machine.incarnation, machine.address = entry.incarnation, entry.address
             for placed in entry.tasks:
                 job = self._job_or_ghost(placed.job_id)
                 attempt = Attempt(
@@ -270,8 +272,12 @@
 
     # -- reports ---------------------------------------------------------------------------
 
-    def on_report(
-        self, report: Report, now: timedelta, checkin: bool, asked: timedelta | None = None
+    def on_heartbeat(
+        self,
+        heartbeat: Heartbeat,
+        now: timedelta,
+        is_heartbeat: bool,
+        asked: timedelta | None = None,
     ) -> Machine | None:
         """Take a report in; ``checkin`` tells a worker's own report from an answer to a command,
         and ``asked`` when the question of that answer was put.
@@ -279,117 +285,127 @@
         None if it is of a machine that is gone for good, or older than one taken already: then it
         must not be answered as if it were news.
         """
-        if report.token > self.token:
-            raise HigherToken
-        if report.machine in self.gone:
+        if heartbeat.token > self.token:
+            raise StaleTokenError
+        if heartbeat.machine in self.gone:
             return None
-        machine = self.machines.get(report.machine)
+        machine = self.machines.get(heartbeat.machine)
         if machine is None:
-            machine = self._meet(report, now)
-        contact = machine.contact
-        if contact.anew or self._looks_older(machine, report):
+            machine = self._meet(heartbeat, now)
+        reachability = machine.reachability
+        if reachability.restarted or self._looks_older(machine, heartbeat):
             # Held up by the network, or a copy of what came long ago: its list of tasks is as old
             # as itself, and nothing is renewed, freed or woken by it.  Or the worker began anew.
-            if contact.proves_anew(asked):
-                self._began_anew(machine, report, now)
-            elif checkin and not contact.anew and self._no_news(machine, now):
+            if reachability.proves_restart(asked):
+                self._began_anew(machine, heartbeat, now)
+            elif is_heartbeat and not reachability.restarted and self._no_news(machine, now):
                 self.asking.add(machine.name)
             return None
-        if machine.lost and report.session == machine.session:
+        if machine.lost and heartbeat.incarnation == machine.incarnation:
             # Guards against copies that wake machines which are gone: with its lease over, a worker
             # that is there speaks of its next session.  What it shows still counts, see _tasks.
-            checkin = False
+            is_heartbeat = False
         if machine.up_since is None:
             machine.up_since = now
             machine.idle_since = now
             if machine.boot_seen:
-                self.boots.up(machine, now)
+                self.boot_times.up(machine, now)
             self.changed = True
-        self._effects(machine, report, now, checkin)
-        if report.session > machine.session:
+        self._effects(machine, heartbeat, now, is_heartbeat)
+        if heartbeat.incarnation > machine.incarnation:
             machine.exited.clear()
-        machine.session, machine.sequence = report.session, report.sequence
-        machine.address = report.address
-        knew = machine.knows_us
-        machine.knows_us = report.token == self.token
-        if machine.knows_us and not knew:
+        machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
+        machine.address = heartbeat.address
+        knew = machine.has_our_token
+        machine.has_our_token = heartbeat.token == self.token
+        if machine.has_our_token and not knew:
             self.changed = True
-        contact.take(report.token, now)
+        reachability.take(heartbeat.token, now)
         if asked is not None:
-            contact.told(asked)
-        if checkin:
+            reachability.told(asked)
+        if is_heartbeat:
             machine.heard = now
             if machine.lost:
                 machine.lost = False
                 self.changed = True
-        self._notice(machine, report, now)
-        if contact.deaf:
+        self._notice(machine, heartbeat, now)
+        if reachability.receives_nothing:
             self._take_back(machine, now)
-        self._tasks(machine, report, now, checkin)
+        self._tasks(machine, heartbeat, now, is_heartbeat)
         return machine
 
-    def _looks_older(self, machine: Machine, report: Report) -> bool:
+    def _looks_older(self, machine: Machine, heartbeat: Heartbeat) -> bool:
         """Within one process of a worker all three only grow."""
-        known = (machine.session, machine.sequence)
-        return (report.session, report.sequence) <= known or report.token < machine.contact.token
+        known = (machine.incarnation, machine.sequence)
+        return (
+            heartbeat.incarnation,
+            heartbeat.sequence,
+        ) <= known or heartbeat.token < machine.reachability.token
 
     def _no_news(self, machine: Machine, now: timedelta) -> bool:
         """Whether a message that looks old may be all that there will be: else it is a copy, and
         a flood of copies is no reason to ask hundreds of machines."""
-        latest = machine.contact.latest
-        due = latest is None or now - latest > self.workers.report * NEWS_REPORTS
-        return due and machine.contact.may_ask(now)
+        latest = machine.reachability.latest
+        due = latest is None or now - latest > self.workers.heartbeat_interval * NEWS_REPORTS
+        return due and machine.reachability.may_ask(now)
 
-    def _began_anew(self, machine: Machine, report: Report, now: timedelta) -> None:
+    def _began_anew(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> None:
         """Guards against tasks that are thought to run for as long as the sequence of the new
         process is below that of the one before it, and against what copies of the latter would
         seem to show: what the answer does not show is gone, and the machine is given back."""
-        if not machine.contact.anew:
+        if not machine.reachability.restarted:
             log.info("the worker of %s began anew", machine.name)
-            machine.contact.anew = True
-            machine.leaving = "its worker began anew"
+            machine.reachability.restarted = True
+            machine.draining = "its worker began anew"
             machine.exited.clear()
-        shown = {(task.task, task.attempt) for task in report.tasks}
+        shown = {(task.task, task.attempt) for task in heartbeat.tasks}
         for attempt in list(machine.attempts.values()):
             if (attempt.task, attempt.number) in shown:
                 self.stop(attempt, ZERO, now)
-            elif self._ours(attempt) or report.token == self.token:
+            elif self._ours(attempt) or heartbeat.token == self.token:
                 # We order no start as long as reports look old.  A start of an earlier leader may
                 # be on its way to a worker that does not know our token: the cloud makes certain.
                 self._lose(machine, attempt, now)
         self.changed = True
 
-    def _effects(self, machine: Machine, report: Report, now: timedelta, checkin: bool) -> None:
+    def _effects(
+        self, machine: Machine, heartbeat: Heartbeat, now: timedelta, is_heartbeat: bool
+    ) -> None:
         """What the report shows of our last answer: whether it reached the machine.
 
         Guards against a machine that swallows one start after the other.  An answer counts by its
         effect alone, never by having been sent (docs/safety.md).
         """
-        contact = machine.contact
-        ours = report.token == self.token
+        reachability = machine.reachability
+        ours = heartbeat.token == self.token
         starts = [a for a in machine.attempts.values() if a.state is None and a.ordered is not None]
-        if not starts and ours and machine.knows_us and report.session == machine.session:
+        if (
+            not starts
+            and ours
+            and machine.has_our_token
+            and heartbeat.incarnation == machine.incarnation
+        ):
             # Nothing was asked for that could show.
             return
-        shown = {(task.task, task.attempt) for task in report.tasks}
+        shown = {(task.task, task.attempt) for task in heartbeat.tasks}
         took = any((a.task, a.number) in shown for a in starts)
-        if took or (ours and not machine.knows_us):
-            contact.seen()
+        if took or (ours and not machine.has_our_token):
+            reachability.seen()
             return
-        if not checkin or machine.heard is None:
+        if not is_heartbeat or machine.heard is None:
             # It may have been made while the answer was on its way.
             return
-        known = (machine.session, machine.sequence)
+        known = (machine.incarnation, machine.sequence)
         swallowed = any(a.ordered == known and a.stop is None for a in starts)
         ended = (
-            report.session > machine.session
+            heartbeat.incarnation > machine.incarnation
             and now - machine.heard < self.workers.lease * ANSWERED_SHARE
         )
         if swallowed or ended or not ours:
-            contact.unseen(now)
-            if contact.may_ask(now):
+            reachability.unseen(now)
+            if reachability.may_ask(now):
                 self.asking.add(machine.name)
-            self.changed |= contact.deaf
+            self.changed |= reachability.receives_nothing
 
     def _take_back(self, machine: Machine, now: timedelta) -> None:
         """Starts that a deaf machine has not shown go elsewhere, by the ways that are certain: once
@@ -400,27 +416,35 @@
                 self._member_gone(attempt, now)
                 self.stop(attempt, ZERO, now)
 
-    def _meet(self, report: Report, now: timedelta) -> Machine:
+    def _meet(self, heartbeat: Heartbeat, now: timedelta) -> Machine:
         """A machine nobody told us of: a late rental, or one rented by an earlier leader."""
         machine = Machine(
-            report.machine, report.address, report.machine_type, report.zone, report.spot, now, now
+            heartbeat.machine,
+            heartbeat.address,
+            heartbeat.machine_type,
+            heartbeat.zone,
+            heartbeat.spot,
+            now,
+            now,
         )
-        machine.vouched = False
+        machine.confirmed = False
         self.machines[machine.name] = machine
         return machine
 
-    def _notice(self, machine: Machine, report: Report, now: timedelta) -> None:
-        if report.notice_s is None:
+    def _notice(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> None:
+        if heartbeat.notice_s is None:
             machine.notice_end = None
             return
         if machine.notice_end is None:
             self.changed = True
-        machine.notice_end = now + seconds(min(max(report.notice_s, 0.0), 1e6))
+        machine.notice_end = now + seconds(min(max(heartbeat.notice_s, 0.0), 1e6))
 
-    def _tasks(self, machine: Machine, report: Report, now: timedelta, checkin: bool) -> None:
+    def _tasks(
+        self, machine: Machine, heartbeat: Heartbeat, now: timedelta, is_heartbeat: bool
+    ) -> None:
         shown: set[tuple[str, int, int]] = set()
         exited: set[tuple[str, int]] = set()
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             try:
                 job_id, index = split_task(task.task)
             except ValueError:
@@ -436,13 +460,13 @@
         for gone in [key for key in machine.exited if key not in exited]:
             del machine.exited[gone]
         for attempt in [a for key, a in machine.attempts.items() if key not in shown]:
-            if self._absent_for_good(attempt, machine, checkin):
+            if self._absent_for_good(attempt, machine, is_heartbeat):
                 if attempt.state is None:
                     self.release(attempt, now)
                 else:
                     self._lose(machine, attempt, now)
 
-    def _absent_for_good(self, attempt: Attempt, machine: Machine, checkin: bool) -> bool:
+    def _absent_for_good(self, attempt: Attempt, machine: Machine, is_heartbeat: bool) -> bool:
         """Whether an attempt that the newest report does not show can still come to be."""
         if attempt.state is not None:
             # It was there and is not any more: killed with its session, or forgotten.
@@ -451,16 +475,19 @@
             # Its start could only come in an answer of an earlier leader.  The worker drops those
             # once it has seen our token; before that, a report that was held up by the network
             # proves nothing (two leaders, one late report: the task would run twice).
-            return machine.knows_us
+            return machine.has_our_token
         if attempt.ordered is None:
             return False
-        if not checkin:
+        if not is_heartbeat:
             # An answer to a command may be made while the answer with the start is on its way.
             return False
         # The worker has one report in flight.  This one was sent after the answer with the start
         # was taken or given up, and it does not show it.  Unless it is to be stopped, the start
         # is simply ordered again.
-        return attempt.stop is not None and attempt.ordered < (machine.session, machine.sequence)
+        return attempt.stop is not None and attempt.ordered < (
+            machine.incarnation,
+            machine.sequence,
+        )
 
     def _present(
         self, machine: Machine, key: tuple[str, int, int], state: TaskState, now: timedelta
@@ -497,7 +524,7 @@
             self.stop(attempt, ZERO, now)
 
     def _exited(
-        self, machine: Machine, key: tuple[str, int, int], task: TaskReport, now: timedelta
+        self, machine: Machine, key: tuple[str, int, int], task: TaskStatus, now: timedelta
     ) -> None:
         job_id, index, _ = key
         done = task.why == "done"
@@ -545,7 +572,7 @@
         job: Job,
         machine: Machine,
         attempt: Attempt | None,
-        task: TaskReport,
+        task: TaskStatus,
         now: timedelta,
     ) -> None:
         cause = task.why or "unknown"
@@ -579,30 +606,30 @@
 
     # -- orders ----------------------------------------------------------------------------
 
-    def orders_for(self, machine: Machine, now: timedelta, full: bool) -> list[Order]:
+    def commands_for(self, machine: Machine, now: timedelta, full: bool) -> list[Command]:
         """What the answer to the machine's newest report says.  Starts only with ``full`` power,
         and only in such answers: the worker drops those that come late."""
-        orders = self.stops_for(machine)
-        seen = (machine.session, machine.sequence)
+        commands = self.stop_commands_for(machine)
+        seen = (machine.incarnation, machine.sequence)
         if not full:
-            return orders
+            return commands
         for (task, number), (job_id, index, done) in machine.exited.items():
             job = self.jobs.get(job_id)
             if not done or job is None or job.over or job.is_service or index in job.durable:
-                orders.append(Order(Verb.FORGET, task, number))
-        if not machine.knows_us or machine.lost or machine.contact.deaf:
-            return orders
+                commands.append(Command(CommandKind.FORGET, task, number))
+        if not machine.has_our_token or machine.lost or machine.reachability.receives_nothing:
+            return commands
         for attempt in machine.attempts.values():
             if not attempt.durable or not self._ours(attempt):
                 continue
             if attempt.stop is None and attempt.state is None:
                 attempt.ordered = seen
-                orders.append(Order(Verb.START, attempt.task, attempt.number))
-        return orders
+                commands.append(Command(CommandKind.START, attempt.task, attempt.number))
+        return commands
 
-    def stops_for(self, machine: Machine) -> list[Order]:
+    def stop_commands_for(self, machine: Machine) -> list[Command]:
         return [
-            Order(Verb.STOP, a.task, a.number, a.stop.total_seconds())
+            Command(CommandKind.STOP, a.task, a.number, a.stop.total_seconds())
             for a in machine.attempts.values()
             if a.stop is not None and (a.state is not None or not self._ours(a))
         ]
@@ -610,16 +637,16 @@
     # -- time ------------------------------------------------------------------------------
 
     @property
-    def lease_over(self) -> timedelta:
-        return lease_over(self.workers)
+    def lease_expiry(self) -> timedelta:
+        return lease_expiry(self.workers)
 
     def expire(self, now: timedelta) -> None:
         """Machines silent for longer than their lease: nothing is on them any more."""
-        limit = self.lease_over
+        limit = self.lease_expiry
         for machine in list(self.machines.values()):
             # Only a worker that has shown our token: another leader can't have answered it since.
-            latest = machine.contact.latest
-            if machine.lost or latest is None or not machine.knows_us:
+            latest = machine.reachability.latest
+            if machine.lost or latest is None or not machine.has_our_token:
                 continue
             if now - latest > limit:
                 machine.lost = True
@@ -700,10 +727,10 @@
                 entry[1] += count * job.spec.gpus
         return {name: (entry[0], entry[1]) for name, entry in used.items()}
 
-    def held(self) -> Counter[Offer]:
+    def held(self) -> Counter[InstanceOffer]:
         """Machines that we have of each offer."""
         return Counter(
-            Offer(machine.machine_type, machine.zone, machine.spot)
+            InstanceOffer(machine.machine_type, machine.zone, machine.spot)
             for machine in self.machines.values()
         )
 
--- a/micadeal/scheduling/holding.py
+++ b/micadeal/scheduling/deferral.py
@@ -14,11 +14,11 @@
 from micadeal.clock import seconds
 from micadeal.jobs.model import Job
 from micadeal.operator.policy import Flexible, Policy
-from micadeal.placement.rooms import EPSILON
-from micadeal.scheduling.cluster import Cluster
+from micadeal.placement.bin_packing import EPSILON
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.plan import TeamState
 from micadeal.sharing.shares import booked
-from micadeal.timing.errors import Errors
+from micadeal.timing.estimate_errors import EstimateErrors
 from micadeal.timing.series import Quantity, Series
 from micadeal.timing.shift import Hold, Keeper, Pools, Work, latest_safe_start
 from micadeal.timing.signal import SLOT, Profile, Signal, cost_curve
@@ -36,16 +36,16 @@
 MOST_DURATION = timedelta(days=7)
 
 
-class Holding:
+class Deferral:
     """One term's holds.  ``local``: the zone of the clock by which days repeat themselves."""
 
-    def __init__(self, cluster: Cluster, local: tzinfo, drift: timedelta) -> None:
+    def __init__(self, cluster: ClusterState, local: tzinfo, drift: timedelta) -> None:
         self._cluster = cluster
         self._local = local
         #: How far apart clocks of controllers and feeds may be.
         self._drift = drift
         self._signals: dict[tuple[str, Quantity], Signal] = {}
-        self._errors = Errors()
+        self._errors = EstimateErrors()
         self._keepers: dict[str, Keeper] = {}
         self._at: timedelta | None = None
         self._wall = datetime.min
@@ -78,7 +78,7 @@
         teams: Mapping[str, Mapping[str, TeamState]],
         waits: frozenset[str],
         now: timedelta,
-        wall: datetime,
+        utc_now: datetime,
     ) -> None:
         """Choose windows anew, every so often and some jobs at a time; in between ``held`` decides
         on what has come.
@@ -86,7 +86,7 @@
         ``teams``: of the last pass, by resource.  ``waits``: classes that somebody waits for.
         """
         if self._at is None or (not self._queue and now - self._at >= REFRESH):
-            self._at, self._wall = now, wall
+            self._at, self._wall = now, utc_now
             self._policy, self._teams = policy, teams
             self._begin(waits)
         # Guards against a leader that answers nobody for a second: 10,000 jobs take that long.
@@ -94,10 +94,10 @@
             job = self._queue.pop()
             keeper = self._keepers.get(job.spec.job_class)
             if keeper is not None and _may_wait(job):
-                keeper.consider(self._work(job), wall)
+                keeper.consider(self._work(job), utc_now)
 
     def _begin(self, waits: frozenset[str]) -> None:
-        policy, wall = self._policy, self._wall
+        policy, utc_now = self._policy, self._wall
         self._note_short()
         self.learn(self._cluster.ends or ())
         self._cluster.ends = []
@@ -113,8 +113,8 @@
         pools = Pools({name: share for name, share in shares.items() if math.isfinite(share)})
         self._keepers = {name: self._keepers.get(name) or Keeper() for name in by_class}
         for name, jobs in by_class.items():
-            curve = cost_curve(self._weighted(policy.flexible[name]), wall, wall + HORIZON)
-            self._keepers[name].begin({job.id for job in jobs}, curve, wall, pools)
+            curve = cost_curve(self._weighted(policy.flexible[name]), utc_now, utc_now + HORIZON)
+            self._keepers[name].begin({job.id for job in jobs}, curve, utc_now, pools)
         # Taken from the end: the least time comes first.
         self._queue = sorted(everyone, key=lambda job: (job.latest, job.id), reverse=True)
 
@@ -172,9 +172,9 @@
         rounded = SLOT * math.ceil(max(duration / SLOT, 1.0))
         return Work(job.id, parallel, rounded, min(latest, self._wall + HORIZON), _pool(job))
 
-    def _instant(self, steady: timedelta) -> datetime:
+    def _instant(self, monotonic: timedelta) -> datetime:
         assert self._at is not None
-        ahead = min(max(steady - self._at, -timedelta(days=400)), timedelta(days=400))
+        ahead = min(max(monotonic - self._at, -timedelta(days=400)), timedelta(days=400))
         return self._wall + ahead
 
     def place(self, job: Job) -> timedelta | None:
@@ -221,5 +221,5 @@
     state = teams.get(job.resource, {}).get(job.spec.team)
     if state is None:
         return math.inf
-    room = state.minimum or state.share
-    return max(room, job.units) if room > 0 else math.inf
+    capacity = state.minimum or state.share
+    return max(capacity, job.units) if capacity > 0 else math.inf
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -11,10 +11,10 @@
 from datetime import timedelta
 
 from micadeal.clock import ZERO, seconds
-from micadeal.fleet.model import Machine
+from micadeal.fleet.machines import Machine
 from micadeal.jobs.model import Job
-from micadeal.placement.rooms import Room, allowed, fits_into, size_of
-from micadeal.scheduling.cluster import Cluster
+from micadeal.placement.bin_packing import MachineCapacity, allowed, fits_into, size_of
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.users import Submission
 
 #: A job waits for this share of the time that its fetch would take.
@@ -26,7 +26,7 @@
 class Delay:
     """One pass's view of where room is about to come free."""
 
-    def __init__(self, cluster: Cluster, now: timedelta) -> None:
+    def __init__(self, cluster: ClusterState, now: timedelta) -> None:
         self._cluster = cluster
         self._now = now
         self._by_image: dict[str, list[Machine]] | None = None
@@ -34,14 +34,14 @@
         #: Tasks that wait already for room on machines that hold an image.
         self._waiting: dict[str, int] = {}
 
-    def passes(self, job: Job, tasks: int, room: Room) -> bool:
+    def passes(self, job: Job, tasks: int, capacity: MachineCapacity) -> bool:
         """Whether the job, with so many tasks to place, had better wait than fetch its image."""
         spec = job.spec
-        if job.is_service or spec.image in room.images or spec.image in room.fetching:
+        if job.is_service or spec.image in capacity.images or spec.image in capacity.fetching:
             # What runs until it is cancelled leaves nothing for the next one of its kind.
             return False
-        patience = self._patience(spec, room)
-        if patience < self._cluster.workers.report * LEAST_REPORTS:
+        patience = self._patience(spec, capacity)
+        if patience < self._cluster.workers.heartbeat_interval * LEAST_REPORTS:
             return False
         if job.passed_since is not None and self._now - job.passed_since >= patience:
             return False
@@ -53,8 +53,8 @@
             job.passed_since = self._now
         return True
 
-    def _patience(self, spec: Submission, room: Room) -> timedelta:
-        kind = self._cluster.types.get(room.machine_type)
+    def _patience(self, spec: Submission, capacity: MachineCapacity) -> timedelta:
+        kind = self._cluster.types.get(capacity.machine_type)
         if kind is None or kind.fetch_gb_per_s <= 0:
             return ZERO
         return seconds(spec.image_gb / kind.fetch_gb_per_s * SHARE_OF_FETCH)
@@ -88,7 +88,7 @@
         if self._by_image is None:
             self._by_image = {}
             for machine in self._cluster.machines.values():
-                if machine.shape is None or machine.lost or machine.leaving:
+                if machine.shape is None or machine.lost or machine.draining:
                     continue
                 if machine.notice_end is None and machine.up:
                     for image in machine.shape.images:
--- a/micadeal/scheduling/answers.py
+++ b/micadeal/scheduling/explanations.py
@@ -6,10 +6,10 @@
 from datetime import timedelta
 
 from micadeal.clock import seconds
-from micadeal.fleet.model import Machine
+from micadeal.fleet.machines import Machine
 from micadeal.jobs.model import Job
 from micadeal.scheduling.scheduler import Scheduler
-from micadeal.wire.mesh import MachineLine, Overview, StuckJob, TeamLine, WhyAnswer, WhyLine
+from micadeal.wire.peers import MachineLine, Overview, StuckJob, TeamLine, WhyAnswer, WhyLine
 
 #: A job that has waited this long with nothing started, or fails again and again, is stuck.
 STUCK_AFTER = seconds(60)
@@ -78,7 +78,7 @@
         elif attempt.state.value == "waiting":
             starting["waits for the other tasks of the gang to have their image"] += 1
     lines += starting.most_common()
-    paused = scheduler.market.any_paused(now)
+    paused = scheduler.instance_offers.any_paused(now)
     if paused and job.waiting_count():
         places = ", ".join(
             f"{offer.machine_type} {'spot' if offer.spot else 'ordinary'} in {offer.zone}"
@@ -90,7 +90,7 @@
 
 def _prerequisites(scheduler: Scheduler, job: Job) -> list[tuple[str, int]]:
     """What a job waits for: those that run first, a few by name, the others as a count."""
-    if job.doomed:
+    if job.cancelled_by_dependency:
         return [("a job that it needs is cancelled, and it is being cancelled with it", 0)]
     found: list[tuple[int, str, str]] = []
     for name in job.needs:
@@ -116,14 +116,14 @@
     return lines
 
 
-def overview(scheduler: Scheduler, leader: str, now: timedelta, contact: bool) -> Overview:
+def overview(scheduler: Scheduler, leader: str, now: timedelta, reachability: bool) -> Overview:
     cluster = scheduler.cluster
     stuck, stuck_in_all = _stuck(scheduler, now)
     return Overview(
         leader,
         cluster.token,
         (now - cluster.began).total_seconds(),
-        contact,
+        reachability,
         _teams(scheduler),
         dict(scheduler.state_counts(now)),
         stuck,
@@ -192,15 +192,15 @@
     for machine in cluster.machines.values():
         groups.setdefault((machine.machine_type, machine.zone, machine.spot), []).append(machine)
     lines: list[MachineLine] = []
-    silence = cluster.workers.report * 3
+    silence = cluster.workers.heartbeat_interval * 3
     for (kind, zone, spot), machines in sorted(groups.items()):
         line = MachineLine(kind, zone, spot, 0, 0, 0, 0, 0.0, 0.0)
         for machine in machines:
             if not machine.up:
                 line.booting += 1
                 continue
-            if machine.leaving or machine.notice_end is not None:
-                line.leaving += 1
+            if machine.draining or machine.notice_end is not None:
+                line.draining += 1
             elif machine.heard is None or now - machine.heard > silence:
                 line.silent += 1
             else:
@@ -215,29 +215,29 @@
 
 def _notes(scheduler: Scheduler, now: timedelta) -> list[str]:
     notes: list[str] = []
-    for offer in scheduler.market.any_paused(now):
+    for offer in scheduler.instance_offers.any_paused(now):
         kind = "spot" if offer.spot else "ordinary"
         notes.append(f"the cloud refused {offer.machine_type} ({kind}) in {offer.zone} lately")
     faulty: list[str] = []
     taken: list[str] = []
-    deaf: list[str] = []
+    receives_nothing: list[str] = []
     late: list[str] = []
-    boots, types = scheduler.cluster.boots, scheduler.cluster.types
+    boot_times, types = scheduler.cluster.boot_times, scheduler.cluster.types
     for machine in scheduler.cluster.machines.values():
-        if machine.leaving == "faulty":
+        if machine.draining == "faulty":
             faulty.append(machine.name)
         elif machine.notice_end is not None:
             taken.append(machine.name)
-        elif machine.contact.deaf:
-            deaf.append(machine.name)
+        elif machine.reachability.receives_nothing:
+            receives_nothing.append(machine.name)
         elif (
             not machine.up
             and (rig := types.get(machine.machine_type)) is not None
-            and boots.late(machine, seconds(rig.boot_s), now)
+            and boot_times.late(machine, seconds(rig.boot_s), now)
         ):
             late.append(machine.name)
-    if deaf:
-        notes.append(f"report, but don't hear us, and get nothing new: {_named(deaf)}")
+    if receives_nothing:
+        notes.append(f"report, but don't hear us, and get nothing new: {_named(receives_nothing)}")
     if late:
         notes.append(f"boot for much longer than others did: {_named(late)}")
     if faulty:
--- a/micadeal/scheduling/plan.py
+++ b/micadeal/scheduling/plan.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from micadeal.fleet.offers import Offer
+from micadeal.fleet.instance_offers import InstanceOffer
 from micadeal.jobs.model import Job
 from micadeal.operator.policy import Policy
-from micadeal.scheduling.cluster import Cluster
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.sharing.starvation import StarvationTimer
 from micadeal.sharing.victims import Victim
 from micadeal.wire.state import PlacedTask
@@ -30,7 +30,7 @@
 @dataclass(slots=True)
 class Plan:
     placed: list[PlacedTask] = field(default_factory=list)
-    rentals: Counter[Offer] = field(default_factory=Counter)
+    rentals: Counter[InstanceOffer] = field(default_factory=Counter)
     #: Machines, up or booting, on which room is held for something that waits.
     held: set[str] = field(default_factory=set)
     #: For spare room: machines that are kept though nothing waits for them.
@@ -52,9 +52,9 @@
 
 @dataclass(slots=True)
 class Findings:
-    """What a pass leaves to its last step, the choice of victims (``Relief``)."""
+    """What a pass leaves to its last step, the choice of victims (``Preemption``)."""
 
-    cluster: Cluster
+    cluster: ClusterState
     policy: Policy
     timers: dict[tuple[str, str], StarvationTimer]
     now: timedelta
--- a/micadeal/scheduling/relief.py
+++ b/micadeal/scheduling/preemption.py
@@ -8,11 +8,11 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from micadeal.fleet.model import Attempt
+from micadeal.fleet.machines import Attempt
 from micadeal.jobs.model import Job
-from micadeal.placement.rooms import EPSILON, Room, ZoneRule, allowed, size_of
+from micadeal.placement.bin_packing import EPSILON, MachineCapacity, ZoneRule, allowed, size_of
+from micadeal.scheduling.capacity import build_capacities
 from micadeal.scheduling.plan import Findings
-from micadeal.scheduling.space import build_rooms
 from micadeal.sharing.order import RANK
 from micadeal.sharing.shares import booked
 from micadeal.sharing.starvation import StarvationTimer
@@ -39,7 +39,7 @@
     only_low: bool = False
 
 
-class Relief:
+class Preemption:
     """Reads what the pass has found, and adds to its plan whom to stop."""
 
     def __init__(self, found: Findings) -> None:
@@ -50,7 +50,7 @@
         needy = self._needy(usage)
         if not needy:
             return
-        rooms, victims = self._victims()
+        capacities, victims = self._victims()
         kept = self._kept_for_bound()
         scarce = self._found.spot_scarce
         hopeless: set[tuple[object, ...]] = set()
@@ -70,21 +70,21 @@
             }
             rule = ZoneRule(job.spec, self._found.cluster.zones_of(job))
             usable = [
-                room
-                for room in rooms.values()
+                capacity
+                for capacity in capacities.values()
                 # Nor where it failed: a pass would not place it there, so the same victim was
                 # started and stopped again in every pass.
                 # The same held for an ordinary machine on which only the victims are bound to such.
-                if allowed(spec, room.machine_type, room.zone, room.spot)
-                and room.name not in job.errors
+                if allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
+                and capacity.name not in job.errors
                 # For a gang only where all of its room is gathered: a part of it is of no use.
-                and (room.cleared_for == job.id or not job.is_gang or spec.tasks == 1)
-                and (room.spot or not spec.spot_allowed or scarce or room.name in kept)
+                and (capacity.preempted_for == job.id or not job.is_gang or spec.tasks == 1)
+                and (capacity.spot or not spec.spot_allowed or scarce or capacity.name in kept)
             ]
             for _ in range(tasks):
                 if left <= 0:
                     return
-                chosen = self._victims_for(need, rule, usable, rooms, victims, surplus)
+                chosen = self._victims_for(need, rule, usable, capacities, victims, surplus)
                 if chosen is None:
                     if all(map(rule.permits, self._found.present)):
                         hopeless.add(like)
@@ -128,7 +128,7 @@
                 )
         seen: set[str] = set()
         low_left = MOST_LOW if self._low_runs() else 0
-        gathered = {m.kept_for for m in self._found.cluster.machines.values()} - {None}
+        gathered = {m.reserved_for for m in self._found.cluster.machines.values()} - {None}
         for job in self._found.unplaced:
             if job.id in seen or (job.is_gang and job.spec.tasks > 1 and job.id not in gathered):
                 continue
@@ -161,10 +161,10 @@
     def _low_runs(self) -> bool:
         return any(job.rank == LOW and job.attempts for job in self._found.cluster.live_jobs())
 
-    def _victims(self) -> tuple[dict[str, Room], dict[str, list[Victim]]]:
+    def _victims(self) -> tuple[dict[str, MachineCapacity], dict[str, list[Victim]]]:
         """Rooms as they will be when all that is stopping has stopped, and what could be killed."""
-        found = build_rooms(self._found.cluster, self._found.now, Counter())
-        rooms = {room.name: room for room in found if room.up}
+        found = build_capacities(self._found.cluster, self._found.now, Counter())
+        capacities = {capacity.name: capacity for capacity in found if capacity.up}
         by_machine: dict[str, list[Victim]] = {}
         for job in self._found.cluster.live_jobs():
             if job.production or job.is_service:
@@ -193,30 +193,30 @@
                 for name in {a.machine for a in running}:
                     by_machine.setdefault(name, []).append(victim)
         for machine in self._found.cluster.machines.values():
-            room = rooms.get(machine.name)
-            if room is None:
+            capacity = capacities.get(machine.name)
+            if capacity is None:
                 continue
             for attempt in machine.attempts.values():
                 if attempt.stop is not None:
-                    room.unbook(self._found.cluster.jobs[attempt.job_id].spec)
-        return rooms, by_machine
+                    capacity.unbook(self._found.cluster.jobs[attempt.job_id].spec)
+        return capacities, by_machine
 
     def _victims_for(
         self,
         need: _Need,
         rule: ZoneRule,
-        usable: list[Room],
-        rooms: dict[str, Room],
+        usable: list[MachineCapacity],
+        capacities: dict[str, MachineCapacity],
         victims: dict[str, list[Victim]],
         surplus: dict[str, float],
     ) -> list[Victim] | None:
         """Victims for one task; empty if room is about to be free; None if nothing can be done."""
         spec = need.job.spec
-        open_rooms = [room for room in usable if rule.permits(room.zone)]
-        for room in open_rooms:
-            if room.fits(spec):
-                room.book(spec)
-                rule.zones[room.zone] += 1
+        open_rooms = [capacity for capacity in usable if rule.permits(capacity.zone)]
+        for capacity in open_rooms:
+            if capacity.fits(spec):
+                capacity.book(spec)
+                rule.zones[capacity.zone] += 1
                 return []
         permitted = {
             id(victim)
@@ -233,13 +233,13 @@
         for victim in chosen:
             surplus[victim.team] = surplus.get(victim.team, 0.0) - victim.units
             for machine, cpus, gpus, memory in victim.frees:
-                if (freed := rooms.get(machine)) is not None:
+                if (freed := capacities.get(machine)) is not None:
                     freed.cpus += cpus
                     freed.gpus += gpus
                     freed.memory_gb += memory
-        for room in open_rooms:
-            if room.fits(spec):
-                room.book(spec)
-                rule.zones[room.zone] += 1
+        for capacity in open_rooms:
+            if capacity.fits(spec):
+                capacity.book(spec)
+                rule.zones[capacity.zone] += 1
                 break
         return chosen
--- a/micadeal/scheduling/gathering.py
+++ b/micadeal/scheduling/reservations.py
@@ -22,13 +22,13 @@
 from datetime import timedelta
 
 from micadeal.clock import seconds
-from micadeal.fleet.model import Attempt, Machine
-from micadeal.fleet.offers import Market, Offer
+from micadeal.fleet.instance_offers import InstanceOffer, InstanceOffers
+from micadeal.fleet.machines import Attempt, Machine
 from micadeal.jobs.model import Job
 from micadeal.operator.policy import Policy
-from micadeal.placement.rooms import EPSILON, allowed, fits_into, type_fits
-from micadeal.scheduling.cluster import Cluster
-from micadeal.scheduling.space import SILENT_REPORTS
+from micadeal.placement.bin_packing import EPSILON, allowed, fits_into, type_fits
+from micadeal.scheduling.capacity import SILENT_HEARTBEATS
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.sharing.order import RANK
 from micadeal.wire.users import Priority
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gathered:
+class Reservation:
     """The machines that are kept for a job, and the zone if it wants one."""
 
     machines: frozenset[str]
@@ -69,17 +69,17 @@
     return job.spec.tasks if job.is_gang else 1
 
 
-class Gathering:
+class GangReservations:
     """One term's choice of machines; ``look`` before a pass."""
 
     def __init__(self) -> None:
-        self.sets: dict[str, Gathered] = {}
+        self.sets: dict[str, Reservation] = {}
         self._looked: timedelta | None = None
 
     def look(
         self,
-        cluster: Cluster,
-        market: Market,
+        cluster: ClusterState,
+        instance_offers: InstanceOffers,
         policy: Policy,
         content: Iterable[tuple[str, str]],
         short: Iterable[tuple[str, str]],
@@ -91,14 +91,16 @@
         if self._looked is not None and now - self._looked < LOOK_EVERY:
             return
         self._looked = now
-        waiting = self._waiting(cluster, market, policy, frozenset(content), frozenset(short), now)
-        found: dict[str, Gathered] = {}
+        waiting = self._waiting(
+            cluster, instance_offers, policy, frozenset(content), frozenset(short), now
+        )
+        found: dict[str, Reservation] = {}
         if waiting:
             places = _Places(cluster, now)
             most = len(cluster.machines) * MOST_KEPT
             taken: set[str] = set()
             for job in waiting[:MOST_GATHERING]:
-                chosen = self._choose(job, places, market, scarce, taken, now)
+                chosen = self._choose(job, places, instance_offers, scarce, taken, now)
                 if chosen is None:
                     continue
                 more = found and job.id not in self.sets
@@ -118,8 +120,8 @@
         self.sets = found
         kept = {name: job_id for job_id, entry in found.items() for name in entry.machines}
         for machine in cluster.machines.values():
-            if machine.kept_for != (job_id := kept.get(machine.name)):
-                machine.kept_for = job_id
+            if machine.reserved_for != (job_id := kept.get(machine.name)):
+                machine.reserved_for = job_id
                 cluster.changed = True
 
     def kept(self) -> set[str]:
@@ -127,8 +129,8 @@
 
     def _waiting(
         self,
-        cluster: Cluster,
-        market: Market,
+        cluster: ClusterState,
+        instance_offers: InstanceOffers,
         policy: Policy,
         content: frozenset[tuple[str, str]],
         short: frozenset[tuple[str, str]],
@@ -152,7 +154,7 @@
                 continue
             if job.production or not job.waiting_count() or job.spec.team not in cluster.teams:
                 continue
-            if need(job) == 1 and market.most_on_one(job.spec) > 1:
+            if need(job) == 1 and instance_offers.most_on_one(job.spec) > 1:
                 # Whatever comes free is of use to it: its turn is all that it waits for.
                 continue
             if key in content and waited < policy.gather_late and not chosen:
@@ -167,18 +169,18 @@
         self,
         job: Job,
         places: _Places,
-        market: Market,
+        instance_offers: InstanceOffers,
         scarce: bool,
         taken: set[str],
         now: timedelta,
-    ) -> Gathered | None:
+    ) -> Reservation | None:
         """The machines on which the job's room comes together soonest; None if nowhere."""
         spec = job.spec
         before = self.sets.get(job.id)
         zones: dict[str | None, list[tuple[float, str]]] = {}
         for machine in places.machines():
             if machine.name in taken or (
-                machine.cleared_for is not None and machine.cleared_for[0] != job.id
+                machine.preempted_for is not None and machine.preempted_for[0] != job.id
             ):
                 continue
             if not allowed(spec, machine.machine_type, machine.zone, machine.spot):
@@ -188,31 +190,31 @@
             bonus = KEPT_BONUS_S if before is not None and machine.name in before.machines else 0.0
             entry = zones.setdefault(machine.zone if spec.one_zone else None, [])
             entry += [(at - bonus, machine.name) for at in places.free_at(machine, job)]
-        best: Gathered | None = None
+        best: Reservation | None = None
         best_at = 0.0
         wanted = need(job)
         for zone in sorted(zones, key=str):
             soonest = sorted(zones[zone])[:wanted]
             lacking = wanted - len(soonest)
-            if lacking and not _rentable(job, zone, lacking, market, places.held, now):
+            if lacking and not _rentable(job, zone, lacking, instance_offers, places.held, now):
                 continue
             at = RENTED_S if lacking else soonest[-1][0]
             if before is not None and before.zone == zone:
                 at -= SAME_ZONE_S
             if best is None or at < best_at:
                 names = frozenset(name for _, name in soonest)
-                best, best_at = Gathered(names, zone, lacking), at
+                best, best_at = Reservation(names, zone, lacking), at
         return best
 
 
 class _Places:
     """When machines have room for a job's tasks, if nothing is added to them."""
 
-    def __init__(self, cluster: Cluster, now: timedelta) -> None:
+    def __init__(self, cluster: ClusterState, now: timedelta) -> None:
         self._cluster = cluster
         self._now = now
         self.held = cluster.held()
-        silence = cluster.workers.report * SILENT_REPORTS
+        silence = cluster.workers.heartbeat_interval * SILENT_HEARTBEATS
         self._usable = [m for m in cluster.machines.values() if m.usable(now, silence)]
 
     def machines(self) -> list[Machine]:
@@ -234,7 +236,7 @@
             memory -= other.spec.memory_gb
             left = _left(other, attempt, self._now)
             if left is not None and other.rank > job.rank and other.rank == LOW:
-                # It gives way at once (scheduling/relief.py).
+                # It gives way at once (scheduling/preemption.py).
                 left = min(left, STOPPING_S + other.spec.save_s)
             if left is not None:
                 ending.append((left, other))
@@ -271,7 +273,7 @@
     return estimate - ran if ran < estimate else max(ran * OVERDUE, STOPPING_S)
 
 
-def _within_limits(job: Job, cluster: Cluster, usage: dict[str, tuple[float, float]]) -> bool:
+def _within_limits(job: Job, cluster: ClusterState, usage: dict[str, tuple[float, float]]) -> bool:
     team, spec, count = cluster.teams[job.spec.team], job.spec, need(job)
     cpus, gpus = usage[team.name]
     return not (
@@ -281,14 +283,19 @@
 
 
 def _rentable(
-    job: Job, zone: str | None, count: int, market: Market, held: Counter[Offer], now: timedelta
+    job: Job,
+    zone: str | None,
+    count: int,
+    instance_offers: InstanceOffers,
+    held: Counter[InstanceOffer],
+    now: timedelta,
 ) -> bool:
     """Whether the cloud may have so many machines more for the job."""
-    per_machine = market.most_on_one(job.spec)
+    per_machine = instance_offers.most_on_one(job.spec)
     machines = -(-count // per_machine)
-    for offer, _ in market.choices(job.spec, now, Counter()):
+    for offer, _ in instance_offers.choices(job.spec, now, Counter()):
         if zone in (None, offer.zone):
-            left = market.left(offer, held[offer], now)
+            left = instance_offers.left(offer, held[offer], now)
             if left is None or left >= machines:
                 return True
     return False
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -11,26 +11,26 @@
 from typing import TYPE_CHECKING
 
 from micadeal.clock import ZERO, seconds
-from micadeal.fleet.model import Attempt, Machine
-from micadeal.fleet.offers import Market, Offer
+from micadeal.fleet.instance_offers import InstanceOffer, InstanceOffers
+from micadeal.fleet.machines import Attempt, Machine
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Objective
 from micadeal.operator.policy import Policy
-from micadeal.placement.rooms import EPSILON
-from micadeal.scheduling.cluster import Cluster, grace_to_save
-from micadeal.scheduling.gathering import Gathering
-from micadeal.scheduling.passes import Pass
+from micadeal.placement.bin_packing import EPSILON
+from micadeal.scheduling.capacity import SILENT_HEARTBEATS
+from micadeal.scheduling.cluster_state import ClusterState, grace_to_save
 from micadeal.scheduling.plan import Expected, Plan
-from micadeal.scheduling.space import SILENT_REPORTS
+from micadeal.scheduling.reservations import GangReservations
+from micadeal.scheduling.scheduling_cycle import SchedulingCycle
 from micadeal.sharing.starvation import StarvationTimer
 from micadeal.wire.cloud import ListedMachine, MachineType, RentalRequest
-from micadeal.wire.mesh import Counts
+from micadeal.wire.peers import Counts
 from micadeal.wire.users import Submission
-from micadeal.wire.workers import Order, Report
+from micadeal.wire.workers import Command, Heartbeat
 
 if TYPE_CHECKING:
     # Imported where timing is switched on: others start without it.
-    from micadeal.scheduling.holding import Holding
+    from micadeal.scheduling.deferral import Deferral
 
 log = logging.getLogger(__name__)
 
@@ -41,7 +41,7 @@
 #: and the fetch of its images, and makes work wait for both.
 IDLE_SHARE = 0.5
 #: A silent machine is given back when its lease and this have passed.
-SILENT_PATIENCE = seconds(45)
+UNREACHABLE_PATIENCE = seconds(45)
 #: A machine whose announced end has passed is taken to be gone after so many report intervals.
 TAKEN_REPORTS = 1.5
 #: A machine that is known from a report alone, and does not answer, is given back after so many.
@@ -101,27 +101,27 @@
 
 
 class Scheduler:
-    """One term's decisions.  ``tick`` is called often, ``run_pass`` when it is wanted."""
+    """One term's decisions.  ``tick`` is called often, ``run_cycle`` when it is wanted."""
 
     def __init__(
         self,
-        cluster: Cluster,
-        market: Market,
+        cluster: ClusterState,
+        instance_offers: InstanceOffers,
         policy: Policy,
         objectives: Iterable[Objective],
         now: timedelta,
     ) -> None:
         self.cluster = cluster
-        self.market = market
+        self.instance_offers = instance_offers
         self.policy = policy
         self.objectives = tuple(objectives)
         self.timers: dict[tuple[str, str], StarvationTimer] = {}
-        self.gathering = Gathering()
+        self.gathering = GangReservations()
         #: Teams whose last start went to a job that had waited long.
         self._by_age: set[str] = set()
         self.plan = Plan()
         #: Rentals asked for and not answered yet, one for each offer at most.
-        self.rentals: dict[Offer, RentalRequest] = {}
+        self.rentals: dict[InstanceOffer, RentalRequest] = {}
         #: Machines to be returned; stays filled until the cloud confirms.
         self.releases: set[str] = set()
         self.listed = False
@@ -138,14 +138,14 @@
         #: Shares of the machines whose first reports are still waited for, to be logged.
         self._hearing = list(HEARD_SHARES)
         #: Holds flexible work for better hours; None: that is switched off.
-        self.holding: Holding | None = None
+        self.holding: Deferral | None = None
         self._waited_for = frozenset(o.job_class for o in self.objectives if o.kind == "wait")
 
     # -- events ----------------------------------------------------------------------------
 
     def set_catalog(self, types: Iterable[MachineType]) -> None:
-        self.market.types = {kind.name: kind for kind in types}
-        self.cluster.types = self.market.types
+        self.instance_offers.types = {kind.name: kind for kind in types}
+        self.cluster.types = self.instance_offers.types
         self.cluster.changed = True
 
     def job_added(self, job: Job, now: timedelta) -> None:
@@ -165,19 +165,19 @@
         tasks = job.spec.tasks
         if job.is_gang:
             # A large gang needs more room at once than is likely to be left: a machine's worth.
-            tasks = min(tasks, self.market.most_on_one(job.spec))
+            tasks = min(tasks, self.instance_offers.most_on_one(job.spec))
         arrivals.times.append((max(job.submitted, now - seconds(600)), tasks))
         arrivals.spec = job.spec
         arrivals.images.append(job.spec.image)
 
-    def on_report(
-        self, report: Report, now: timedelta, *, checkin: bool, full: bool
-    ) -> list[Order] | None:
+    def on_heartbeat(
+        self, heartbeat: Heartbeat, now: timedelta, *, is_heartbeat: bool, full: bool
+    ) -> list[Command] | None:
         """Orders for the answer; None if the machine is gone for good or the report is old."""
-        machine = self.cluster.on_report(report, now, checkin)
+        machine = self.cluster.on_heartbeat(heartbeat, now, is_heartbeat)
         if machine is None:
             return None
-        return self.cluster.orders_for(machine, now, full) if checkin else []
+        return self.cluster.commands_for(machine, now, full) if is_heartbeat else []
 
     def on_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
         self.listed = True
@@ -203,7 +203,7 @@
             machine.rented = min(machine.rented, now - seconds(entry.age_s))
             machine.address = machine.address or entry.address
             machine.missing_lists = 0
-            machine.listed = machine.vouched = True
+            machine.listed = machine.confirmed = True
             machine.listed_failed |= entry.status == "failed"
             machine.listed_running |= entry.status == "running"
             machine.boot_seen |= entry.status == "booting" and not machine.up
@@ -212,9 +212,9 @@
                 machine.missing_lists += 1
 
     def rented(self, request: RentalRequest, names: list[str], now: timedelta) -> None:
-        offer = Offer(request.machine_type, request.zone, request.spot)
+        offer = InstanceOffer(request.machine_type, request.zone, request.spot)
         self.rentals.pop(offer, None)
-        self.market.granted(offer)
+        self.instance_offers.granted(offer)
         for name in names:
             if name in self.cluster.gone:
                 continue
@@ -224,15 +224,15 @@
                     name, "", request.machine_type, request.zone, request.spot, now, now
                 )
                 machine.boot_seen = True
-            machine.vouched = True
+            machine.confirmed = True
         if len(names) < request.count:
-            self.market.refused(offer, self.cluster.held()[offer], now)
+            self.instance_offers.refused(offer, self.cluster.held()[offer], now)
         self.cluster.changed = True
 
     def rental_refused(self, request: RentalRequest, now: timedelta) -> None:
-        offer = Offer(request.machine_type, request.zone, request.spot)
+        offer = InstanceOffer(request.machine_type, request.zone, request.spot)
         self.rentals.pop(offer, None)
-        self.market.refused(offer, self.cluster.held()[offer], now)
+        self.instance_offers.refused(offer, self.cluster.held()[offer], now)
         self.cluster.changed = True
 
     def released(self, names: Iterable[str], now: timedelta) -> None:
@@ -248,16 +248,17 @@
         for name in names:
             machine = self.cluster.machines.get(name)
             if machine is not None and machine.attempts:
-                machine.leaving = "an earlier leader returned it"
-                machine.release_asked = now
+                machine.draining = "an earlier leader returned it"
+                machine.release_requested = now
                 self.releases.add(name)
 
     # -- time ------------------------------------------------------------------------------
 
-    def tick(self, now: timedelta, *, leases_count: bool = True) -> None:
+    def tick(self, now: timedelta, *, may_expire_leases: bool = True) -> None:
         """What is due by the clock alone.
 
-        ``leases_count``: nobody else can have renewed the lease of a worker that is silent to us.
+        ``may_expire_leases``: nobody else can have renewed the lease of a worker that we do not
+        hear from.
         Where that is not sure, silent machines are returned, and the cloud's answer waited for.
         """
         if self._ticked is not None and now - self._ticked > ABSENCE:
@@ -266,7 +267,7 @@
             log.info("nothing was looked at for %.1f s", (now - self._ticked).total_seconds())
             self._present_since = now
         self._ticked = now
-        if leases_count:
+        if may_expire_leases:
             self.cluster.expire(now)
         self._drain(now)
         self._look_after_machines(now)
@@ -276,7 +277,7 @@
             self._last_line = now
             log.info("%s", self._status_line())
 
-    def wants_pass(self, now: timedelta) -> bool:
+    def wants_cycle(self, now: timedelta) -> bool:
         """Something changed, or the refresh period is over."""
         due = self._last_pass is None or now - self._last_pass >= self.policy.refresh
         return self.cluster.changed or due
@@ -313,13 +314,13 @@
         waiting = sum(job.waiting_count() for job in cluster.live_jobs())
         return "; ".join([*parts, f"{waiting} tasks waiting"])
 
-    def hold(self, now: timedelta, wall: datetime) -> None:
+    def hold(self, now: timedelta, utc_now: datetime) -> None:
         """Before a pass, where timing is switched on: who is held until when."""
         if self.holding is not None:
             teams = self.plan.teams
-            self.holding.refresh(self.policy, teams, self._waited_for, now, wall)
+            self.holding.refresh(self.policy, teams, self._waited_for, now, utc_now)
 
-    def run_pass(self, now: timedelta) -> None:
+    def run_cycle(self, now: timedelta) -> None:
         self._open_cleared(now)
         self._gather(now)
         self.cluster.changed = False
@@ -327,9 +328,9 @@
         may_rent = self.listed and now - self.cluster.began >= COUNTING_TIME
         # What is asked for counts as booting: else it would be rented twice.
         pending = Counter({offer: request.count for offer, request in self.rentals.items()})
-        plan = Pass(
+        plan = SchedulingCycle(
             self.cluster,
-            self.market,
+            self.instance_offers,
             self.policy,
             self.timers,
             self._expected(now),
@@ -346,7 +347,7 @@
             log.info("%s is stopped to make room for %s", victim.job_id, needy)
             for name in {entry[0] for entry in victim.frees}:
                 until = now + grace_to_save(job) + CLEARING_TIME
-                self.cluster.machines[name].cleared_for = (needy, until)
+                self.cluster.machines[name].preempted_for = (needy, until)
             if victim.index is None:
                 self.cluster.stop_job(job, now, save=True)
                 continue
@@ -375,8 +376,10 @@
                     content.append((name, resource))
                 elif state.used + EPSILON < due:
                     short.append((name, resource))
-        scarce = self.market.spot_refused(now)
-        self.gathering.look(self.cluster, self.market, self.policy, content, short, scarce, now)
+        scarce = self.instance_offers.spot_refused(now)
+        self.gathering.look(
+            self.cluster, self.instance_offers, self.policy, content, short, scarce, now
+        )
 
     def _open_cleared(self, now: timedelta) -> None:
         """Machines that were cleared for a job are open to others again once it needs them no more.
@@ -385,10 +388,10 @@
         again as long as another task there is still saving, and be stopped again in the next pass.
         """
         for machine in self.cluster.machines.values():
-            if machine.cleared_for is not None:
-                job = self.cluster.jobs.get(machine.cleared_for[0])
-                if job is None or not job.waiting_count() or now >= machine.cleared_for[1]:
-                    machine.cleared_for = None
+            if machine.preempted_for is not None:
+                job = self.cluster.jobs.get(machine.preempted_for[0])
+                if job is None or not job.waiting_count() or now >= machine.preempted_for[1]:
+                    machine.preempted_for = None
 
     def _expected(self, now: timedelta) -> list[Expected]:
         """Classes that are to start sooner than a machine boots need warm room."""
@@ -399,13 +402,13 @@
             arrivals = self._arrivals.get(objective.job_class)
             if arrivals is None or arrivals.spec is None or not arrivals.times:
                 continue
-            boots = [kind.boot_s for kind in self.market.types.values()]
-            if not boots or objective.within >= seconds(min(boots)):
+            boot_times = [kind.boot_s for kind in self.instance_offers.types.values()]
+            if not boot_times or objective.with_timeout >= seconds(min(boot_times)):
                 continue
             # A burst is not taken for a rate for long: the median over windows counts.
             rate = sorted(arrivals.rate(now, window) for window in ARRIVAL_WINDOWS)[1]
             spare = SPARE_SPOT if arrivals.spec.spot_allowed else SPARE_ORDINARY
-            tasks = max(1, math.ceil(rate * min(boots) * spare))
+            tasks = max(1, math.ceil(rate * min(boot_times) * spare))
             result.append(Expected(arrivals.spec, tasks, frozenset(arrivals.images)))
         return result
 
@@ -434,39 +437,43 @@
                     self.cluster.stop(attempt, ZERO, now)
 
     def _look_after_machines(self, now: timedelta) -> None:
-        silence = self.cluster.lease_over
-        heard = deaf = 0
+        silence = self.cluster.lease_expiry
+        heard = receives_nothing = 0
         for machine in list(self.cluster.machines.values()):
             if machine.heard is not None and now - machine.heard <= silence:
                 heard += 1
-                deaf += machine.contact.deaf
-            if machine.release_asked is not None:
+                receives_nothing += machine.reachability.receives_nothing
+            if machine.release_requested is not None:
                 continue
             reason = self._reason_to_return(machine, now, silence)
             if reason is not None:
                 log.info("%s is returned: %s", machine.name, reason)
-                machine.leaving = reason
-                machine.release_asked = now
+                machine.draining = reason
+                machine.release_requested = now
                 self.releases.add(machine.name)
                 self.cluster.changed = True
-            elif machine.leaving is None and self._faulty(machine, now):
-                machine.leaving = "faulty"
+            elif machine.draining is None and self._faulty(machine, now):
+                machine.draining = "faulty"
                 self.cluster.changed = True
             # A greeting can be lost, or be refused since the worker has moved to another session:
             # unless it is repeated, an earlier leader that lost the state service alone could go
             # on answering the worker, and its tasks would be out of our reach.
-            ungreeted = bool(machine.attempts) and not machine.knows_us
+            ungreeted = bool(machine.attempts) and not machine.has_our_token
             stopping = any(a.stop is not None for a in machine.attempts.values())
             due = now >= self._direct_again.get(machine.name, ZERO)
             if (ungreeted or stopping) and due:
                 self.cluster.direct.add(machine.name)
-            if machine.contact.missed and machine.contact.deaf and machine.contact.may_ask(now):
+            if (
+                machine.reachability.missed
+                and machine.reachability.receives_nothing
+                and machine.reachability.may_ask(now)
+            ):
                 # Its answer is the proof that it hears us again.
                 self.cluster.asking.add(machine.name)
         for name in self.cluster.direct:
             self._direct_again[name] = now + seconds(2)
         # With so many it is rather our own answers that are lost on the way, whoever they are for.
-        self._too_many_deaf = deaf >= FEW_DEAF and deaf > heard * MOST_DEAF
+        self._too_many_deaf = receives_nothing >= FEW_DEAF and receives_nothing > heard * MOST_DEAF
 
     def _faulty(self, machine: Machine, now: timedelta) -> bool:
         """Errors of several jobs on one machine point to the machine.
@@ -488,7 +495,7 @@
 
     def _reason_to_return(self, machine: Machine, now: timedelta, silence: timedelta) -> str | None:
         kind = self.cluster.types.get(machine.machine_type)
-        if machine.contact.anew:
+        if machine.reachability.restarted:
             return "its worker began anew"
         if machine.listed_failed and (machine.lost or not machine.up):
             return "it failed"
@@ -503,37 +510,41 @@
                 # It has booted and is out of reach, as in a zone that was cut off before we led:
                 # it is waited for like one that we had heard of.
                 quiet = now - max(self._present_since, machine.known_since)
-                return "it is silent" if quiet > silence + SILENT_PATIENCE else None
+                return "it is silent" if quiet > silence + UNREACHABLE_PATIENCE else None
             usual = seconds(kind.boot_s if kind else 60.0)
-            given_up = self.cluster.boots.given_up(machine, usual, now)
+            given_up = self.cluster.boot_times.given_up(machine, usual, now)
             return "it does not boot" if given_up else None
         if machine.heard is not None and self._surely_gone(machine, now - machine.heard, now):
             return "it was taken"
-        if not machine.knows_us and not machine.vouched and self._unknown(machine, now):
+        if not machine.has_our_token and not machine.confirmed and self._unknown(machine, now):
             return "nobody knows of it, and it does not answer"
-        missed = machine.contact.missed
-        if missed and machine.contact.deaf_for(now) > silence and not self._too_many_deaf:
+        missed = machine.reachability.missed
+        if (
+            missed
+            and machine.reachability.receives_nothing_for(now) > silence
+            and not self._too_many_deaf
+        ):
             # Its lease is over, whatever we have answered: what ran on it was moved or is lost.
             return "it reports, but does not hear us"
         if machine.heard is None or now - machine.heard > silence:
-            last = machine.contact.latest if machine.lost else machine.heard
+            last = machine.reachability.latest if machine.lost else machine.heard
             quiet = now - max(last or machine.up_since or now, self._present_since)
-            if machine.missing_lists > 3 or quiet > silence + SILENT_PATIENCE:
+            if machine.missing_lists > 3 or quiet > silence + UNREACHABLE_PATIENCE:
                 return "it is silent"
             if machine.attempts and quiet > silence + seconds(3):
                 return "it is silent and may still run tasks"
             return None
         for attempt in machine.attempts.values():
             job = self.cluster.jobs[attempt.job_id]
-            limit = self.cluster.workers.cancel - self.cluster.workers.lease
+            limit = self.cluster.workers.cancel_timeout - self.cluster.workers.lease
             if job.over and attempt.stop_since and now - attempt.stop_since > limit:
                 return "it does not stop a cancelled task"
         if machine.attempts:
             return None
         if machine.notice_end is not None:
             return "it is about to be taken"
-        if machine.leaving is not None:
-            return machine.leaving
+        if machine.draining is not None:
+            return machine.draining
         if machine.name in self.plan.held or machine.name in self.plan.spare:
             machine.idle_since = now
             return None
@@ -548,17 +559,17 @@
     def _unknown(self, machine: Machine, now: timedelta) -> bool:
         """Whether a machine that is known from a report alone, which had not seen our token, should
         have shown it by now.  No record names anything on it, so nothing is lost with it."""
-        report = self.cluster.workers.report
-        return machine.up_since is not None and now - machine.up_since > report * UNKNOWN_REPORTS
+        heartbeat = self.cluster.workers.heartbeat_interval
+        return machine.up_since is not None and now - machine.up_since > heartbeat * UNKNOWN_REPORTS
 
     def _surely_gone(self, machine: Machine, quiet: timedelta, now: timedelta) -> bool:
         """Whether a silent machine is so likely to be gone that asking the cloud for its end beats
         waiting for its lease: the answer makes it certain, and its tasks start elsewhere sooner.
         """
-        report = self.cluster.workers.report
+        heartbeat = self.cluster.workers.heartbeat_interval
         if machine.notice_end is not None and now > machine.notice_end:
-            return quiet > report * TAKEN_REPORTS
-        return machine.missing_lists > 1 and quiet > report * SILENT_REPORTS
+            return quiet > heartbeat * TAKEN_REPORTS
+        return machine.missing_lists > 1 and quiet > heartbeat * SILENT_HEARTBEATS
 
     # -- what others are told --------------------------------------------------------------
 
--- a/micadeal/scheduling/passes.py
+++ b/micadeal/scheduling/scheduling_cycle.py
@@ -12,13 +12,13 @@
 from heapq import heapify, heappop, heappush
 from typing import TYPE_CHECKING
 
-from micadeal.fleet.offers import Market, Offer
+from micadeal.fleet.instance_offers import InstanceOffer, InstanceOffers
 from micadeal.jobs.model import Job
 from micadeal.operator.policy import Policy
-from micadeal.placement.rooms import (
+from micadeal.placement.bin_packing import (
     EPSILON,
-    Picker,
-    Room,
+    MachineCapacity,
+    MachineRanking,
     ZoneRule,
     allowed,
     choose_gang,
@@ -26,11 +26,11 @@
     size_of,
     worth_it,
 )
-from micadeal.scheduling.cluster import Cluster
+from micadeal.scheduling.capacity import build_capacities, empty_capacity
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.delay import Delay
 from micadeal.scheduling.plan import Expected, Findings, Plan, TeamState
-from micadeal.scheduling.relief import Relief
-from micadeal.scheduling.space import build_rooms, empty_room
+from micadeal.scheduling.preemption import Preemption
 from micadeal.sharing.order import team_key
 from micadeal.sharing.shares import Claim, booked, fair_shares
 from micadeal.sharing.starvation import StarvationTimer
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     # Imported where timing is switched on: others start without it.
-    from micadeal.scheduling.holding import Holding
+    from micadeal.scheduling.deferral import Deferral
 
 RESOURCES = ("gpus", "cpus")
 #: Room that is kept is not tied to other tasks of a job.
@@ -53,36 +53,36 @@
 MOST_WISHES = 200
 
 
-def _left(room: Room, resource: str) -> float:
-    return room.gpus if resource == "gpus" else room.cpus
+def _left(capacity: MachineCapacity, resource: str) -> float:
+    return capacity.gpus if resource == "gpus" else capacity.cpus
 
 
-def _order(room: Room) -> int:
-    return room.order
+def _order(capacity: MachineCapacity) -> int:
+    return capacity.order
 
 
-class Pass:
+class SchedulingCycle:
     """The state of one pass."""
 
     def __init__(
         self,
-        cluster: Cluster,
-        market: Market,
+        cluster: ClusterState,
+        instance_offers: InstanceOffers,
         policy: Policy,
         timers: dict[tuple[str, str], StarvationTimer],
         expected: Iterable[Expected],
         now: timedelta,
         *,
         may_rent: bool,
-        pending: Counter[Offer],
-        holding: Holding | None = None,
+        pending: Counter[InstanceOffer],
+        holding: Deferral | None = None,
         by_age: set[str] | None = None,
     ) -> None:
         """``by_age``: teams whose last start went to a job that had waited long; kept along."""
         self.holding = holding
         self.by_age = set() if by_age is None else by_age
         self.cluster = cluster
-        self.market = market
+        self.instance_offers = instance_offers
         self.policy = policy
         self.timers = timers
         self.expected = list(expected)
@@ -90,13 +90,13 @@
         self.may_rent = may_rent
         self.plan = Plan()
         self.pending = pending
-        self.rooms = build_rooms(cluster, now, pending)
-        self.present = Counter(room.zone for room in self.rooms)
+        self.capacities = build_capacities(cluster, now, pending)
+        self.present = Counter(capacity.zone for capacity in self.capacities)
         self.held = cluster.held()
         #: Rooms with something left of the resource that is being handed out.
-        self.open: list[Room] = []
+        self.open: list[MachineCapacity] = []
         #: For jobs that are being asked: what they choose from.
-        self._pickers: dict[str, Picker] = {}
+        self._pickers: dict[str, MachineRanking] = {}
         self._resource = RESOURCES[0]
         self._filled_up = 0
         #: For sizes of tasks: the first room, in the order of the pass, that may have something
@@ -114,7 +114,7 @@
         self.wishes = 0
         self.total: dict[str, tuple[float, float]] = cluster.usage()
         self.unplaced: list[Job] = []
-        self.spot_scarce = market.spot_refused(now)
+        self.spot_scarce = instance_offers.spot_refused(now)
 
     def run(self) -> Plan:
         runnable = self._runnable()
@@ -122,7 +122,7 @@
             jobs = [job for job in runnable if job.resource == resource]
             states = self._team_states(resource, jobs)
             self._resource = resource
-            self._open_again(self.rooms)
+            self._open_again(self.capacities)
             self._nothing.clear()
             # Production first: it is not to wait behind what may be stopped for it.  Within each
             # round the order is the source's.
@@ -130,9 +130,9 @@
                 self._hand_out([j for j in jobs if j.production is production], resource, states)
         for work in self.expected:
             self._keep_room(work)
-        for room in self.rooms:
-            if room.booked and not room.wish and not room.up:
-                self.plan.held.add(room.name)
+        for capacity in self.capacities:
+            if capacity.booked and not capacity.wish and not capacity.up:
+                self.plan.held.add(capacity.name)
         found = Findings(
             self.cluster,
             self.policy,
@@ -143,7 +143,7 @@
             self.unplaced,
             self.spot_scarce,
         )
-        Relief(found).pick()
+        Preemption(found).pick()
         return self.plan
 
     # -- demand ----------------------------------------------------------------------------
@@ -205,23 +205,23 @@
         names = list(states)
         slots = sum(
             kind.gpus if resource == "gpus" else kind.cpus
-            for room in self.rooms
-            if (kind := self.cluster.types.get(room.machine_type))
+            for capacity in self.capacities
+            if (kind := self.cluster.types.get(capacity.machine_type))
         )
         # What can be had, not only what is rented now: unless the cloud refuses, more can be had.
         demanded = sum(state.demand for state in states.values())
-        if self.may_rent and not self.market.any_paused(self.now):
+        if self.may_rent and not self.instance_offers.any_paused(self.now):
             slots = max(slots, demanded)
         shares = fair_shares(
             [Claim(states[n].demand, states[n].weight, states[n].minimum) for n in names], slots
         )
         for name, share in zip(names, shares, strict=True):
             states[name].share = share
-        for room in self.rooms:
-            waiting = self.cluster.jobs.get(room.cleared_for or "") if room.kept else None
+        for capacity in self.capacities:
+            waiting = self.cluster.jobs.get(capacity.preempted_for or "") if capacity.kept else None
             if waiting is not None and waiting.resource == resource:
                 # Kept for its team, and used by nobody else meanwhile.
-                states[waiting.spec.team].used += max(_left(room, resource), 0.0)
+                states[waiting.spec.team].used += max(_left(capacity, resource), 0.0)
         self.plan.teams[resource] = states
         return states
 
@@ -294,16 +294,16 @@
         cpus, gpus = self.total[job.spec.team]
         self.total[job.spec.team] = (cpus + tasks * job.spec.cpus, gpus + tasks * job.spec.gpus)
 
-    def _open_rooms(self, job: Job) -> list[Room]:
+    def _open_rooms(self, job: Job) -> list[MachineCapacity]:
         """Rooms for this job: not where it failed, as long as there are others.  One that fails
         everywhere is tried again where its image is, instead of having it fetched over and over."""
         if len(job.errors) > MOST_TRIED or not job.errors:
             return self.open
-        if all(room.name in job.errors for room in self.rooms):
+        if all(capacity.name in job.errors for capacity in self.capacities):
             return self.open
-        return [room for room in self.open if room.name not in job.errors]
+        return [capacity for capacity in self.open if capacity.name not in job.errors]
 
-    def _picker(self, job: Job) -> Picker | None:
+    def _picker(self, job: Job) -> MachineRanking | None:
         """What the job chooses its rooms from; None if there is nothing for tasks of its size.
 
         Within a pass rooms only fill up.  So where a task of the same size found nothing, only
@@ -319,18 +319,21 @@
             first = 0
         start = bisect_left(self.open, first, key=_order) if first else 0
         fitting = [
-            room
-            for room in (self.open[start:] if start else self.open)
-            if room.fits(spec) and allowed(spec, room.machine_type, room.zone, room.spot)
+            capacity
+            for capacity in (self.open[start:] if start else self.open)
+            if capacity.fits(spec)
+            and allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
         ]
         self.looked_at += len(self.open) - start
-        if not any(worth_it(spec, room, self.spot_scarce) for room in fitting):
-            self._nothing[size] = (len(self.rooms), self._shared)
+        if not any(worth_it(spec, capacity, self.spot_scarce) for capacity in fitting):
+            self._nothing[size] = (len(self.capacities), self._shared)
             return None
         if job.errors:
             # Which rooms are open to it changes with every room that comes: ranked anew each time.
-            return Picker(spec, self._open_rooms(job), self._rule(job), self.spot_scarce)
-        picker = self._pickers[job.id] = Picker(spec, fitting, self._rule(job), self.spot_scarce)
+            return MachineRanking(spec, self._open_rooms(job), self._rule(job), self.spot_scarce)
+        picker = self._pickers[job.id] = MachineRanking(
+            spec, fitting, self._rule(job), self.spot_scarce
+        )
         return picker
 
     def _rule(self, job: Job) -> ZoneRule:
@@ -351,25 +354,25 @@
             )
             return 0.0
         picker = self._picker(job)
-        room = picker.best() if picker is not None else None
-        if room is not None and room.up and self._delay.passes(job, waiting, room):
+        capacity = picker.best() if picker is not None else None
+        if capacity is not None and capacity.up and self._delay.passes(job, waiting, capacity):
             job.reasons[WAITS_FOR_IMAGE] += waiting
             return 0.0
-        if room is None and len(job.errors) > MOST_TRIED:
+        if capacity is None and len(job.errors) > MOST_TRIED:
             job.reasons[OWN_MISTAKE] += waiting
             return 0.0
-        if room is None and self._frees_soon(job, waiting):
+        if capacity is None and self._frees_soon(job, waiting):
             job.reasons[COMES_FREE] += waiting
             return 0.0
-        if room is None:
-            room = self._wish(job.spec, self._rule(job))
-        if room is None:
+        if capacity is None:
+            capacity = self._wish(job.spec, self._rule(job))
+        if capacity is None:
             job.reasons[self._no_room_reason(job)] += waiting
             self.unplaced.append(job)
             return 0.0
-        self._fill_room(room, job.spec)
-        self._rule(job).zones[room.zone] += 1
-        self._book(job, room, None)
+        self._fill_room(capacity, job.spec)
+        self._rule(job).zones[capacity.zone] += 1
+        self._book(job, capacity, None)
         return job.units
 
     def _frees_soon(self, job: Job, tasks: int) -> bool:
@@ -379,7 +382,7 @@
         if spec.gpus or job.is_service:
             return False
         if self._cores_soon is None:
-            boot = min((kind.boot_s for kind in self.market.types.values()), default=0.0)
+            boot = min((kind.boot_s for kind in self.instance_offers.types.values()), default=0.0)
             self._cores_soon = sum(
                 other.running_count() * other.spec.cpus * min(boot / max(left, 1.0), 1.0)
                 for other in self.cluster.live_jobs()
@@ -391,33 +394,35 @@
         self._cores_soon -= needed
         return True
 
-    def _fill_room(self, room: Room, spec: Submission) -> None:
-        room.book(spec)
-        self._filled(room, spec)
+    def _fill_room(self, capacity: MachineCapacity, spec: Submission) -> None:
+        capacity.book(spec)
+        self._filled(capacity, spec)
 
-    def _filled(self, room: Room, spec: Submission) -> None:
+    def _filled(self, capacity: MachineCapacity, spec: Submission) -> None:
         """Something was booked into the room: it may rank better with others now."""
-        if spec.image not in room.images:
-            room.fetching |= {spec.image}
-        if not spec.spot_allowed and not room.spot:
+        if spec.image not in capacity.images:
+            capacity.fetching |= {spec.image}
+        if not spec.spot_allowed and not capacity.spot:
             self._shared += 1
         for picker in self._pickers.values():
-            picker.refresh(room)
-        if _left(room, self._resource) <= EPSILON:
+            picker.refresh(capacity)
+        if _left(capacity, self._resource) <= EPSILON:
             self._filled_up += 1
             if self._filled_up * 4 > len(self.open):
                 self._open_again(self.open)
 
-    def _open_again(self, rooms: list[Room]) -> None:
-        self.open = [room for room in rooms if _left(room, self._resource) > EPSILON]
+    def _open_again(self, capacities: list[MachineCapacity]) -> None:
+        self.open = [
+            capacity for capacity in capacities if _left(capacity, self._resource) > EPSILON
+        ]
         self._filled_up = 0
 
-    def _book(self, job: Job, room: Room, number: int | None) -> None:
+    def _book(self, job: Job, capacity: MachineCapacity, number: int | None) -> None:
         self._count(job, 1)
         index = job.next_waiting()
-        if room.up and index is not None:
-            machine = self.cluster.machines[room.name]
-            if job.spec.image in room.images:
+        if capacity.up and index is not None:
+            machine = self.cluster.machines[capacity.name]
+            if job.spec.image in capacity.images:
                 job.passed_since = None
             attempt = self.cluster.place(
                 job, index, number or self.cluster.next_number(), machine, self.now
@@ -425,7 +430,7 @@
             self.plan.placed.append(attempt.placed_task)
             return
         self.virtual[job.id] += 1
-        if room.wish:
+        if capacity.wish:
             job.reasons["a machine is being rented"] += 1
         else:
             job.reasons["a machine for it is still booting"] += 1
@@ -437,50 +442,50 @@
         if reason := self._limit_reason(job, spec.tasks):
             job.reasons[reason] += spec.tasks
             return 0.0
-        rooms = self._open_rooms(job)
+        capacities = self._open_rooms(job)
         size = (*size_of(spec), spec.tasks, spec.one_zone, spec.spread)
         found = None
-        if job.errors or self._nothing.get(size) != (len(self.rooms), self._shared):
-            self.looked_at += len(rooms)
-            found = choose_gang(spec, rooms, self.spot_scarce)
+        if job.errors or self._nothing.get(size) != (len(self.capacities), self._shared):
+            self.looked_at += len(capacities)
+            found = choose_gang(spec, capacities, self.spot_scarce)
             if found is not None and self._gang_passes(job, found):
-                for room in found:
-                    room.unbook(spec)
+                for capacity in found:
+                    capacity.unbook(spec)
                 job.reasons[WAITS_FOR_IMAGE] += spec.tasks
                 return 0.0
         if found is None:
             if not job.errors:
                 # A job that failed somewhere looks at fewer rooms: it proves nothing for others.
-                self._nothing[size] = (len(self.rooms), self._shared)
+                self._nothing[size] = (len(self.capacities), self._shared)
             wishes = [] if len(job.errors) > MOST_TRIED else self._gang_wishes(spec)
-            found = choose_gang(spec, [*rooms, *wishes], self.spot_scarce) if wishes else None
-            for room in wishes:
-                if room.booked:
-                    self._count_wish(room)
+            found = choose_gang(spec, [*capacities, *wishes], self.spot_scarce) if wishes else None
+            for capacity in wishes:
+                if capacity.booked:
+                    self._count_wish(capacity)
         if found is None:
             job.reasons[self._no_room_reason(job)] += spec.tasks
             self.unplaced.append(job)
             return 0.0
-        for room in dict.fromkeys(found):
-            self._filled(room, spec)
-        if all(room.up for room in found):
+        for capacity in dict.fromkeys(found):
+            self._filled(capacity, spec)
+        if all(capacity.up for capacity in found):
             number = self.cluster.next_number()
-            for room in found:
-                self._book(job, room, number)
+            for capacity in found:
+                self._book(job, capacity, number)
         else:
             # Room is held on the machines that are up already, or it would never come together.
             self._count(job, spec.tasks)
             self.virtual[job.id] += spec.tasks
-            self.plan.held.update(room.name for room in found if not room.wish)
+            self.plan.held.update(capacity.name for capacity in found if not capacity.wish)
             job.reasons["room for the whole gang is being gathered"] += spec.tasks
             self.unplaced.append(job)
         return job.units * spec.tasks
 
-    def _gang_passes(self, job: Job, found: list[Room]) -> bool:
+    def _gang_passes(self, job: Job, found: list[MachineCapacity]) -> bool:
         """A gang waits for its slowest fetch, and all its room must come free in one place."""
-        if not all(room.up for room in found):
+        if not all(capacity.up for capacity in found):
             return False
-        fetches = [room for room in found if job.spec.image not in room.images]
+        fetches = [capacity for capacity in found if job.spec.image not in capacity.images]
         if not fetches:
             return False
         places = len(self.present) if job.spec.one_zone and job.spec.tasks > 1 else 1
@@ -488,54 +493,56 @@
 
     # -- renting ---------------------------------------------------------------------------
 
-    def _new_room(self, offer: Offer, kind: MachineType) -> Room:
-        name = f"wish {offer.zone} {self.wishes} {len(self.rooms)}"
-        return empty_room(name, offer, kind, len(self.rooms), wish=True)
+    def _new_room(self, offer: InstanceOffer, kind: MachineType) -> MachineCapacity:
+        name = f"wish {offer.zone} {self.wishes} {len(self.capacities)}"
+        return empty_capacity(name, offer, kind, len(self.capacities), wish=True)
 
-    def _held(self, offer: Offer) -> int:
+    def _held(self, offer: InstanceOffer) -> int:
         """Machines that we have of an offer, or ask for in this pass."""
         return self.held[offer] + self.pending[offer] + self.plan.rentals[offer]
 
-    def _count_wish(self, room: Room) -> None:
+    def _count_wish(self, capacity: MachineCapacity) -> None:
         self.wishes += 1
-        room.order = len(self.rooms)
-        self.rooms.append(room)
-        self.open.append(room)
+        capacity.order = len(self.capacities)
+        self.capacities.append(capacity)
+        self.open.append(capacity)
         for picker in self._pickers.values():
-            picker.refresh(room)
-        self.present[room.zone] += 1
-        self.plan.rentals[Offer(room.machine_type, room.zone, room.spot)] += 1
+            picker.refresh(capacity)
+        self.present[capacity.zone] += 1
+        self.plan.rentals[InstanceOffer(capacity.machine_type, capacity.zone, capacity.spot)] += 1
 
-    def _wish(self, spec: Submission, rule: ZoneRule, spare: bool = False) -> Room | None:
+    def _wish(
+        self, spec: Submission, rule: ZoneRule, spare: bool = False
+    ) -> MachineCapacity | None:
         if not self.may_rent or self.wishes >= MOST_WISHES:
             return None
-        for offer, kind in self.market.choices(spec, self.now, self.present):
+        for offer, kind in self.instance_offers.choices(spec, self.now, self.present):
             if spare and spec.spot_allowed and not offer.spot:
                 # Spare room for what may use spot is not worth an ordinary machine's price.
                 continue
             if rule.permits(offer.zone):
-                room = self._new_room(offer, kind)
-                self._count_wish(room)
-                return room
+                capacity = self._new_room(offer, kind)
+                self._count_wish(capacity)
+                return capacity
         return None
 
-    def _gang_wishes(self, spec: Submission) -> list[Room]:
+    def _gang_wishes(self, spec: Submission) -> list[MachineCapacity]:
         """Rooms that could be rented for a gang, of the cheapest kind open in each zone."""
         if not self.may_rent or self.wishes >= MOST_WISHES:
             return []
         seen: set[str] = set()
-        wishes: list[Room] = []
-        for offer, kind in self.market.choices(spec, self.now, self.present):
+        wishes: list[MachineCapacity] = []
+        for offer, kind in self.instance_offers.choices(spec, self.now, self.present):
             if offer.zone not in seen:
                 seen.add(offer.zone)
                 count = min(spec.tasks, MOST_WISHES)
-                left = self.market.left(offer, self._held(offer), self.now)
+                left = self.instance_offers.left(offer, self._held(offer), self.now)
                 if left is not None:
                     count = min(count, left)
                 for _ in range(count):
-                    room = self._new_room(offer, kind)
-                    room.order += len(wishes)
-                    wishes.append(room)
+                    capacity = self._new_room(offer, kind)
+                    capacity.order += len(wishes)
+                    wishes.append(capacity)
         return wishes
 
     def _no_room_reason(self, job: Job) -> str:
@@ -543,7 +550,7 @@
             return "no room, and renting waits until the machines have been counted"
         if self.wishes >= MOST_WISHES:
             return "no room; many machines are being rented already"
-        offers = list(self.market.choices(job.spec, self.now, self.present))
+        offers = list(self.instance_offers.choices(job.spec, self.now, self.present))
         if not offers:
             return "no room, and the cloud refused to rent more a moment ago"
         return "no room in a zone that the job's other tasks leave open"
@@ -556,34 +563,39 @@
         """
         spec = work.spec
         heap = [
-            (self._spare_rank(work, room), room.order, room)
-            for room in self.rooms
-            if room.fits(spec)
-            and allowed(spec, room.machine_type, room.zone, room.spot)
-            and worth_it(spec, room, False)
+            (self._spare_rank(work, capacity), capacity.order, capacity)
+            for capacity in self.capacities
+            if capacity.fits(spec)
+            and allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
+            and worth_it(spec, capacity, False)
         ]
         heapify(heap)
         for _ in range(work.tasks):
             if heap:
-                room = heap[0][2]
+                capacity = heap[0][2]
             elif (wish := self._wish(spec, ZoneRule(spec), spare=True)) is not None:
-                room = wish
-                heappush(heap, (self._spare_rank(work, room), room.order, room))
+                capacity = wish
+                heappush(heap, (self._spare_rank(work, capacity), capacity.order, capacity))
             else:
                 return
-            room.book(spec)
-            if not room.wish:
-                self.plan.spare.add(room.name)
+            capacity.book(spec)
+            if not capacity.wish:
+                self.plan.spare.add(capacity.name)
             # A room is fuller now, so it ranks better if anything: it is the next one to be taken.
             heappop(heap)
-            if room.fits(spec):
-                heappush(heap, (self._spare_rank(work, room), room.order, room))
+            if capacity.fits(spec):
+                heappush(heap, (self._spare_rank(work, capacity), capacity.order, capacity))
 
     @staticmethod
-    def _spare_rank(work: Expected, room: Room) -> tuple[float, ...]:
+    def _spare_rank(work: Expected, capacity: MachineCapacity) -> tuple[float, ...]:
         """Smaller is better: the rest of a machine that is kept anyway costs nothing; room that
         holds more of the class's images is worth more, since a fetch takes longer than such a
         class may wait."""
-        shared = room.up and (room.bound_tasks > 0 or work.spec.spot_allowed)
-        images = len(room.images & work.images) if room.up else 0
-        return (0 if shared else 1, 0 if room.up else 1, -images, *rank(work.spec, room, NO_ZONES))
+        shared = capacity.up and (capacity.bound_tasks > 0 or work.spec.spot_allowed)
+        images = len(capacity.images & work.images) if capacity.up else 0
+        return (
+            0 if shared else 1,
+            0 if capacity.up else 1,
+            -images,
+            *rank(work.spec, capacity, NO_ZONES),
+        )
--- a/micadeal/stored/descriptions.py
+++ b/micadeal/schema/job_records.py
@@ -12,10 +12,10 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
+from micadeal.schema.keys import JOBS, PARTS
 from micadeal.state.limits import Limits
 from micadeal.state.service import StateService, Urgency
-from micadeal.stored.keys import JOBS, PARTS
-from micadeal.wire.codec import BadMessage, convert, decode, encode
+from micadeal.wire.codec import MessageFormatError, convert, decode, encode
 from micadeal.wire.state import Item, JobNeeds, JobRecord, PartRecord, Put, SplitRecord
 
 #: What a value has beside its text.
@@ -46,12 +46,12 @@
         return []
     parts = convert(SplitRecord, value).parts
     if not 0 <= parts < 100:
-        raise BadMessage(f"{parts} parts")
+        raise MessageFormatError(f"{parts} parts")
     return [part_key(job_id, number) for number in range(1, parts + 1)]
 
 
-def whole(value: Any, parts: Sequence[Any]) -> JobRecord:
-    """The description, given the values of its parts in order; ``BadMessage`` if damaged."""
+def join_parts(value: Any, parts: Sequence[Any]) -> JobRecord:
+    """Join a description from the values of its parts; ``MessageFormatError`` if damaged."""
     if not isinstance(value, Mapping) or "parts" not in value:
         return convert(JobRecord, value)
     text = convert(SplitRecord, value).text
@@ -59,26 +59,28 @@
     try:
         data = zlib.decompressobj().decompress(base64.b64decode(text), MOST_BYTES)
     except (ValueError, zlib.error) as problem:
-        raise BadMessage(str(problem)) from None
+        raise MessageFormatError(str(problem)) from None
     return decode(JobRecord, data)
 
 
-async def read_whole(state: StateService, item: Item, urgency: Urgency) -> JobRecord:
-    """A description, its parts read if it has any.  ``BadMessage`` if one is missing: the job has
+async def read_job_record(state: StateService, item: Item, urgency: Urgency) -> JobRecord:
+    """A description, its parts read if it has any.
+
+    Raises ``MessageFormatError`` if one is missing: the job has
     ended between two reads, or the record is damaged."""
     parts: list[Any] = []
     for key in part_keys(item.value, item.key.removeprefix(JOBS)):
         part = await state.get(key, urgency)
         if part is None:
-            raise BadMessage(f"{key} is missing")
+            raise MessageFormatError(f"{key} is missing")
         parts.append(part.value)
-    return whole(item.value, parts)
+    return join_parts(item.value, parts)
 
 
-def waits_for_others(value: Any) -> bool:
+def has_dependencies(value: Any) -> bool:
     """Whether the job may name others; a quick look, since every poll asks."""
     try:
         return bool(convert(JobNeeds, value).submission.prerequisites)
-    except BadMessage:
+    except MessageFormatError:
         # Split or damaged: to be looked at more closely.
         return True
--- a/micadeal/stored/keys.py
+++ b/micadeal/schema/keys.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-#: The seat: who leads, at which level, which processes serve (rollout/seat.py).
+#: The seat: who leads, at which level, which processes serve (rollout/leader_lock.py).
 #: Nothing else may begin with ``leader``: versions before levels watch that prefix from the version
 #: of the key, and would ask again and again, as fast as they are answered.
 LEADER = "leader"
-SEAT = "seat/"
-HELD = "seat/held"
+LEADER_LOCK = "seat/"
+LOCK_HOLDER = "seat/held"
 LEVEL = "seat/level"
 MEMBER = "seat/member/"
 
--- a/micadeal/sharing/victims.py
+++ b/micadeal/sharing/victims.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from micadeal.placement.rooms import EPSILON, Room
+from micadeal.placement.bin_packing import EPSILON, MachineCapacity
 from micadeal.wire.users import Submission
 
 
@@ -45,7 +45,7 @@
 
 def choose_victims(
     spec: Submission,
-    rooms: Iterable[Room],
+    capacities: Iterable[MachineCapacity],
     by_machine: dict[str, list[Victim]],
     permitted: set[int],
 ) -> list[Victim]:
@@ -57,15 +57,15 @@
     """
     best: list[Victim] = []
     best_key: tuple[float, ...] = ()
-    for room in rooms:
-        cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
+    for capacity in capacities:
+        cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory_gb
         chosen: list[Victim] = []
-        offers = [v for v in by_machine.get(room.name, ()) if id(v) in permitted]
+        offers = [v for v in by_machine.get(capacity.name, ()) if id(v) in permitted]
         for victim in sorted(offers, key=lambda v: v.started, reverse=True):
             if _enough(spec, cpus, gpus, memory):
                 break
             for machine, c, g, m in victim.frees:
-                if machine == room.name:
+                if machine == capacity.name:
                     cpus, gpus, memory = cpus + c, gpus + g, memory + m
             chosen.append(victim)
         if not chosen or not _enough(spec, cpus, gpus, memory):
--- a/micadeal/state/unchanged.py
+++ b/micadeal/state/read_coalescing.py
@@ -12,33 +12,33 @@
 
 import curio
 
-from micadeal.state.service import Refused, StateError, StateService, Urgency
-from micadeal.waiting import sleep
+from micadeal.state.service import RequestRejectedError, StateService, StateServiceError, Urgency
+from micadeal.timeouts import sleep
 from micadeal.wire.state import Condition
 
 #: Questions that come within this time share a request.
 GATHER = timedelta(milliseconds=60)
 
 
-class _Question:
+class _VersionCheck:
     __slots__ = ("answered", "holds", "key", "problem", "version")
 
     def __init__(self, key: str, version: int) -> None:
         self.key, self.version = key, version
         self.answered = curio.Event()
         self.holds = False
-        self.problem: StateError | None = None
+        self.problem: StateServiceError | None = None
 
 
-class Unchanged:
+class VersionCheckCoalescer:
     def __init__(self, state: StateService) -> None:
         self._state = state
-        self._waiting: list[_Question] = []
+        self._waiting: list[_VersionCheck] = []
         self._gathering = False
 
     async def holds(self, key: str, version: int) -> bool:
-        """Raises ``StateError`` if that can't be said now."""
-        question = _Question(key, version)
+        """Raises ``StateServiceError`` if that can't be said now."""
+        question = _VersionCheck(key, version)
         self._waiting.append(question)
         if not self._gathering:
             self._gathering = True
@@ -56,17 +56,17 @@
         for start in range(0, len(waiting), most):
             await curio.spawn(self._ask, waiting[start : start + most], daemon=True)
 
-    async def _ask(self, questions: list[_Question]) -> None:
+    async def _ask(self, questions: list[_VersionCheck]) -> None:
         versions = {question.key: question.version for question in questions}
         try:
             changed = await self._state.changed(
                 [Condition(key, version) for key, version in versions.items()], Urgency.USER
             )
-        except Refused:
+        except RequestRejectedError:
             # Guards ``forgotten``: should the service take fewer conditions than it says, each key
             # is read by itself.
             pass
-        except StateError as problem:
+        except StateServiceError as problem:
             for question in questions:
                 question.problem = problem
         else:
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -9,15 +9,14 @@
 from typing import TypeVar
 from urllib.parse import quote
 
-from micadeal.clock import ZERO, seconds, steady
+from micadeal.clock import ZERO, monotonic, seconds
 from micadeal.http.message import HttpError
 from micadeal.http.network import AnyClient, Network
 from micadeal.state.budget import Budget
 from micadeal.state.limits import Limits
-from micadeal.waiting import sleep
-from micadeal.wire.codec import BadMessage, decode, encode
+from micadeal.timeouts import sleep
+from micadeal.wire.codec import MessageFormatError, decode, encode
 from micadeal.wire.state import (
-    Changes,
     Condition,
     Drop,
     Failed,
@@ -28,6 +27,7 @@
     Put,
     Revision,
     Transaction,
+    WatchResponse,
 )
 
 log = logging.getLogger(__name__)
@@ -42,28 +42,28 @@
 PAGE = 500
 
 
-class StateError(Exception):
+class StateServiceError(Exception):
     """The state service gave no usable answer; a change may or may not have happened."""
 
 
-class Unavailable(StateError):
+class UnavailableError(StateServiceError):
     """The request was certainly not executed (503 or 429)."""
 
 
-class Conflict(Exception):
+class ConflictError(Exception):
     """A transaction's conditions did not hold."""
 
 
-class LeaseGone(Exception):
+class LeaseExpiredError(Exception):
     """The lease has run out."""
 
 
-class Refused(StateError):
+class RequestRejectedError(StateServiceError):
     """400: certainly not executed.  A value or the transaction is too large for the service's
     present limits, which may be lower than at the last write."""
 
 
-class TooOld(Exception):
+class RevisionCompactedError(Exception):
     """The watch's revision is no longer kept: read the keys again."""
 
 
@@ -88,7 +88,7 @@
 
     def __init__(self, address: str, present: Limits, limits: Limits, network: Network) -> None:
         """``limits`` are those kept to; what fits into ``present`` alone may be tried."""
-        now = steady()
+        now = monotonic()
         self.limits = limits
         self.present = present
         self._network = network
@@ -109,11 +109,11 @@
                 continue
             while True:
                 reserve = budget.burst * 0.08 * urgency
-                wait = budget.take(units, steady(), reserve)
+                wait = budget.take(units, monotonic(), reserve)
                 if wait == ZERO:
                     break
-                if steady() + wait > deadline:
-                    raise Unavailable("rate limit of our own")
+                if monotonic() + wait > deadline:
+                    raise UnavailableError("rate limit of our own")
                 await sleep(wait)
 
     async def _request(
@@ -132,28 +132,28 @@
         patience = USER_PATIENCE if urgency is Urgency.USER else timeout
         if urgency is Urgency.USER and self._silent():
             timeout = min(timeout, USER_PATIENCE)
-        await self._pay(changes, urgency, steady() + patience)
+        await self._pay(changes, urgency, monotonic() + patience)
         try:
             status, answer = await (client or self._client).request(
                 method, target, body, timeout=timeout + spare, repeatable=method == "GET"
             )
         except HttpError as problem:
-            raise StateError(str(problem)) from None
+            raise StateServiceError(str(problem)) from None
         if status == 429:
-            now = steady()
+            now = monotonic()
             self._requests.drain(now)
             self._changes.drain(now)
-            raise Unavailable("429")
+            raise UnavailableError("429")
         if status == 503:
-            raise Unavailable("503")
+            raise UnavailableError("503")
         if status >= 500:
-            raise StateError(f"status {status}")
-        self._answered = steady()
+            raise StateServiceError(f"status {status}")
+        self._answered = monotonic()
         return status, answer
 
     def _silent(self) -> bool:
         """Nothing was answered for longer than the watches hold: users had better go elsewhere."""
-        return self._answered is not None and steady() - self._answered > SILENCE
+        return self._answered is not None and monotonic() - self._answered > SILENCE
 
     async def get(self, key: str, urgency: Urgency = Urgency.USER) -> Item | None:
         status, body = await self._request("GET", f"/keys/{quote(key)}", urgency=urgency)
@@ -186,18 +186,18 @@
         urgency: Urgency,
         timeout: timedelta = REQUEST_TIME,
     ) -> int:
-        """The revision of the changes; ``Conflict`` if a condition did not hold."""
+        """The revision of the changes; ``ConflictError`` if a condition did not hold."""
         body = encode(Transaction(list(conditions), list(changes)))
         status, answer = await self._request(
             "POST", "/txn", body, urgency=urgency, changes=len(changes), timeout=timeout
         )
         if status == 409:
-            raise Conflict
+            raise ConflictError
         if status == 400:
             # The same status for a lease that is gone and for what is too large.
             if b"no such lease" in answer:
-                raise LeaseGone
-            raise Refused(answer.decode(errors="replace")[:200])
+                raise LeaseExpiredError
+            raise RequestRejectedError(answer.decode(errors="replace")[:200])
         return self._read(Revision, status, answer).revision
 
     async def changed(self, conditions: Sequence[Condition], urgency: Urgency) -> set[str]:
@@ -207,7 +207,7 @@
         if status == 409:
             return set(self._read(Failed, 200, answer).failed)
         if status == 400:
-            raise Refused(answer.decode(errors="replace")[:200])
+            raise RequestRejectedError(answer.decode(errors="replace")[:200])
         self._read(Revision, status, answer)
         return set()
 
@@ -221,14 +221,16 @@
             "POST", f"/leases/{lease}/renew", urgency=Urgency.LEASE, timeout=timeout
         )
         if status == 404:
-            raise LeaseGone
+            raise LeaseExpiredError
         if status != 200:
-            raise StateError(f"status {status}")
+            raise StateServiceError(f"status {status}")
 
     async def end_lease(self, lease: int) -> None:
         await self._request("DELETE", f"/leases/{lease}", urgency=Urgency.LEASE)
 
-    async def changes(self, prefix: str, after: int, hold: timedelta, client: AnyClient) -> Changes:
+    async def changes(
+        self, prefix: str, after: int, hold: timedelta, client: AnyClient
+    ) -> WatchResponse:
         """What changed under ``prefix``; waits up to ``hold``.  ``client`` is the watch's own."""
         milliseconds = round(hold.total_seconds() * 1000)
         target = f"/changes?starts={quote(prefix)}&after={after}&hold_ms={milliseconds}"
@@ -236,8 +238,8 @@
             "GET", target, urgency=Urgency.LEASE, client=client, spare=hold
         )
         if status == 410:
-            raise TooOld
-        return self._read(Changes, status, body)
+            raise RevisionCompactedError
+        return self._read(WatchResponse, status, body)
 
     def watch_client(self) -> AnyClient:
         return self._network.client(self._address, 1)
@@ -245,11 +247,11 @@
     @staticmethod
     def _read(kind: type[T], status: int, body: bytes) -> T:
         if status != 200:
-            raise StateError(f"status {status}")
+            raise StateServiceError(f"status {status}")
         try:
             return decode(kind, body)
-        except BadMessage as problem:
-            raise StateError(f"unreadable answer: {problem}") from None
+        except MessageFormatError as problem:
+            raise StateServiceError(f"unreadable answer: {problem}") from None
 
 
 def lease_end(sent: timedelta, ttl: timedelta, margin: timedelta = seconds(0.3)) -> timedelta:
--- a/micadeal/waiting.py
+++ b/micadeal/timeouts.py
@@ -15,7 +15,7 @@
     await curio.sleep(max(duration.total_seconds(), 0.0))
 
 
-async def within(limit: timedelta, work: Awaitable[T]) -> T:
+async def with_timeout(limit: timedelta, work: Awaitable[T]) -> T:
     """Await ``work``; raises ``TimeoutError`` past the limit."""
     try:
         result: T = await curio.timeout_after(max(limit.total_seconds(), 0.001), work)
--- a/micadeal/timing/errors.py
+++ b/micadeal/timing/estimate_errors.py
@@ -21,7 +21,7 @@
 HIGHEST = 100 * SCALE
 
 
-class Errors:
+class EstimateErrors:
     """Ratios of time taken to time estimated."""
 
     def __init__(self) -> None:
