--- a/micadeal/timing/series.py
+++ b/micadeal/timing/series.py
@@ -43,39 +43,39 @@
     """A series that is refused; the last good one stays in force until it expires."""
 
 
-class Malformed(SignalError):
+class MalformedSeriesError(SignalError):
     """No JSON, truncated, or fields missing or of another type."""
 
 
-class WrongSeries(SignalError):
+class SeriesMismatchError(SignalError):
     """Of another zone or quantity than was asked for."""
 
 
-class WrongUnit(SignalError):
+class UnitMismatchError(SignalError):
     """Not a currency per kWh, not the currency of before, not grams of CO2 per kWh."""
 
 
-class BadTime(SignalError):
+class InvalidTimeError(SignalError):
     """A time without its zone, out of order, too far ahead, or an interval that is none."""
 
 
-class Gap(SignalError):
+class SeriesGapError(SignalError):
     """Points are missing between two others."""
 
 
-class Overlap(SignalError):
+class SeriesOverlapError(SignalError):
     """Two points lay claim to one instant."""
 
 
-class BadValue(SignalError):
+class InvalidValueError(SignalError):
     """Not a finite number; or carbon below zero.  Prices may be negative."""
 
 
-class StepChange(SignalError):
+class StepChangeError(SignalError):
     """The typical value jumped by a factor that only another unit explains."""
 
 
-class Expired(SignalError):
+class SeriesExpiredError(SignalError):
     """Nothing in it is of now or later, or its validity is over."""
 
 
@@ -126,9 +126,9 @@
     try:
         read = msgspec.json.decode(body, type=SeriesDocument)
     except (msgspec.DecodeError, ValueError) as problem:
-        raise Malformed(str(problem)) from None
+        raise MalformedSeriesError(str(problem)) from None
     if (read.zone, read.quantity) != (zone, quantity.value):
-        raise WrongSeries(
+        raise SeriesMismatchError(
             f"{read.quantity} of {read.zone!r} instead of {quantity.value} of {zone!r}"
         )
     _check_unit(read.unit, quantity, last)
@@ -136,14 +136,14 @@
     values = tuple(point.value for point in read.points)
     for value, start in zip(values, starts, strict=True):
         if not math.isfinite(value) or (quantity is Quantity.CARBON and value < 0):
-            raise BadValue(f"{value} from {start.isoformat()}")
+            raise InvalidValueError(f"{value} from {start.isoformat()}")
     series = Series(
         zone, quantity, read.unit, read.source, read.issued.astimezone(UTC),
         read.valid_until.astimezone(UTC), read.measured_until.astimezone(UTC), starts[0],
         interval, values,
     )  # fmt: skip
     if series.expired(now):
-        raise Expired(
+        raise SeriesExpiredError(
             f"valid until {series.valid_until.isoformat()}, ends {series.end.isoformat()}"
         )
     _check_step(series, last)
@@ -153,38 +153,38 @@
 def _check_unit(unit: str, quantity: Quantity, last: Series | None) -> None:
     if quantity is Quantity.CARBON:
         if unit != CARBON_UNIT:
-            raise WrongUnit(f"{unit!r} instead of {CARBON_UNIT!r}")
+            raise UnitMismatchError(f"{unit!r} instead of {CARBON_UNIT!r}")
     elif not _PRICE_UNIT.fullmatch(unit):
-        raise WrongUnit(f"{unit!r} is no currency per kWh, such as EUR/kWh")
+        raise UnitMismatchError(f"{unit!r} is no currency per kWh, such as EUR/kWh")
     if last is not None and unit != last.unit:
-        raise WrongUnit(f"{unit!r}, but {last.unit!r} before")
+        raise UnitMismatchError(f"{unit!r}, but {last.unit!r} before")
 
 
 def _check_times(
     read: SeriesDocument, now: datetime, drift: timedelta
 ) -> tuple[list[datetime], timedelta]:
     if not read.points or len(read.points) > MOST_POINTS:
-        raise Malformed(f"{len(read.points)} points; 1 to {MOST_POINTS} are taken")
+        raise MalformedSeriesError(f"{len(read.points)} points; 1 to {MOST_POINTS} are taken")
     times = [read.issued, read.valid_until, read.measured_until, *(p.start for p in read.points)]
     for when in times:
         if when.tzinfo is None:
-            raise BadTime(f"{when.isoformat()} does not say its time zone")
+            raise InvalidTimeError(f"{when.isoformat()} does not say its time zone")
     # Subtracting datetimes of one local zone ignores its change of clocks: all become UTC first.
     starts = [point.start.astimezone(UTC) for point in read.points]
     if not math.isfinite(read.interval_s):
-        raise BadTime("the interval is no number")
+        raise InvalidTimeError("the interval is no number")
     interval = timedelta(seconds=min(max(read.interval_s, 0.0), 1e6))
     if not LEAST_INTERVAL <= interval <= MOST_INTERVAL:
-        raise BadTime(f"an interval of {read.interval_s:g} s")
+        raise InvalidTimeError(f"an interval of {read.interval_s:g} s")
     if read.issued > now + drift:
-        raise BadTime(f"issued at {read.issued.isoformat()}, which is still to come")
+        raise InvalidTimeError(f"issued at {read.issued.isoformat()}, which is still to come")
     if starts[-1] > now + HORIZON:
-        raise BadTime(f"{starts[-1].isoformat()} is too far ahead")
+        raise InvalidTimeError(f"{starts[-1].isoformat()} is too far ahead")
     for one, other in pairwise(starts):
         if other - one < interval:
-            raise Overlap(f"{one.isoformat()} and {other.isoformat()}")
+            raise SeriesOverlapError(f"{one.isoformat()} and {other.isoformat()}")
         if other - one > interval:
-            raise Gap(f"between {one.isoformat()} and {other.isoformat()}")
+            raise SeriesGapError(f"between {one.isoformat()} and {other.isoformat()}")
     return starts, interval
 
 
@@ -198,7 +198,7 @@
         return
     factor = typical / before
     if factor >= STEP_FACTOR or factor <= 1 / STEP_FACTOR:
-        raise StepChange(f"typically {typical:g} {series.unit} after {before:g}")
+        raise StepChangeError(f"typically {typical:g} {series.unit} after {before:g}")
 
 
 class Curve:
--- a/micadeal/timing/shift.py
+++ b/micadeal/timing/shift.py
@@ -53,8 +53,8 @@
         capacity = self._capacity.get(work.pool)
         if capacity is None:
             return True
-        room = capacity - work.units
-        return all(self._used.get((work.pool, slot), 0.0) <= room for slot in slots)
+        capacity = capacity - work.units
+        return all(self._used.get((work.pool, slot), 0.0) <= capacity for slot in slots)
 
 
 @dataclass(frozen=True, slots=True)
--- a/micadeal/wire/codec.py
+++ b/micadeal/wire/codec.py
@@ -13,7 +13,7 @@
 _decoders: dict[Any, msgspec.msgpack.Decoder[Any]] = {}
 
 
-class BadMessage(ValueError):
+class MessageFormatError(ValueError):
     """The bytes are not a message of the expected form."""
 
 
@@ -33,7 +33,7 @@
         UnicodeDecodeError,
         RecursionError,
     ) as error:
-        raise BadMessage(str(error)) from None
+        raise MessageFormatError(str(error)) from None
 
 
 def convert(kind: type[T], value: Any) -> T:
@@ -41,7 +41,7 @@
     try:
         return msgspec.convert(value, kind)
     except (msgspec.ValidationError, RecursionError) as error:
-        raise BadMessage(str(error)) from None
+        raise MessageFormatError(str(error)) from None
 
 
 def json_size(value: Any) -> int:
--- a/micadeal/wire/mesh.py
+++ b/micadeal/wire/peers.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from micadeal.wire.workers import Report
+from micadeal.wire.workers import Heartbeat
 
 
 class Process(msgspec.Struct):
@@ -37,8 +37,8 @@
     reading: bool = False
 
 
-class Word(msgspec.Struct):
-    """What a node says of standing in for a leader (leadership/standin.py)."""
+class RenewalPromise(msgspec.Struct):
+    """What a node says of standing in for a leader (leadership/follower_leases.py)."""
 
     # The age of its process, and whether its list of cancellations is known to be whole.
     age_ms: float
@@ -77,14 +77,14 @@
     # cancelled.  None: it can't tell, or is of a version in which no job waits for others.
     cascade_age_ms: float | None = None
     # None: it is of a version in which nobody stands in for a leader, or that is switched off.
-    word: Word | None = None
+    word: RenewalPromise | None = None
     # None: it is of a version that knows of no levels.
     process: Process | None = None
     # A leader's word: jobs of which each task that is not done runs.
     all_started: list[str] = []
 
 
-class Notice(msgspec.Struct):
+class CancellationNotice(msgspec.Struct):
     """A job is cancelled (``/notice``), or is asked about (``/why``).
 
     An answer to a notice is also the receiver's word that it has put the job on its list.  False:
@@ -94,8 +94,8 @@
     job_id: str
 
 
-class Relay(msgspec.Struct):
-    report: Report
+class Relay(msgspec.Struct, rename={"heartbeat": "report"}):
+    heartbeat: Heartbeat
     hops: int
 
 
@@ -141,14 +141,14 @@
     reason: str
 
 
-class MachineLine(msgspec.Struct):
+class MachineLine(msgspec.Struct, rename={"draining": "leaving"}):
     machine_type: str
     zone: str
     spot: bool
     up: int
     booting: int
     silent: int
-    leaving: int
+    draining: int
     gpus_used: float
     gpus: float
 
--- a/micadeal/wire/state.py
+++ b/micadeal/wire/state.py
@@ -77,7 +77,7 @@
     value: Any = None
 
 
-class Changes(msgspec.Struct, rename={"revision": "ledger", "events": "news"}):
+class WatchResponse(msgspec.Struct, rename={"revision": "ledger", "events": "news"}):
     revision: int
     events: list[Event]
 
@@ -86,7 +86,7 @@
 
 
 class LeaderRecord(msgspec.Struct, omit_defaults=True):
-    """Under ``leader``: who leads, or from level 1 on did so last (rollout/seat.py)."""
+    """Under ``leader``: who leads, or from level 1 on did so last (rollout/leader_lock.py)."""
 
     controller: str
     lease: int
@@ -94,7 +94,7 @@
     term: int = 0
 
 
-class HeldRecord(msgspec.Struct):
+class LockHolderRecord(msgspec.Struct):
     """Under ``seat/held``, attached to the lease it names: the seat is taken."""
 
     controller: str
@@ -102,7 +102,7 @@
 
 
 class LevelRecord(msgspec.Struct, frozen=True):
-    """Under ``seat/level``: what the controllers write and do together (rollout/levels.py)."""
+    """Under ``seat/level``: what the controllers write and do (rollout/feature_level.py)."""
 
     # Whoever leads or serves users must know this level.
     level: int = 0
@@ -206,7 +206,7 @@
     machine_type: str
     zone: str
     spot: bool
-    session: int
+    incarnation: int
     tasks: list[PlacedTask]
 
 
@@ -220,14 +220,14 @@
     machines: list[PlacedMachine]
 
 
-class MachineRecord(msgspec.Struct):
+class MachineRecord(msgspec.Struct, rename={"incarnation": "session"}):
     """Under ``machine/<name>`` in the layout before ``placed/``: still read, never written."""
 
     machine_type: str
     zone: str
     spot: bool
     address: str
-    session: int
+    incarnation: int
     tasks: list[PlacedTask]
 
     def placed(self, name: str) -> PlacedRecord:
@@ -239,7 +239,7 @@
                     self.machine_type,
                     self.zone,
                     self.spot,
-                    self.session,
+                    self.incarnation,
                     self.tasks,
                 )
             ]
--- a/micadeal/wire/workers.py
+++ b/micadeal/wire/workers.py
@@ -20,7 +20,7 @@
     EXITED = "exited"
 
 
-class TaskReport(
+class TaskStatus(
     msgspec.Struct,
     rename={"task": "leg", "attempt": "try", "state": "status", "why": "cause"},
 ):
@@ -32,7 +32,7 @@
     saved: bool | None = None
 
 
-class Report(
+class Heartbeat(
     msgspec.Struct,
     rename={
         "machine": "host",
@@ -40,7 +40,7 @@
         "machine_type": "rig",
         "zone": "depot",
         "spot": "loaners",
-        "session": "shift",
+        "incarnation": "shift",
         "sequence": "tick",
         "token": "baton",
         "notice_s": "recall_s",
@@ -52,11 +52,11 @@
     machine_type: str
     zone: str
     spot: bool
-    session: Count
+    incarnation: Count
     sequence: Count
     token: Count
     notice_s: float | None = None
-    tasks: list[TaskReport] = []
+    tasks: list[TaskStatus] = []
 
     def __post_init__(self) -> None:
         """The one check of what a worker says, whichever way it comes; msgspec turns the error into
@@ -67,32 +67,34 @@
             raise ValueError(f"recall_s is {self.notice_s}")
 
 
-class Verb(Enum):
+class CommandKind(Enum):
     START = "run"
     STOP = "halt"
     FORGET = "reap"
 
 
-class Order(
+class Command(
     msgspec.Struct,
     rename={"task": "leg", "attempt": "try", "grace_s": "wind_down_s"},
     omit_defaults=True,
 ):
-    verb: Verb
+    verb: CommandKind
     task: str
     attempt: int
     grace_s: float | None = None
 
 
-class Orders(msgspec.Struct, rename={"token": "baton", "orders": "orders"}):
+class HeartbeatResponse(msgspec.Struct, rename={"token": "baton", "commands": "orders"}):
     token: int
-    orders: list[Order]
+    commands: list[Command]
 
 
-class DirectOrders(msgspec.Struct, rename={"token": "baton", "session": "shift"}):
+class DirectCommands(
+    msgspec.Struct, rename={"token": "baton", "incarnation": "shift", "commands": "orders"}
+):
     token: int
-    session: int
-    orders: list[Order]
+    incarnation: int
+    commands: list[Command]
 
 
 class Redirect(msgspec.Struct, rename={"controller": "dispatcher"}, omit_defaults=True):
--- a/micadeal/zones/knowing.py
+++ b/micadeal/zones/zone_health.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Signs:
+class ZoneSignals:
     """Of one zone, at one instant."""
 
     #: Machines that have reported, or are recorded with tasks, and are not returned.
@@ -73,7 +73,7 @@
     state: ZoneState = ZoneState.OPEN
     cause: Cause = Cause.NONE
     since: timedelta = ZERO
-    signs: Signs = Signs(0, 0, None)
+    signals: ZoneSignals = ZoneSignals(0, 0, None)
     #: How often it went, and when it last did.
     went: int = 0
     went_at: timedelta | None = None
@@ -85,26 +85,26 @@
         return min(TRUST * times, MOST_TRUST)
 
 
-def cause_of(signs: Signs, others_silent: bool) -> Cause:
+def cause_of(signals: ZoneSignals, others_silent: bool) -> Cause:
     """``others_silent``: all that is outside the leader's own zone is silent to it."""
-    if others_silent and not signs.own:
+    if others_silent and not signals.own:
         return Cause.OURS
-    gone = signs.controller in (Presence.SILENT, Presence.UNSEEN)
-    if signs.machines >= FEWEST and signs.share > DOUBT:
-        if signs.controller is Presence.SEEN_BY_OTHERS:
+    gone = signals.controller in (Presence.SILENT, Presence.UNSEEN)
+    if signals.machines >= FEWEST and signals.share > DOUBT:
+        if signals.controller is Presence.SEEN_BY_OTHERS:
             return Cause.APART
         return Cause.CUT if gone else Cause.MACHINES
     return Cause.CONTROLLER if gone else Cause.NONE
 
 
-def observe(zone: Zone, signs: Signs, others_silent: bool, now: timedelta) -> Zone:
+def observe(zone: Zone, signals: ZoneSignals, others_silent: bool, now: timedelta) -> Zone:
     """The zone after these signs; ``others_silent`` as in ``cause_of``."""
-    cause = cause_of(signs, others_silent)
+    cause = cause_of(signals, others_silent)
     if zone.went_at is not None and now - zone.went_at > FORGET and zone.state is ZoneState.OPEN:
         zone = replace(zone, went=0, went_at=None)
-    state = _next(zone, signs, cause, now)
+    state = _next(zone, signals, cause, now)
     if state is zone.state:
-        return replace(zone, signs=signs, cause=cause)
+        return replace(zone, signals=signals, cause=cause)
     # What went and came back while it was still watched went once more.
     goes = state in (ZoneState.CUT_OFF, ZoneState.LOST) and zone.state is ZoneState.DOUBTFUL
     return replace(
@@ -112,14 +112,14 @@
         state=state,
         cause=cause,
         since=now,
-        signs=signs,
+        signals=signals,
         went=zone.went + goes,
         went_at=now if goes else zone.went_at,
     )
 
 
-def _next(zone: Zone, signs: Signs, cause: Cause, now: timedelta) -> ZoneState:
-    share, known = signs.share, signs.machines >= FEWEST
+def _next(zone: Zone, signals: ZoneSignals, cause: Cause, now: timedelta) -> ZoneState:
+    share, known = signals.share, signals.machines >= FEWEST
     match zone.state:
         case ZoneState.OPEN | ZoneState.RETURNING if known and share > DOUBT:
             return ZoneState.DOUBTFUL
@@ -132,8 +132,10 @@
             if cause in (Cause.CUT, Cause.APART, Cause.OURS):
                 return ZoneState.CUT_OFF
             return ZoneState.LOST if cause is Cause.MACHINES else zone.state
-        case ZoneState.CUT_OFF if signs.ended and signs.ended >= signs.machines:
+        case ZoneState.CUT_OFF if signals.ended and signals.ended >= signals.machines:
             return ZoneState.LOST
-        case ZoneState.CUT_OFF | ZoneState.LOST if share < BACK and signs.machines > signs.ended:
+        case ZoneState.CUT_OFF | ZoneState.LOST if (
+            share < BACK and signals.machines > signals.ended
+        ):
             return ZoneState.RETURNING
     return zone.state
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from micadeal.clock import steady
+from micadeal.clock import monotonic
 from micadeal.http.message import Answer, Request, answer, error
 from micadeal.wire.codec import decode
 
@@ -37,7 +37,7 @@
         capacity: int = 10,
         lag_s: float = 3.0,
     ) -> None:
-        self._zones = zones
+        self._zone_monitor = zones
         self._boot = boot
         self._kill = kill
         self.boot_s = boot_s
@@ -59,13 +59,13 @@
                 {
                     "sku": "box", "vcpus": 8.0, "accelerators": 2.0, "ram_gb": 64.0,
                     "local_gb": 50.0, "fetch_gb_per_s": 1.0, "hourly": 6.0, "low_price": 2.0,
-                    "boot_s": self.boot_s, "depots": self._zones,
+                    "boot_s": self.boot_s, "depots": self._zone_monitor,
                 }
             ]
         }  # fmt: skip
 
     async def step(self) -> None:
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         for machine in list(self.machines.values()):
             if not machine.running and machine.up_at is not None and now >= machine.up_at:
                 machine.running = True
@@ -88,7 +88,7 @@
     async def add(self, zone: str, spot: bool, up_in: float) -> str:
         self._count += 1
         name = f"i-{self._count:06d}"
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         up_at = None if self._count in self.never_boot else now + up_in
         self.machines[name] = Rented(
             name, f"10.1.{self._count // 250}.{self._count % 250 + 1}:9000", zone, spot, now, up_at
@@ -113,7 +113,7 @@
             return answer(200, {})
         if request.method == "POST":
             return await self._rent(decode(dict, request.body))
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         old = [entries for at, entries in self._history if at <= now - self._lag]
         return answer(200, {"hosts": old[-1] if old else [], "has_next": False})
 
--- a/tests/fakes/decision_scenarios.py
+++ b/tests/fakes/decision_scenarios.py
@@ -23,7 +23,7 @@
 from micadeal.clock import seconds
 from micadeal.operator.platform import Objective, Team
 from micadeal.operator.policy import Policy, TeamPolicy
-from micadeal.rollout.levels import Level
+from micadeal.rollout.feature_level import FeatureLevel
 from micadeal.state.limits import Limits
 from tests.fakes.decision_world import ZONES, DecisionWorld, FixedTime
 
@@ -212,7 +212,7 @@
     names = sorted(world.workers)
     for name in names[:3]:
         world.workers[name].silent = True
-    world.workers[names[3]].deaf = True
+    world.workers[names[3]].receives_nothing = True
     world.submit("req-more", legs=4, expect_s=9.0, build="scan-3")
     world.run(19)
     world.workers[names[0]].silent = False
@@ -299,7 +299,7 @@
 
 def later_layout(clock: FixedTime) -> DecisionWorld:
     """Level 1: finished sets in small parts; many machines are returned with tasks on them."""
-    world = DecisionWorld(clock, teams(4, 4), QUICK, level=Level.FENCED)
+    world = DecisionWorld(clock, teams(4, 4), QUICK, level=FeatureLevel.FENCED)
     world.boxes(6, spot=True)
     world.list_machines()
     world.run(2)
@@ -381,7 +381,7 @@
         teams(machines * 0.8, machines * 0.4, 0),
         policy,
         objectives,
-        Level.FENCED if seed % 2 else Level.FIRST,
+        FeatureLevel.FENCED if seed % 2 else FeatureLevel.FIRST,
         Limits(150, 120, 32, 8192),
     )
     world.boxes(machines)
@@ -440,7 +440,7 @@
     if dice.random() < 0.15:
         world.workers[dice.choice(names)].silent = False
     if dice.random() < 0.05:
-        world.workers[dice.choice(names)].deaf = True
+        world.workers[dice.choice(names)].receives_nothing = True
     if dice.random() < 0.05:
         world.workers[dice.choice(names)].faulty = True
     if world.jobs and dice.random() < 0.15:
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -14,18 +14,18 @@
 from typing import Any
 
 from micadeal.clock import seconds
-from micadeal.controller.intake import Intake
-from micadeal.controller.messages import Loaded
-from micadeal.controller.records import Changes, Recorder
-from micadeal.fleet.model import Machine
-from micadeal.fleet.offers import Market
+from micadeal.controller.messages import StateLoaded
+from micadeal.controller.persistence.record_writer import RecordWriter, WriteBatch
+from micadeal.controller.record_loader import RecordLoader
+from micadeal.fleet.instance_offers import InstanceOffers
+from micadeal.fleet.machines import Machine
 from micadeal.operator.platform import Objective, Team, Workers
 from micadeal.operator.policy import Policy
-from micadeal.rollout.levels import Level
-from micadeal.scheduling.cluster import Cluster
+from micadeal.rollout.feature_level import FeatureLevel
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.scheduler import Scheduler
+from micadeal.schema.decoding import read
 from micadeal.state.limits import Limits
-from micadeal.stored.reading import read
 from micadeal.wire.cloud import ListedMachine, MachineType, RentalRequest
 from micadeal.wire.codec import convert, decode, encode
 from micadeal.wire.state import (
@@ -39,7 +39,7 @@
     PlacedRecord,
     Transaction,
 )
-from micadeal.wire.workers import DirectOrders, Order, Report
+from micadeal.wire.workers import Command, DirectCommands, Heartbeat
 
 Wire = dict[str, Any]
 OfferKey = tuple[str, str, bool]
@@ -106,7 +106,7 @@
     zone: str
     spot: bool
     up_at: float
-    session: int = 1
+    incarnation: int = 1
     sequence: int = 0
     token: int = 0
     renewed: float = 0.0
@@ -116,11 +116,11 @@
     #: Neither sends nor receives.
     silent: bool = False
     #: Sends and does not receive.
-    deaf: bool = False
+    receives_nothing: bool = False
     #: Every task fails on it.
     faulty: bool = False
 
-    def report(self, now: float) -> Report:
+    def heartbeat(self, now: float) -> Heartbeat:
         self.sequence += 1
         tasks: list[Wire] = []
         for (task, attempt), held in self.tasks.items():
@@ -129,10 +129,10 @@
                 shown |= {"cause": held.why, "saved": held.saved}
             tasks.append(shown)
         return convert(
-            Report,
+            Heartbeat,
             {
                 "host": self.name, "addr": self.address, "rig": self.rig, "depot": self.zone,
-                "loaners": self.spot, "shift": self.session, "tick": self.sequence,
+                "loaners": self.spot, "shift": self.incarnation, "tick": self.sequence,
                 "baton": self.token, "legs": tasks,
                 "recall_s": None if self.taken_at is None else max(self.taken_at - now, 0.0),
             },
@@ -151,7 +151,7 @@
         teams: dict[str, Team],
         policy: Policy | None = None,
         objectives: tuple[Objective, ...] = (),
-        level: Level = Level.FIRST,
+        level: FeatureLevel = FeatureLevel.FIRST,
         limits: Limits = LIMITS,
     ) -> None:
         self._clock = clock
@@ -159,7 +159,7 @@
         self.teams, self.objectives = teams, objectives
         self.policy = policy or Policy()
         self.limits = limits
-        self.level = LevelRecord(level, level, Level.FIRST)
+        self.level = LevelRecord(level, level, FeatureLevel.FIRST)
         self.workers: dict[str, SteppedWorker] = {}
         self.jobs: dict[str, Wire] = {}
         #: Jobs whose tasks all fail.
@@ -175,23 +175,25 @@
         self.events: list[list[Any]] = []
         self.steps: list[Wire] = []
         self.transactions = 0
-        self._writes: list[tuple[int, Changes, Transaction]] = []
+        self._writes: list[tuple[int, WriteBatch, Transaction]] = []
         self._rentals: list[RentalRequest] = []
         self._returns: list[str] = []
         self.token = FIRST_TOKEN
         self._lead(self.now - seconds(20))
 
     def _lead(self, began: timedelta) -> None:
-        self.cluster = Cluster(self.token, WORKERS, self.teams, began)
+        self.cluster = ClusterState(self.token, WORKERS, self.teams, began)
         self.cluster.finished_dirty = SortedSet()
         self.cluster.direct = SortedSet()
         self.cluster.asking = SortedSet()
-        self.scheduler = Scheduler(self.cluster, Market(), self.policy, self.objectives, began)
+        self.scheduler = Scheduler(
+            self.cluster, InstanceOffers(), self.policy, self.objectives, began
+        )
         types = [convert(MachineType, kind) for kind in (BOX, SLAB)]
         self.scheduler.set_catalog(types)
-        self.recorder = Recorder(self.cluster, self.limits, None, self.level)
-        self.recorder._drops = SortedSet()
-        self.intake = Intake(self.scheduler, self.recorder)
+        self.record_writer = RecordWriter(self.cluster, self.limits, None, self.level)
+        self.record_writer._drops = SortedSet()
+        self.intake = RecordLoader(self.scheduler, self.record_writer)
 
     # -- what happens around the leader ----------------------------------------------------
 
@@ -276,11 +278,13 @@
             if f"end/{job_id}" in self.store
         }
         finished = read(under("done/") + under("finished/"), FinishedRecord)
-        images, leaving = (
+        images, draining = (
             read(under("images/"), ImagesRecord),
             read(under("leaving/"), LeavingRecord),
         )
-        loaded = Loaded(under("job/"), placed, images, leaving, finished, [], ended, None, self.now)
+        loaded = StateLoaded(
+            under("job/"), placed, images, draining, finished, [], ended, None, self.now
+        )
         self.intake.take_over(loaded, self.now)
         # The settings of a deployment without an operator's script are the defaults.
         self.scheduler.policy = self.policy
@@ -299,13 +303,13 @@
         for worker in list(self.workers.values()):
             self._work(worker)
         for worker in list(self.workers.values()):
-            self._checkin(worker)
+            self._on_checkin(worker)
         self._read_ends()
         self.scheduler.tick(self.now)
-        if self.scheduler.wants_pass(self.now):
+        if self.scheduler.wants_cycle(self.now):
             self._pass()
         self._command()
-        for changes in self.recorder.next(self.now):
+        for changes in self.record_writer.next(self.now):
             self._write(changes)
         self._ask_cloud()
         self.steps.append({"at": self.time, "events": self.events})
@@ -328,7 +332,7 @@
             self.scheduler.released(returns, self.now)
 
     def _pass(self) -> None:
-        self.scheduler.run_pass(self.now)
+        self.scheduler.run_cycle(self.now)
         plan = self.scheduler.plan
         for needy, victim in plan.kills:
             machines = sorted({entry[0] for entry in victim.frees})
@@ -336,7 +340,7 @@
         for task in plan.placed:
             job_id, index, number = wire_list(task)
             self._note("placed", f"{job_id}/{index}", number, self._machine_of(job_id, index))
-        kept = {m.name: m.kept_for for m in self.cluster.machines.values() if m.kept_for}
+        kept = {m.name: m.reserved_for for m in self.cluster.machines.values() if m.reserved_for}
         if kept != self.kept:
             self.kept = kept
             self._note("kept", sorted(kept.items()))
@@ -348,13 +352,13 @@
 
     # -- state service ---------------------------------------------------------------------
 
-    def _write(self, changes: Changes) -> None:
+    def _write(self, changes: WriteBatch) -> None:
         transaction = Transaction(list(changes.conditions), list(changes.operations))
         self.transactions += 1
         self._writes.append((self.transactions, changes, transaction))
         self._note("written", _canonical(wire(transaction)))
 
-    def _commit(self, number: int, changes: Changes, transaction: Transaction) -> None:
+    def _commit(self, number: int, changes: WriteBatch, transaction: Transaction) -> None:
         fate = self.fates.get(number, "applied")
         sent = wire(transaction)
         versions = {key: item.version for key, item in self.store.items()}
@@ -369,16 +373,16 @@
                 else:
                     self.store.pop(change["drop"], None)
         if applied and fate == "applied":
-            self.recorder.committed(changes, self.revision, self.now)
+            self.record_writer.committed(changes, self.revision, self.now)
             return
         found = {condition["k"]: self.store.get(condition["k"]) for condition in sent["if"]}
-        self.recorder.failed(changes, found, self.now)
+        self.record_writer.failed(changes, found, self.now)
 
     def _read_ends(self) -> None:
-        for name in self.cluster.pipelines.unread(self.now):
+        for name in self.cluster.dependencies.unread(self.now):
             found = self.store.get(f"end/{name}")
             if found is None:
-                self.cluster.pipelines.not_found(name, self.now)
+                self.cluster.dependencies.not_found(name, self.now)
             else:
                 self.cluster.job_ended(name, convert(EndRecord, found.value), self.now)
 
@@ -415,7 +419,7 @@
             return
         if self.time - worker.renewed > WORKERS.lease.total_seconds() and worker.token:
             worker.tasks.clear()
-            worker.session += 1
+            worker.incarnation += 1
             worker.renewed = self.time
         for (task, _), held in worker.tasks.items():
             self._advance(worker, task, held)
@@ -447,17 +451,17 @@
         ]
         return bool(len(members) == self.jobs[held.job_id]["legs"])
 
-    def _checkin(self, worker: SteppedWorker) -> None:
+    def _on_checkin(self, worker: SteppedWorker) -> None:
         if worker.silent or self.time < worker.up_at:
             return
-        report = worker.report(self.time)
-        orders = self.scheduler.on_report(report, self.now, checkin=True, full=True)
-        if orders:
-            self._note("ordered", worker.name, [wire(order) for order in orders])
-        if orders is None or worker.deaf:
+        heartbeat = worker.heartbeat(self.time)
+        commands = self.scheduler.on_heartbeat(heartbeat, self.now, is_heartbeat=True, full=True)
+        if commands:
+            self._note("ordered", worker.name, [wire(order) for order in commands])
+        if commands is None or worker.receives_nothing:
             return
         worker.token, worker.renewed = self.token, self.time
-        self._execute(worker, orders)
+        self._execute(worker, commands)
 
     def _command(self) -> None:
         for what in (self.cluster.direct, self.cluster.asking):
@@ -468,20 +472,22 @@
                     self._command_one(name, machine)
 
     def _command_one(self, name: str, machine: Machine) -> None:
-        message = DirectOrders(self.token, machine.session, self.cluster.stops_for(machine))
+        message = DirectCommands(
+            self.token, machine.incarnation, self.cluster.stop_commands_for(machine)
+        )
         self._note("commanded", name, wire(message))
-        machine.contact.asked = self.now
+        machine.reachability.asked = self.now
         worker = self.workers.get(name)
-        if worker is None or worker.silent or worker.deaf or self.time < worker.up_at:
-            machine.contact.not_told(self.now)
+        if worker is None or worker.silent or worker.receives_nothing or self.time < worker.up_at:
+            machine.reachability.probe_unanswered(self.now)
             return
-        if worker.session == wire(message)["shift"]:
+        if worker.incarnation == wire(message)["shift"]:
             worker.token = max(worker.token, self.token)
-            self._execute(worker, message.orders)
-        self.cluster.on_report(worker.report(self.time), self.now, False, self.now)
+            self._execute(worker, message.commands)
+        self.cluster.on_heartbeat(worker.heartbeat(self.time), self.now, False, self.now)
 
-    def _execute(self, worker: SteppedWorker, orders: list[Order]) -> None:
-        for order in map(wire, orders):
+    def _execute(self, worker: SteppedWorker, commands: list[Command]) -> None:
+        for order in map(wire, commands):
             key = (order["leg"], order["try"])
             held = worker.tasks.get(key)
             if order["verb"] == "run":
--- a/tests/fakes/histories.py
+++ b/tests/fakes/fault_histories.py
@@ -16,7 +16,7 @@
 import curio
 import pytest
 
-from micadeal.clock import seconds, steady
+from micadeal.clock import monotonic, seconds
 from micadeal.http.message import HttpError, Request
 from tests.fakes import state as state_fake
 from tests.fakes.network import HOLD, REFUSE, SILENT
@@ -45,7 +45,7 @@
         drawn = list(kinds) or self.random.sample(sorted(TROUBLES), self.random.choice([2, 2, 3]))
         self.troubles = [Begins(self.random.uniform(0, TOGETHER), kind) for kind in drawn]
         # Some deployments have it switched off.
-        self.world = World(seed, stand_in=self.random.random() < 0.8, boot_s=3.0)
+        self.world = World(seed, renew_leases_as_follower=self.random.random() < 0.8, boot_s=3.0)
         self.jobs: list[str] = []
         self.cancelling: set[str] = set()
         #: Jobs whose last task has ended, and how often users looked closely.
@@ -57,7 +57,7 @@
 
     def line(self) -> str:
         troubles = ", ".join(f"{t.kind} at {t.at:.1f}" for t in sorted(self.troubles, key=_at))
-        switched = "" if self.world.stand_in else ", nobody stands in"
+        switched = "" if self.world.renew_leases_as_follower else ", nobody stands in"
         return f"seed {self.seed}: {troubles}{switched}"
 
     def play(self) -> list[str]:
@@ -136,9 +136,9 @@
         if said == "done":
             self.cancelling.remove(job)
             return
-        told = steady().total_seconds()
+        told = monotonic().total_seconds()
         await self.world.until(lambda: not self.world.held(job), limit=CANCEL_S + 5)
-        self.gone_after.append(steady().total_seconds() - told)
+        self.gone_after.append(monotonic().total_seconds() - told)
 
     async def _heal(self) -> None:
         self.world.state.outage = False
@@ -155,15 +155,15 @@
         await curio.sleep(1)
         for job in self.jobs:
             if job in self.cancelling:
-                until = steady().total_seconds() + PATIENCE
+                until = monotonic().total_seconds() + PATIENCE
                 while job in self.cancelling and self.world.told.final.get(job) != "cancelled":
-                    assert steady().total_seconds() < until, f"{job} is never told cancelled"
+                    assert monotonic().total_seconds() < until, f"{job} is never told cancelled"
                     await curio.sleep(0.5)
             elif self.world.fleet.jobs[job].spec["shape"] == "daemon":
                 legs = self.world.fleet.jobs[job].spec["legs"]
-                until = steady().total_seconds() + PATIENCE
+                until = monotonic().total_seconds() + PATIENCE
                 while self.world.running(job) != legs:
-                    assert steady().total_seconds() < until, f"{job} does not run in full"
+                    assert monotonic().total_seconds() < until, f"{job} does not run in full"
                     await curio.sleep(0.5)
             else:
                 await self.world.until_done(job, PATIENCE)
@@ -328,7 +328,7 @@
 
 
 async def _deaf(history: History) -> None:
-    await _are_among(history, history.world.network.deaf)
+    await _are_among(history, history.world.network.receives_nothing)
 
 
 async def _hang(history: History) -> None:
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from micadeal.clock import steady
+from micadeal.clock import monotonic
 from micadeal.http.message import Answer, HttpError, Request, error
 
 Handler = Callable[[Request], Awaitable[Answer]]
@@ -30,7 +30,7 @@
         self._cuts: dict[frozenset[str], str] = {}
         self._ended: dict[frozenset[str], curio.Event] = {}
         #: Hosts that are heard, and hear nothing: what is sent to them is lost.
-        self.deaf: set[str] = set()
+        self.receives_nothing: set[str] = set()
         #: Hosts that hear and answer, and are not heard: what they send by themselves is lost.
         self.mute: set[str] = set()
         #: Whether a request is carried out at once and only its answer is lost.
@@ -64,7 +64,7 @@
     async def request(
         self, source: str, address: str, request: Request, timeout: timedelta
     ) -> tuple[int, bytes]:
-        deadline = steady() + timeout
+        deadline = monotonic() + timeout
         await self._travel()
         found = self._servers.get(address)
         if found is None:
@@ -79,7 +79,7 @@
             await self._travel()
             refused = error(503, "trouble")
             return refused.status, refused.body
-        if host in self.deaf or source in self.mute:
+        if host in self.receives_nothing or source in self.mute:
             mode = SILENT
         held = self.late(source, address, request) if self.late and mode is None else None
         if held is not None:
@@ -88,18 +88,18 @@
         if mode is not None:
             if mode == HOLD:
                 await curio.spawn(self._deliver_late, pair, address, request, daemon=True)
-            await curio.sleep(max((deadline - steady()).total_seconds(), 0))
+            await curio.sleep(max((deadline - monotonic()).total_seconds(), 0))
             raise HttpError(f"{address}: no answer in time")
         try:
-            async with curio.timeout_after(max((deadline - steady()).total_seconds(), 0.001)):
+            async with curio.timeout_after(max((deadline - monotonic()).total_seconds(), 0.001)):
                 reply = await handler(request)
                 if self.slow is not None:
                     await curio.sleep(self.slow(source, address, request))
         except curio.TaskTimeout:
             raise HttpError(f"{address}: no answer in time") from None
         gone = self.answer_lost is not None and self.answer_lost(source, address, request)
-        if gone or self._cuts.get(pair, REFUSE) != REFUSE or source in self.deaf:
-            await curio.sleep(max((deadline - steady()).total_seconds(), 0))
+        if gone or self._cuts.get(pair, REFUSE) != REFUSE or source in self.receives_nothing:
+            await curio.sleep(max((deadline - monotonic()).total_seconds(), 0))
             raise HttpError(f"{address}: the answer was lost")
         await self._travel()
         return reply.status, reply.body
@@ -111,7 +111,7 @@
             await found[1](request)
 
     async def heal_all(self) -> None:
-        self.deaf.clear()
+        self.receives_nothing.clear()
         self.mute.clear()
         self.copies = self.slow = self.late = self.answer_lost = None
         for pair in list(self._cuts):
@@ -137,23 +137,23 @@
 class HostNetwork:
     """The network as one process sees it."""
 
-    def __init__(self, network: FakeNetwork, host: str, power: HostPower) -> None:
+    def __init__(self, network: FakeNetwork, host: str, authority: HostPower) -> None:
         self._network = network
         self._host = host
-        self._power = power
+        self._authority = authority
 
     def client(self, address: str, keep: int) -> FakeClient:
-        return FakeClient(self._network, self._host, self._power, address)
+        return FakeClient(self._network, self._host, self._authority, address)
 
     def server(self, address: tuple[str, int], handler: Handler, most: int) -> FakeServer:
         return FakeServer(self._network, self._host, f"{address[0]}:{address[1]}", handler)
 
 
 class FakeClient:
-    def __init__(self, network: FakeNetwork, host: str, power: HostPower, address: str) -> None:
+    def __init__(self, network: FakeNetwork, host: str, authority: HostPower, address: str) -> None:
         self._network = network
         self._host = host
-        self._power = power
+        self._authority = authority
         self._address = address
 
     async def request(
@@ -165,12 +165,12 @@
         timeout: timedelta,
         repeatable: bool = True,
     ) -> tuple[int, bytes]:
-        if not self._power.on:
+        if not self._authority.on:
             await curio.sleep(3600)
         path, _, query = target.partition("?")
         request = Request(method, path, query, body)
         result = await self._network.request(self._host, self._address, request, timeout)
-        if not self._power.on:
+        if not self._authority.on:
             await curio.sleep(3600)
         return result
 
--- a/tests/fakes/earlier.py
+++ b/tests/fakes/previous_versions.py
@@ -9,15 +9,28 @@
 from datetime import timedelta
 from typing import Any
 
-from micadeal.clock import seconds, steady
-from micadeal.controller.levels import Levels
-from micadeal.controller.node import Node
+from micadeal.clock import monotonic, seconds
+from micadeal.controller.controller import Controller
+from micadeal.controller.feature_levels import FeatureLevels
 from micadeal.http.message import Answer, Request
-from micadeal.leadership.election import Deposed, Elected, LeaderSeen, Listener, Renewed
+from micadeal.leadership.election import (
+    Elected,
+    LeaderLeaseRenewed,
+    LeaderObserved,
+    LeadershipLost,
+    Listener,
+)
 from micadeal.leadership.term import Term
-from micadeal.rollout.seat import Seat
-from micadeal.state.service import Conflict, LeaseGone, StateError, StateService, Urgency, lease_end
-from micadeal.waiting import sleep
+from micadeal.rollout.leader_lock import LeaderLock
+from micadeal.state.service import (
+    ConflictError,
+    LeaseExpiredError,
+    StateService,
+    StateServiceError,
+    Urgency,
+    lease_end,
+)
+from micadeal.timeouts import sleep
 from micadeal.wire.codec import decode, encode
 from micadeal.wire.state import Condition, Put
 from tests.fakes.network import FakeClient, FakeServer, Handler, HostNetwork
@@ -49,7 +62,7 @@
     keys: tuple[str, ...] = UNKNOWN_KEYS
 
     def client(self, address: str, keep: int) -> FakeClient:
-        client = _Client(self._network, self._host, self._power, address)
+        client = _Client(self._network, self._host, self._authority, address)
         client.reader = self
         return client
 
@@ -92,12 +105,12 @@
         return status, self.reader.forget(reply)
 
 
-class _NoLevels(Levels):
+class _NoLevels(FeatureLevels):
     """Of a process that knows of none: it serves whatever is in force."""
 
     stands_in = False
 
-    def seen(self, seat: Seat) -> None:
+    def seen(self, leader_lock: LeaderLock) -> None:
         pass
 
     @property
@@ -125,7 +138,7 @@
         while True:
             try:
                 await self._round()
-            except (StateError, LeaseGone, Conflict):
+            except (StateServiceError, LeaseExpiredError, ConflictError):
                 await sleep(seconds(0.3))
 
     async def _round(self) -> None:
@@ -135,7 +148,7 @@
         elif item.value["controller"] == self._name:
             await self._state.end_lease(item.value["lease"])
         else:
-            await self._listener(LeaderSeen(item.value["controller"], item.version))
+            await self._listener(LeaderObserved(item.value["controller"], item.version))
             await self._await_change(item.version)
 
     async def _await_change(self, version: int) -> None:
@@ -147,7 +160,7 @@
             after = max(after, found.revision)
 
     async def _stand(self) -> None:
-        sent, ttl = steady(), seconds(3)
+        sent, ttl = monotonic(), seconds(3)
         lease = await self._state.new_lease(ttl)
         record = {"controller": self._name, "lease": lease}
         token = await self._state.commit(
@@ -155,31 +168,33 @@
         )
         self._resigned = False
         term = Term(token, lease, lease_end(sent, ttl), sent, token)
-        await self._listener(Elected(term, Seat(token)))
+        await self._listener(Elected(term, LeaderLock(token)))
         await self._keep(token, lease)
-        await self._listener(Deposed(token, "its time is over"))
+        await self._listener(LeadershipLost(token, "its time is over"))
 
     async def _keep(self, token: int, lease: int) -> None:
         while not self._resigned:
             await sleep(seconds(0.7))
-            sent = steady()
+            sent = monotonic()
             try:
                 await self._state.renew(lease, timeout=seconds(0.9))
-            except LeaseGone:
+            except LeaseExpiredError:
                 return
-            except StateError:
+            except StateServiceError:
                 continue
-            await self._listener(Renewed(token, lease_end(sent, seconds(3))))
+            await self._listener(LeaderLeaseRenewed(token, lease_end(sent, seconds(3))))
         await self._state.end_lease(lease)
 
 
-class EarlierNode(Node):
+class EarlierNode(Controller):
     """A process of a version before levels.  ``stands_in``: of the last one before them."""
 
     def __init__(self, *args: Any, stands_in: bool = False, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        levels = _NoLevels(self._platform.name, [p.name for p in self._platform.peers], steady())
-        levels.stands_in = stands_in
-        self._levels = self._mesh._levels = levels
+        feature_levels = _NoLevels(
+            self._platform.name, [p.name for p in self._platform.peers], monotonic()
+        )
+        feature_levels.stands_in = stands_in
+        self._feature_levels = self._peer_links._feature_levels = feature_levels
         election: Any = EarlierElection(self._platform.name, self._state, self._on_election)
         self._election = election
--- a/tests/fakes/picture.py
+++ b/tests/fakes/random_clusters.py
@@ -7,15 +7,15 @@
 from datetime import timedelta
 
 from micadeal.clock import seconds
-from micadeal.fleet.offers import Market
+from micadeal.fleet.instance_offers import InstanceOffers
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Objective, Team, Workers
 from micadeal.operator.policy import Policy
-from micadeal.scheduling.cluster import Cluster
+from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.scheduler import Scheduler
 from micadeal.wire.cloud import ListedMachine, MachineType
 from micadeal.wire.users import Priority, Shape, Submission
-from micadeal.wire.workers import Report, TaskReport
+from micadeal.wire.workers import Heartbeat, TaskStatus
 
 WORKERS = Workers(seconds(2), seconds(14), seconds(50), seconds(6), seconds(34))
 ZONES = ["north", "south", "west"]
@@ -29,9 +29,9 @@
         self.now: timedelta = seconds(100)
         names = [f"team-{i}" for i in range(teams)]
         limits = {n: Team(n, 0.0, machines * 0.5, None, machines * 2.0) for n in names}
-        self.cluster = Cluster(TOKEN, WORKERS, limits, seconds(0))
+        self.cluster = ClusterState(TOKEN, WORKERS, limits, seconds(0))
         objectives = [Objective("wait", "live", seconds(12))]
-        self.scheduler = Scheduler(self.cluster, Market(), Policy(), objectives, seconds(0))
+        self.scheduler = Scheduler(self.cluster, InstanceOffers(), Policy(), objectives, seconds(0))
         self.scheduler.set_catalog([BOX])
         self.sequences: dict[str, int] = {}
         self.count = 0
@@ -45,7 +45,7 @@
         ]  # fmt: skip
         self.scheduler.on_list(listed, self.now)
         for entry in listed:
-            self.report(entry.name)
+            self.heartbeat(entry.name)
         for _ in range(jobs):
             self.submit()
 
@@ -79,19 +79,19 @@
         self.scheduler.job_added(job, self.now)
         return job
 
-    def report(self, name: str, done: int = 0) -> None:
+    def heartbeat(self, name: str, done: int = 0) -> None:
         """The machine's next report: all it was told to run runs, ``done`` of it has ended."""
         machine = self.cluster.machines[name]
         sequence = self.sequences[name] = self.sequences.get(name, 0) + 1
         tasks = [
-            TaskReport(a.task, a.number, "running")
+            TaskStatus(a.task, a.number, "running")
             for a in machine.attempts.values()
             if a.ordered is not None and a.stop is None
         ]
         for task in tasks[:done]:
             task.state, task.why = "exited", "done"
-        self.scheduler.on_report(
-            Report(name, machine.address, "box", machine.zone, machine.spot, 1, sequence, TOKEN,
+        self.scheduler.on_heartbeat(
+            Heartbeat(name, machine.address, "box", machine.zone, machine.spot, 1, sequence, TOKEN,
                    None, tasks),
-            self.now, checkin=True, full=True,
+            self.now, is_heartbeat=True, full=True,
         )  # fmt: skip
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from micadeal.clock import steady
+from micadeal.clock import monotonic
 from micadeal.http.message import Answer, Request, answer, error
 from micadeal.wire.codec import decode
 
@@ -46,7 +46,7 @@
         """Ends leases; during an outage time stands still for them."""
         while True:
             await curio.sleep(0.05)
-            now = steady().total_seconds()
+            now = monotonic().total_seconds()
             for lease, (ttl, ends) in list(self._leases.items()):
                 if self.outage:
                     self._leases[lease] = (ttl, now + ttl)
@@ -142,7 +142,7 @@
         if self.changes_per_s is None or not changes:
             return False
         left, at = self._bucket
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         left = min(self.changes_per_s, left + (now - at) * self.changes_per_s) - changes
         if left < 0:
             self.too_many += 1
@@ -151,7 +151,7 @@
         return False
 
     async def _lease(self, request: Request) -> Answer:
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         if request.path == "/leases":
             ttl = decode(dict, request.body)["ttl_ms"] / 1000
             self._next_lease += 1
@@ -170,7 +170,7 @@
     async def _watch(self, request: Request) -> Answer:
         parameters = dict(parse_qsl(request.query))
         prefix, after = parameters["starts"], int(parameters["after"])
-        until = steady().total_seconds() + int(parameters.get("hold_ms", "0")) / 1000
+        until = monotonic().total_seconds() + int(parameters.get("hold_ms", "0")) / 1000
         while True:
             if not self.outage:
                 news = [
@@ -178,7 +178,7 @@
                     for r, k, data, gone in self._events
                     if r > after and k.startswith(prefix)
                 ]
-                rest = until - steady().total_seconds()
+                rest = until - monotonic().total_seconds()
                 if news or rest <= 0:
                     return answer(200, {"ledger": self.revision, "news": news})
             else:
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from micadeal.clock import seconds, steady
+from micadeal.clock import monotonic, seconds
 from micadeal.http.message import Answer, HttpError, Request, answer
 from micadeal.wire.codec import decode, encode
 from tests.fakes.network import FakeNetwork
@@ -42,7 +42,7 @@
     def job_id(self) -> str:
         return self.task.rpartition("/")[0]
 
-    def report(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         shown: dict[str, Any] = {"leg": self.task, "try": self.attempt, "status": self.state}
         if self.why:
             shown["cause"] = self.why
@@ -82,7 +82,7 @@
     def __init__(self, fleet: Fleet, name: str, address: str, zone: str, spot: bool) -> None:
         self.fleet, self.name, self.address = fleet, name, address
         self.zone, self.spot = zone, spot
-        self.session, self.sequence, self.token = 1, 0, 0
+        self.incarnation, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Held] = {}
         self.images: set[str] = set()
         self.notice_end: float | None = None
@@ -90,7 +90,7 @@
         self.alive = True
         #: Answers to what an earlier process sent reach nobody.
         self.lives = 1
-        self.renewed = steady().total_seconds()
+        self.renewed = monotonic().total_seconds()
         self._wake = curio.Event()
         self._token_told = 0.0
         self._at = next(iter(fleet.controllers))
@@ -116,15 +116,15 @@
         sequence count from the start."""
         self.tasks.clear()
         self.images.clear()
-        self.session, self.sequence, self.token = 1, 0, 0
-        self.renewed = steady().total_seconds()
+        self.incarnation, self.sequence, self.token = 1, 0, 0
+        self.renewed = monotonic().total_seconds()
         self.lives += 1
 
     async def _step(self) -> None:
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         if now - self.renewed > self.fleet.lease_s:
             self.tasks.clear()
-            self.session += 1
+            self.incarnation += 1
             self.renewed = now
             await self._change()
         if self.hanging:
@@ -189,15 +189,15 @@
 
     # -- reports ---------------------------------------------------------------------------
 
-    def _report(self) -> dict[str, Any]:
+    def _on_heartbeat(self) -> dict[str, Any]:
         self.sequence += 1
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         return {
             "host": self.name, "addr": self.address, "rig": "box", "depot": self.zone,
-            "loaners": self.spot, "shift": self.session, "tick": self.sequence,
+            "loaners": self.spot, "shift": self.incarnation, "tick": self.sequence,
             "baton": self.token,
             "recall_s": None if self.notice_end is None else max(self.notice_end - now, 0.0),
-            "legs": [held.report() for held in self.tasks.values()],
+            "legs": [held.heartbeat() for held in self.tasks.values()],
         }  # fmt: skip
 
     async def _report_loop(self) -> None:
@@ -207,15 +207,15 @@
                 await curio.sleep(0.2)
                 continue
             self._wake.clear()
-            sent, session, life = steady().total_seconds(), self.session, self.lives
-            status, body = await self._send(self._report())
+            sent, incarnation, life = monotonic().total_seconds(), self.incarnation, self.lives
+            status, body = await self._send(self._on_heartbeat())
             if life != self.lives:
                 continue
             if status == 200:
-                await self._take(decode(dict, body), sent, session)
+                await self._take(decode(dict, body), sent, incarnation)
                 async with curio.ignore_after(self.fleet.report_s):
                     await self._wake.wait()
-                await curio.sleep(max(0.0, 0.5 - (steady().total_seconds() - sent)))
+                await curio.sleep(max(0.0, 0.5 - (monotonic().total_seconds() - sent)))
                 continue
             named = decode(dict, body).get("dispatcher") if status == 421 and body else None
             if named in self.fleet.controllers and named != self._at:
@@ -225,17 +225,17 @@
                 self._at = names[(names.index(self._at) + 1) % len(names)]
                 await curio.sleep(1)
 
-    async def _send(self, report: dict[str, Any]) -> tuple[int, bytes]:
-        request = Request("POST", "/checkin", "", encode(report))
+    async def _send(self, heartbeat: dict[str, Any]) -> tuple[int, bytes]:
+        request = Request("POST", "/checkin", "", encode(heartbeat))
         address = self.fleet.controllers[self._at]
         try:
             return await self.fleet.network.request(self.name, address, request, REPORT_TIME)
         except HttpError:
             return 0, b""
 
-    async def _take(self, reply: dict[str, Any], sent: float, session: int) -> None:
+    async def _take(self, reply: dict[str, Any], sent: float, incarnation: int) -> None:
         token = reply.get("baton", 0)
-        if session != self.session or token < self.token or not self.alive:
+        if incarnation != self.incarnation or token < self.token or not self.alive:
             return
         await self._see(token)
         self.renewed = max(self.renewed, sent)
@@ -243,7 +243,7 @@
             await self._execute(order)
 
     async def _see(self, token: int) -> None:
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         if token > self.token:
             self.token = token
             if now - self._token_told > self.fleet.lease_s / 2:
@@ -254,12 +254,12 @@
         while self.hanging:
             await curio.sleep(0.2)
         message = decode(dict, request.body)
-        if message["baton"] < self.token or message["shift"] != self.session:
-            return answer(409, self._report())
+        if message["baton"] < self.token or message["shift"] != self.incarnation:
+            return answer(409, self._on_heartbeat())
         await self._see(message["baton"])
         for order in message["orders"]:
             await self._execute(order)
-        return answer(200, self._report())
+        return answer(200, self._on_heartbeat())
 
     # -- orders ----------------------------------------------------------------------------
 
@@ -278,7 +278,7 @@
             await self._halt(held, order.get("wind_down_s") or 0.0)
 
     async def _start(self, task: str, attempt: int) -> None:
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         held = Held(task, attempt, now)
         job = self.fleet.jobs[held.job_id]
         others = [h for h in self.tasks.values() if h.task == task and h.state != "exited"]
@@ -306,7 +306,7 @@
 
     async def _halt(self, held: Held, grace: float) -> None:
         job = self.fleet.jobs[held.job_id]
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         saves = job.spec["bookmark_s"] > 0 and grace >= job.spec["stow_s"]
         if held.state == "running" and saves:
             held.state = "flushing"
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -9,19 +9,19 @@
 
 import curio
 
-from micadeal.clock import seconds, steady
-from micadeal.controller.node import Node
+from micadeal.clock import monotonic, seconds
+from micadeal.controller.controller import Controller
 from micadeal.http.message import HttpError, Request
 from micadeal.operator.options import Options
 from micadeal.operator.platform import parse
-from micadeal.rollout.levels import Build
+from micadeal.rollout.feature_level import Build
 from micadeal.wire.codec import decode, encode
 from tests.fakes import cloud as cloud_fake
 from tests.fakes import state as state_fake
 from tests.fakes.cloud import FakeCloud, Rented
-from tests.fakes.earlier import EarlierNetwork, EarlierNode, UnlevelledNetwork
 from tests.fakes.kernel import run_stepped
 from tests.fakes.network import FakeNetwork, HostNetwork, HostPower
+from tests.fakes.previous_versions import EarlierNetwork, EarlierNode, UnlevelledNetwork
 from tests.fakes.state import FakeState
 from tests.fakes.workers import FakeWorker, Fleet, Held, Job
 
@@ -134,13 +134,13 @@
         seed: int = 1,
         teams: str = TEAMS,
         coming: str = "",
-        stand_in: bool = True,
+        renew_leases_as_follower: bool = True,
         changes_per_s: float | None = None,
         **cloud: Any,
     ) -> None:
         """``changes_per_s``: what the state service takes; None: the ordinary, and it counts none.
         ``cloud``: see there."""
-        self.stand_in = stand_in
+        self.renew_leases_as_follower = renew_leases_as_follower
         self.network = FakeNetwork(seed)
         self.state = FakeState()
         self.state.changes_per_s = changes_per_s
@@ -159,7 +159,7 @@
         self.starts: Counter[str] = Counter()
         self.done: set[str] = set()
         self.limits = {"red": 8.0, "blue": 12.0}
-        self.nodes: dict[int, Node] = {}
+        self.nodes: dict[int, Controller] = {}
         self._powers: dict[str, HostPower] = {}
         self._jobs = 0
 
@@ -193,9 +193,9 @@
             if not self._powers[f"c{number}"].on:
                 await self.start(number)
         open_jobs = sorted(self.told.accepted - self.damaged)
-        until = steady().total_seconds() + FORGOTTEN_S
+        until = monotonic().total_seconds() + FORGOTTEN_S
         number = 0
-        while open_jobs and steady().total_seconds() < until:
+        while open_jobs and monotonic().total_seconds() < until:
             number += 1
             open_jobs = [job for job in open_jobs if await self.status(job, number % 3) is None]
             if open_jobs:
@@ -219,18 +219,23 @@
         """``earlier``: it knows no more than the version in production before pipelines;
         ``unlevelled``: than the last one before levels; ``build``: which levels it knows."""
         name = f"c{number}"
-        power = self._powers[name] = HostPower()
+        authority = self._powers[name] = HostPower()
         changes = self.state.changes_per_s or CHANGES_PER_S
         platform = parse(settings(number, self.teams, self.coming, without, changes))
-        node: Node
+        node: Controller
         if earlier or unlevelled:
             kind = EarlierNetwork if earlier else UnlevelledNetwork
-            network = kind(self.network, name, power)
-            options = Options(stand_in=unlevelled)
+            network = kind(self.network, name, authority)
+            options = Options(renew_leases_as_follower=unlevelled)
             node = EarlierNode(platform, network, options, stands_in=unlevelled)
         else:
-            host = HostNetwork(self.network, name, power)
-            node = Node(platform, host, Options(stand_in=self.stand_in), build)
+            host = HostNetwork(self.network, name, authority)
+            node = Controller(
+                platform,
+                host,
+                Options(renew_leases_as_follower=self.renew_leases_as_follower),
+                build,
+            )
         self.nodes[number] = node
         await curio.spawn(node.run, daemon=True)
 
@@ -324,7 +329,7 @@
         """An answer has arrived; ``before`` was the newest one when its question was put."""
         told = self.told
         told.answers += 1
-        now, newest = steady().total_seconds(), told.final.get(job_id)
+        now, newest = monotonic().total_seconds(), told.final.get(job_id)
         if said == "cancelled":
             told.cancelled_at.setdefault(job_id, now)
         if before in FINAL and said != before:
@@ -363,7 +368,7 @@
         )
         if said == "cancelled" and not self.above(job_id) & self.told.asked:
             self.broken.append(f"went_back: {job_id} was not cancelled by its user")
-        late = since is not None and steady().total_seconds() > since + CANCEL_S
+        late = since is not None and monotonic().total_seconds() > since + CANCEL_S
         if said in ("pending", "running") and late:
             self.broken.append(f"orphaned {job_id}")
         return said
@@ -401,17 +406,17 @@
 
     async def until(self, what: Callable[[], bool], limit: float = 120) -> float:
         """Wait for something; how long it took."""
-        began = steady().total_seconds()
+        began = monotonic().total_seconds()
         while not what():
-            assert steady().total_seconds() - began < limit, "it never came"
+            assert monotonic().total_seconds() - began < limit, "it never came"
             await curio.sleep(0.25)
-        return steady().total_seconds() - began
+        return monotonic().total_seconds() - began
 
     async def until_done(self, job_id: str, limit: float = 200) -> None:
-        began = steady().total_seconds()
+        began = monotonic().total_seconds()
         number = 0
         while await self.status(job_id, number % 3) != "done":
-            assert steady().total_seconds() - began < limit, f"{job_id} is never done"
+            assert monotonic().total_seconds() - began < limit, f"{job_id} is never done"
             number += 1
             await curio.sleep(1)
 
@@ -447,7 +452,7 @@
                 self.broken.append(f"too_early {held.task}: {name} is not done")
         told = self.told.cancelled_at.get(held.job_id)
         if told is not None:
-            after = steady().total_seconds() - told
+            after = monotonic().total_seconds() - told
             self.broken.append(
                 f"started_cancelled {held.task}: {after:.2f} s after its user was told"
             )
@@ -466,7 +471,7 @@
 
     def _check(self) -> None:
         used: Counter[str] = Counter()
-        now = steady().total_seconds()
+        now = monotonic().total_seconds()
         for _, held in self.held():
             spec = self.fleet.jobs[held.job_id].spec
             used[spec["crew"]] += spec["accelerators"]
--- a/tests/test_boots.py
+++ b/tests/test_boot_times.py
@@ -6,8 +6,8 @@
 import pytest
 
 from micadeal.clock import seconds
-from micadeal.fleet.boots import Boots
-from micadeal.fleet.model import Machine
+from micadeal.fleet.boot_times import BootTimes
+from micadeal.fleet.machines import Machine
 from tests.fakes.world import World
 
 USUAL = seconds(30)
@@ -18,26 +18,26 @@
 
 
 def test_a_machine_is_late_once_others_have_overtaken_it() -> None:
-    boots = Boots()
+    boot_times = BootTimes()
     never = _machine("m", 100)
-    assert not boots.late(never, USUAL, seconds(160))
+    assert not boot_times.late(never, USUAL, seconds(160))
     for number in range(3):
-        boots.up(_machine(f"n{number}", 101 + number), seconds(132))
-    assert not boots.late(never, USUAL, seconds(140))
-    assert boots.late(never, USUAL, seconds(160))
-    assert not boots.given_up(never, USUAL, seconds(160))
-    assert boots.given_up(never, USUAL, seconds(191))
+        boot_times.up(_machine(f"n{number}", 101 + number), seconds(132))
+    assert not boot_times.late(never, USUAL, seconds(140))
+    assert boot_times.late(never, USUAL, seconds(160))
+    assert not boot_times.given_up(never, USUAL, seconds(160))
+    assert boot_times.given_up(never, USUAL, seconds(191))
 
 
 def test_where_all_boots_are_slow_none_is_late() -> None:
     """Guards against a storm of rentals: each would be as slow as what it was to replace."""
-    boots = Boots()
+    boot_times = BootTimes()
     for number in range(5):
-        boots.up(_machine(f"before{number}", 10), seconds(40))
+        boot_times.up(_machine(f"before{number}", 10), seconds(40))
     slow = _machine("m", 100)
-    assert not boots.late(slow, USUAL, seconds(230))
-    assert not boots.given_up(slow, USUAL, seconds(230))
-    assert boots.given_up(slow, USUAL, seconds(345))
+    assert not boot_times.late(slow, USUAL, seconds(230))
+    assert not boot_times.given_up(slow, USUAL, seconds(230))
+    assert boot_times.given_up(slow, USUAL, seconds(345))
 
 
 def test_work_that_waits_on_a_machine_that_never_boots_gets_room_elsewhere(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,7 +16,7 @@
 from micadeal.http.message import Answer, Request, answer, error
 from micadeal.http.server import Server
 from micadeal.wire.codec import decode
-from micadeal.wire.mesh import MachineLine, Overview, StuckJob, TeamLine, WhyAnswer, WhyLine
+from micadeal.wire.peers import MachineLine, Overview, StuckJob, TeamLine, WhyAnswer, WhyLine
 from micadeal.wire.users import JobAnswer, Status
 from tests.fakes.world import TEAMS, settings
 
--- a/tests/test_parts.py
+++ b/tests/test_components.py
@@ -12,18 +12,18 @@
 import pytest
 from click.testing import CliRunner
 
-from micadeal.cli.flood import FloodFilter
+from micadeal.cli.log_rate_limit import LogRateLimitFilter
 from micadeal.cli.main import main
 from micadeal.clock import ZERO, seconds
-from micadeal.fleet.gate import Gate, Way
+from micadeal.fleet.heartbeat_routing import HeartbeatRoute, HeartbeatRouter
 from micadeal.http.client import Client
 from micadeal.http.message import BODY_LIMIT, Answer, HttpError, Request, answer
 from micadeal.http.server import Server
 from micadeal.jobs.model import CHUNK, Job, to_bits
-from micadeal.leadership.term import PeerContact, Power, Term
-from micadeal.operator.platform import BadSettings, parse
-from micadeal.operator.script import EXAMPLE, BadScript, evaluate
-from micadeal.placement.rooms import Room, ZoneRule, choose, choose_gang
+from micadeal.leadership.term import Authority, PeerContact, Term
+from micadeal.operator.platform import InvalidSettingsError, parse
+from micadeal.operator.script import EXAMPLE, InvalidScriptError, evaluate
+from micadeal.placement.bin_packing import MachineCapacity, ZoneRule, choose, choose_gang
 from micadeal.state.budget import Budget
 from micadeal.wire.users import Priority, Shape, Submission
 from tests.fakes.world import TEAMS, settings
@@ -40,10 +40,10 @@
     return Submission(**values)  # type: ignore[arg-type]
 
 
-def room(name: str, zone: str = "north", **fields: object) -> Room:
+def capacity(name: str, zone: str = "north", **fields: object) -> MachineCapacity:
     values: dict[str, object] = {"spot": False, "cpus": 8.0, "gpus": 2.0, "memory_gb": 64.0}
     values.update(fields)
-    return Room(name, "box", zone, **values)  # type: ignore[arg-type]
+    return MachineCapacity(name, "box", zone, **values)  # type: ignore[arg-type]
 
 
 # -- settings --------------------------------------------------------------------------------
@@ -75,7 +75,7 @@
 ) -> None:
     text = settings(0, TEAMS)
     assert old in text
-    with pytest.raises(BadSettings, match=named):
+    with pytest.raises(InvalidSettingsError, match=named):
         parse(text.replace(old, new, 1))
     file = tmp_path / "settings.toml"
     file.write_text(text.replace(old, new, 1))
@@ -98,7 +98,7 @@
         ("x = undefined\n", "s.star:1"),
         ("teams = {'a': {'order': 'random'}}", "order must be"),
     ):
-        with pytest.raises(BadScript) as refused:
+        with pytest.raises(InvalidScriptError) as refused:
             evaluate(script, "s.star")
         assert told in str(refused.value)
 
@@ -119,17 +119,17 @@
     term = Term(token=5, lease=1, valid_until=seconds(10), informed=seconds(8))
     lease, cancel = seconds(14), seconds(34)
 
-    def power(at: float, *peers: PeerContact | None) -> Power:
-        return term.power(seconds(at), list(peers), lease, cancel)
+    def authority(at: float, *peers: PeerContact | None) -> Authority:
+        return term.authority(seconds(at), list(peers), lease, cancel)
 
     heard = PeerContact(asked=seconds(30), cancelled=seconds(2))
     told = PeerContact(asked=seconds(30), cancelled=seconds(9))
-    assert power(9.9) is Power.FULL
-    assert power(11, None, None) is Power.RENEW_ONLY
-    assert power(26, heard, None) is Power.NONE
-    assert power(40, heard, heard) is Power.RENEW_ONLY
-    assert power(48, heard, heard) is Power.NONE
-    assert power(40, heard, told) is Power.NONE
+    assert authority(9.9) is Authority.FULL
+    assert authority(11, None, None) is Authority.RENEW_ONLY
+    assert authority(26, heard, None) is Authority.NONE
+    assert authority(40, heard, heard) is Authority.RENEW_ONLY
+    assert authority(48, heard, heard) is Authority.NONE
+    assert authority(40, heard, told) is Authority.NONE
 
 
 def test_a_lease_of_the_state_service_is_no_knowledge_of_cancellations() -> None:
@@ -138,27 +138,35 @@
     for cancel, most in ((34, 17.4), (18, 5.0)):
         term = Term(token=5, lease=1, valid_until=seconds(99), informed=seconds(8))
         powers = [
-            term.power(seconds(8 + lag), [], seconds(14), seconds(cancel))
+            term.authority(seconds(8 + lag), [], seconds(14), seconds(cancel))
             for lag in (most - 0.1, most + 0.1)
         ]
-        assert powers == [Power.FULL, Power.NONE]
+        assert powers == [Authority.FULL, Authority.NONE]
     unread = Term(token=5, lease=1, valid_until=seconds(99), informed=None)
-    told_by = seconds(8)
-    assert unread.power(seconds(9), [], seconds(14), seconds(34)) is Power.NONE
-    assert unread.power(seconds(9), [], seconds(14), seconds(34), told_by) is Power.FULL
+    cancellations_known_until = seconds(8)
+    assert unread.authority(seconds(9), [], seconds(14), seconds(34)) is Authority.NONE
+    assert (
+        unread.authority(seconds(9), [], seconds(14), seconds(34), cancellations_known_until)
+        is Authority.FULL
+    )
 
 
 def test_a_worker_that_comes_back_is_relayed() -> None:
-    gate = Gate()
-    assert gate.way("m", leading=False, leader=None, now=seconds(1)) is Way.NOWHERE
-    assert gate.way("m", leading=False, leader="a", now=seconds(2)) is Way.REDIRECT
-    assert gate.way("m", leading=False, leader="a", now=seconds(8)) is Way.RELAY
+    gate = HeartbeatRouter()
+    assert gate.way("m", leading=False, leader=None, now=seconds(1)) is HeartbeatRoute.NOWHERE
+    assert gate.way("m", leading=False, leader="a", now=seconds(2)) is HeartbeatRoute.REDIRECT
+    assert gate.way("m", leading=False, leader="a", now=seconds(8)) is HeartbeatRoute.RELAY
     gate.relayed("m", seconds(8))
-    assert gate.way("m", leading=False, leader="a", now=seconds(20)) is Way.RELAY
-    assert gate.way("m", leading=False, leader="b", now=seconds(21)) is Way.REDIRECT
+    assert gate.way("m", leading=False, leader="a", now=seconds(20)) is HeartbeatRoute.RELAY
+    assert gate.way("m", leading=False, leader="b", now=seconds(21)) is HeartbeatRoute.REDIRECT
     # One that comes from the leader is relayed at once, then sent back, and stays if it returns.
     ways = [gate.way("n", False, "a", seconds(at), knows=True) for at in (1, 4, 10, 13)]
-    assert ways == [Way.RELAY, Way.REDIRECT, Way.RELAY, Way.RELAY]
+    assert ways == [
+        HeartbeatRoute.RELAY,
+        HeartbeatRoute.REDIRECT,
+        HeartbeatRoute.RELAY,
+        HeartbeatRoute.RELAY,
+    ]
 
 
 def test_the_finished_set_survives_in_chunks() -> None:
@@ -169,30 +177,36 @@
         job.finish(index)
     other = Job(big, ZERO, 1)
     for chunk in {index // CHUNK for index in done}:
-        text = to_bits(job.within(chunk * CHUNK, CHUNK), chunk * CHUNK)
+        text = to_bits(job.with_timeout(chunk * CHUNK, CHUNK), chunk * CHUNK)
         assert len(text) <= 4000
         other.load_bits(chunk * CHUNK, text)
     assert other.finished == done and other.next_waiting() == 1
 
 
 def test_rooms_are_chosen_by_rule_then_image_then_fullness() -> None:
-    rooms = [room("a"), room("b", images=frozenset({"img"})), room("c", gpus=1.0, tasks=1)]
-    chosen = choose(spec(), rooms, ZoneRule(spec()), False)
+    capacities = [
+        capacity("a"),
+        capacity("b", images=frozenset({"img"})),
+        capacity("c", gpus=1.0, tasks=1),
+    ]
+    chosen = choose(spec(), capacities, ZoneRule(spec()), False)
     assert chosen is not None and chosen.name == "b"
     spread = spec(spread=True, tasks=3)
     rule = ZoneRule(spread, Counter(north=2))
-    assert choose(spread, rooms, rule, False) is None
-    assert choose(spec(spot_allowed=True), rooms[:2], ZoneRule(spec()), False) is None
-    assert choose(spec(), [room("s", spot=True)], ZoneRule(spec()), False) is None
+    assert choose(spread, capacities, rule, False) is None
+    assert choose(spec(spot_allowed=True), capacities[:2], ZoneRule(spec()), False) is None
+    assert choose(spec(), [capacity("s", spot=True)], ZoneRule(spec()), False) is None
 
 
 def test_a_gang_is_booked_whole_in_one_zone_or_not_at_all() -> None:
     gang = spec(shape=Shape.GANG, tasks=3, one_zone=True, gpus=2.0)
-    rooms = [room(f"n{i}") for i in range(2)] + [room(f"s{i}", "south") for i in range(3)]
-    chosen = choose_gang(gang, rooms, False)
+    capacities = [capacity(f"n{i}") for i in range(2)] + [
+        capacity(f"s{i}", "south") for i in range(3)
+    ]
+    chosen = choose_gang(gang, capacities, False)
     assert chosen is not None and {r.zone for r in chosen} == {"south"}
-    assert choose_gang(gang, rooms, False) is None
-    assert all(r.gpus == 2.0 for r in rooms if r.zone == "north")
+    assert choose_gang(gang, capacities, False) is None
+    assert all(r.gpus == 2.0 for r in capacities if r.zone == "north")
 
 
 # -- HTTP on real sockets, loopback ----------------------------------------------------------
@@ -267,7 +281,7 @@
 
 
 def test_a_flood_of_like_warnings_is_cut_and_counted() -> None:
-    flood = FloodFilter()
+    flood = LogRateLimitFilter()
 
     def passes(message: str, value: int, at: float, level: int = logging.WARNING) -> str | None:
         record = logging.LogRecord("micadeal", level, "f", 1, message, (value,), None)
--- a/tests/test_decision_trace.py
+++ b/tests/test_decision_trace.py
@@ -75,9 +75,9 @@
     elif kind == "rented":
         yield "rented spot" if event[1]["loaners"] else "rented ordinary"
     elif kind in ("ordered", "commanded"):
-        orders = event[2] if kind == "ordered" else event[2]["orders"]
-        yield from (f"{kind} {order['verb']}" for order in orders)
-        if not orders:
+        commands = event[2] if kind == "ordered" else event[2]["orders"]
+        yield from (f"{kind} {order['verb']}" for order in commands)
+        if not commands:
             yield f"{kind} nothing"
     elif kind == "written":
         for change in event[1]["then"]:
--- a/tests/test_pipelines.py
+++ b/tests/test_dependencies.py
@@ -7,19 +7,19 @@
 import curio
 import pytest
 
-from micadeal.clock import seconds, steady, wall
+from micadeal.clock import monotonic, seconds, utc_now
+from micadeal.jobs.dependencies import JobEnd
 from micadeal.jobs.model import Job
-from micadeal.jobs.pipeline import End
 from micadeal.operator.platform import Team
 from micadeal.operator.policy import Policy, TeamPolicy
-from micadeal.scheduling.cluster import Cluster
-from micadeal.scheduling.passes import COMES_FREE
+from micadeal.scheduling.cluster_state import ClusterState
+from micadeal.scheduling.scheduling_cycle import COMES_FREE
 from micadeal.wire.state import EndRecord
 from micadeal.wire.users import Priority, Shape, Status
 from micadeal.wire.workers import TaskState
-from tests.fakes.picture import WORKERS, Picture
+from tests.fakes.random_clusters import WORKERS, Picture
 from tests.fakes.world import COMING, World
-from tests.test_parts import spec
+from tests.test_components import spec
 
 SMALL: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
 
@@ -259,8 +259,8 @@
     )
 
 
-def _cluster(*jobs: Job) -> Cluster:
-    cluster = Cluster(7, WORKERS, {}, seconds(0))
+def _cluster(*jobs: Job) -> ClusterState:
+    cluster = ClusterState(7, WORKERS, {}, seconds(0))
     for job in jobs:
         cluster.add_job(job)
     return cluster
@@ -296,8 +296,8 @@
     first, second = _job(1), _job(2)
     third = _job(3, 1, 2, submitted=-100.0)
     cluster = _cluster(third, first, second)
-    now = steady()
-    told = wall().timestamp()
+    now = monotonic()
+    told = utc_now().timestamp()
     assert third.blocked and third.waiting_count() == 0 and third.next_waiting() is None
     cluster.job_ended("req-2", EndRecord(Status.DONE, 1, told - 20.0), now)
     assert third.blocked
@@ -307,12 +307,12 @@
     # The next leader never knew them: it asks for their ends, and comes to the same.
     later = _job(3, 1, 2, submitted=-100.0)
     other = _cluster(later)
-    assert sorted(other.pipelines.unread(now)) == ["req-1", "req-2"]
+    assert sorted(other.dependencies.unread(now)) == ["req-1", "req-2"]
     for name, age in (("req-1", 50.0), ("req-2", 20.0)):
         other.job_ended(name, EndRecord(Status.DONE, 1, told - age), now)
     assert not later.blocked
     assert abs((now - later.ready).total_seconds() - 20.0) < 0.5
-    assert other.pipelines.unread(now) == []
+    assert other.dependencies.unread(now) == []
 
 
 def test_records_that_form_a_circle_do_no_harm() -> None:
@@ -320,8 +320,8 @@
     one, two = _job(1, 2, deadline_s=50.0, estimate_s=3.0), _job(2, 1, estimate_s=3.0)
     cluster = _cluster(one, two)
     assert one.blocked and two.blocked
-    cluster.pipelines.ended("req-2", End(False, seconds(1)))
-    assert set(cluster.pipelines.doomed) == {"req-1", "req-2"}
+    cluster.dependencies.ended("req-2", JobEnd(False, seconds(1)))
+    assert set(cluster.dependencies.cancelled_by_dependency) == {"req-1", "req-2"}
 
 
 def test_a_job_that_waits_has_no_demand_and_is_none_of_the_running_jobs() -> None:
@@ -334,11 +334,11 @@
     picture.scheduler.policy = Policy(teams={team: TeamPolicy(running_jobs=1)})
     waits = picture.submit(**fields | {"priority": Priority.HIGH, "prerequisites": ["req-999"]})
     other = picture.submit(**fields)
-    picture.scheduler.run_pass(picture.now)
+    picture.scheduler.run_cycle(picture.now)
     assert len(other.attempts) == 3 and not waits.attempts
     assert picture.scheduler.plan.teams["cpus"][team].demand == 12.0
     picture.cluster.job_ended("req-999", EndRecord(Status.DONE, 1, 0.0), picture.now)
-    picture.scheduler.run_pass(picture.now)
+    picture.scheduler.run_cycle(picture.now)
     assert len(waits.attempts) == 3
 
 
@@ -353,10 +353,10 @@
     }  # fmt: skip
     picture.scheduler.listed = True
     running = picture.submit(**fields, tasks=4)
-    picture.scheduler.run_pass(picture.now)
+    picture.scheduler.run_cycle(picture.now)
     for attempt in running.all_attempts():
         attempt.state = TaskState.RUNNING
     few, many = picture.submit(**fields, tasks=3), picture.submit(**fields, tasks=30)
-    picture.scheduler.run_pass(picture.now)
+    picture.scheduler.run_cycle(picture.now)
     assert few.reasons == {COMES_FREE: 3}
     assert COMES_FREE not in many.reasons and picture.scheduler.rentals
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -24,10 +24,10 @@
 from micadeal.http.server import Server
 from micadeal.operator.options import Options
 from micadeal.operator.options import load as load_options
-from micadeal.operator.platform import BadSettings, Platform, parse
-from micadeal.operator.script import BadScript, evaluate, policy_from_values
-from micadeal.stored import keys
-from micadeal.stored.descriptions import part_key
+from micadeal.operator.platform import InvalidSettingsError, Platform, parse
+from micadeal.operator.script import InvalidScriptError, evaluate, policy_from_values
+from micadeal.schema import keys
+from micadeal.schema.job_records import part_key
 from tests.fakes.world import World
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -54,8 +54,8 @@
 
 def test_names_of_keys() -> None:
     assert keys.LEADER == "leader"
-    assert keys.SEAT == "seat/"
-    assert keys.HELD == "seat/held"
+    assert keys.LEADER_LOCK == "seat/"
+    assert keys.LOCK_HOLDER == "seat/held"
     assert keys.LEVEL == "seat/level"
     assert keys.MEMBER == "seat/member/"
     assert keys.JOBS == "job/"
@@ -231,7 +231,7 @@
     """What is read, without names of Python fields, or the error."""
     try:
         platform: Platform = parse(text)
-    except BadSettings as problem:
+    except InvalidSettingsError as problem:
         return str(problem)
     return plain(astuple(platform))
 
@@ -256,7 +256,7 @@
     path.write_text(text)
     try:
         options: Options = load_options(path)
-    except BadSettings as problem:
+    except InvalidSettingsError as problem:
         return str(problem).replace(str(path), "FILE")
     return list(msgspec.structs.astuple(options))
 
@@ -274,7 +274,7 @@
     try:
         values, level = evaluate(script, "policy.star")
         policy = policy_from_values(values)
-    except BadScript as problem:
+    except InvalidScriptError as problem:
         return str(problem)
     return {"values": values, "highest_level": level, "policy": plain(astuple(policy))}
 
--- a/tests/test_mistakes.py
+++ b/tests/test_faulty_jobs.py
@@ -6,11 +6,11 @@
 import pytest
 
 from micadeal.clock import seconds
-from micadeal.fleet.model import Attempt, Machine
+from micadeal.fleet.machines import Attempt, Machine
 from micadeal.jobs.model import Job
-from tests.fakes.picture import Picture
+from tests.fakes.random_clusters import Picture
 from tests.fakes.world import World
-from tests.test_parts import spec
+from tests.test_components import spec
 
 
 def test_jobs_with_a_mistake_cost_no_machine_and_few_tries(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_standin.py
+++ b/tests/test_follower_leases.py
@@ -8,15 +8,15 @@
 import curio
 import pytest
 
-from bench.model_standin import GUARDS, explore
-from micadeal.actor import Overloaded
+from bench.model_follower_leases import GUARDS, explore
+from micadeal.actor import MailboxFullError
 from micadeal.clock import seconds
-from micadeal.controller.messages import CancelNotice
-from micadeal.controller.standing import MOST_TOLD, Standing
+from micadeal.controller.follower_leases import MOST_TOLD, FollowerLeases
+from micadeal.controller.messages import JobCancelled
 from micadeal.http.message import Request
-from micadeal.leadership.standin import Timing
-from micadeal.wire import mesh
-from micadeal.wire.codec import BadMessage, encode
+from micadeal.leadership.follower_leases import RenewalTiming
+from micadeal.wire import peers
+from micadeal.wire.codec import MessageFormatError, encode
 from tests.fakes.world import CANCEL_S, LEASE_S, SETTLED, World, leader_of
 
 
@@ -148,18 +148,18 @@
 
     async def story(world: World) -> None:
         service = await _services(world)
-        doomed = await world.run_job("daemon", 2, crew="blue")
-        await world.until(lambda: world.running(doomed) == 2)
+        cancelled_by_dependency = await world.run_job("daemon", 2, crew="blue")
+        await world.until(lambda: world.running(cancelled_by_dependency) == 2)
         leader = leader_of(world)
-        for worker, _ in world.held(doomed):
+        for worker, _ in world.held(cancelled_by_dependency):
             world.network.cut(worker.name, f"c{leader}")
         # Its notice reaches one of the followers only.
         world.network.cut(f"c{leader}", f"c{(leader + 2) % 3}")
-        assert await world.cancel(doomed, leader) == "cancelled"
+        assert await world.cancel(cancelled_by_dependency, leader) == "cancelled"
         world.crash(leader)
         world.state.outage = True
         await curio.sleep(CANCEL_S + 20)
-        assert not world.held(doomed)
+        assert not world.held(cancelled_by_dependency)
         assert world.running(service) == 3
         world.state.outage = False
         await curio.sleep(10)
@@ -292,35 +292,39 @@
 # -- bad input -------------------------------------------------------------------------------
 
 
-def _standing() -> Standing:
-    return Standing(["c1", "c2"], Timing(seconds(15), seconds(34), 3), seconds(0))
+def _follower_leases() -> FollowerLeases:
+    return FollowerLeases(["c1", "c2"], RenewalTiming(seconds(15), seconds(34), 3), seconds(0))
 
 
 def test_a_term_that_goes_backwards_is_refused_and_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.WARNING)
-    standing = _standing()
-    standing.word(mesh.Ping("c1", leading_token=9), False, False, seconds(100))
+    follower_leases = _follower_leases()
+    follower_leases.word(peers.Ping("c1", leading_token=9), False, False, seconds(100))
     for second in range(101, 110):
-        standing.word(mesh.Ping("c2", leading_token=4), False, False, seconds(second))
+        follower_leases.word(peers.Ping("c2", leading_token=4), False, False, seconds(second))
     assert [r.message for r in caplog.records] == ["c2 speaks of the past term 4; refused"]
     # It has not kept us quiet: nobody but the leader of the present term can.
-    asks = mesh.Ping("c1", wants_consent=9, wants_told=True)
-    assert standing.word(asks, False, False, seconds(110)).consent == 9
+    asks = peers.Ping("c1", wants_consent=9, wants_told=True)
+    assert follower_leases.word(asks, False, False, seconds(110)).consent == 9
     for unknown in (4, -1):
-        asks = mesh.Ping("c1", wants_consent=unknown, wants_told=True)
-        assert standing.word(asks, False, False, seconds(110)).consent == 0
+        asks = peers.Ping("c1", wants_consent=unknown, wants_told=True)
+        assert follower_leases.word(asks, False, False, seconds(110)).consent == 0
 
 
 def test_nonsense_in_a_word_counts_for_nothing() -> None:
-    standing = _standing()
+    follower_leases = _follower_leases()
     for age, bound in ((float("nan"), 0.0), (0.0, float("inf")), (1e300, 0.0)):
-        with pytest.raises(BadMessage):
-            standing.hear("c1", mesh.Word(age, True, 0, 1, bound), seconds(1), seconds(1), 5)
-    assert all(view.asked is None for view in standing.views())
+        with pytest.raises(MessageFormatError):
+            follower_leases.hear(
+                "c1", peers.RenewalPromise(age, True, 0, 1, bound), seconds(1), seconds(1), 5
+            )
+    assert all(view.asked is None for view in follower_leases.views())
     told = {"../../etc": 0.0, "req-1": 5000.0}
-    news = standing.hear("c1", mesh.Word(1e6, True, told=told), seconds(1), seconds(1), 0)
+    news = follower_leases.hear(
+        "c1", peers.RenewalPromise(1e6, True, told=told), seconds(1), seconds(1), 0
+    )
     assert news == ["req-1"]
 
 
@@ -333,37 +337,37 @@
     async def story(world: World) -> None:
         await curio.sleep(3)
         node = world.nodes[leader_of(world)]
-        dispatcher = node._dispatcher
-        assert dispatcher is not None
+        leader_actor = node._leader_actor
+        assert leader_actor is not None
         heard: list[Any] = []
 
         async def full(message: Any) -> None:
-            raise Overloaded
+            raise MailboxFullError
 
         async def free(message: Any) -> None:
             heard.append(message)
 
-        monkeypatch.setattr(dispatcher, "tell", full)
+        monkeypatch.setattr(leader_actor, "tell", full)
         assert not await node._pass_on(["req-1"])
         assert not await node._pass_on([])
-        monkeypatch.setattr(dispatcher, "tell", free)
+        monkeypatch.setattr(leader_actor, "tell", free)
         assert await node._pass_on(["req-2"])
-        assert heard == [CancelNotice("req-1"), CancelNotice("req-2")]
+        assert heard == [JobCancelled("req-1"), JobCancelled("req-2")]
 
     World().play(monkeypatch, story)
 
 
 def test_a_list_that_overflows_is_no_ground_to_stand_in() -> None:
     """Guards ``ran_cancelled``: what fell off the list could be kept alive."""
-    standing = _standing()
+    follower_leases = _follower_leases()
     at = seconds(1000)
-    asks = mesh.Ping("c1", wants_consent=3, wants_told=True)
+    asks = peers.Ping("c1", wants_consent=3, wants_told=True)
     for number in range(MOST_TOLD):
-        assert standing.note(f"req-{number}", at)
-    assert standing.word(asks, False, False, at).consent == 3
-    standing.note("req-999999", at)
-    assert standing.word(asks, False, False, at).consent == 0
-    assert standing.word(asks, False, False, at + seconds(36)).consent == 3
+        assert follower_leases.note(f"req-{number}", at)
+    assert follower_leases.word(asks, False, False, at).consent == 3
+    follower_leases.note("req-999999", at)
+    assert follower_leases.word(asks, False, False, at).consent == 0
+    assert follower_leases.word(asks, False, False, at + seconds(36)).consent == 3
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_responses.py
@@ -72,8 +72,10 @@
             # It is raised once all have shown that they know it.
             lost = lose_half(world, kind, lambda writer: to_end.append(int(writer[1:])))
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
-        doomed = await world.run_job("daemon", 4, crew="blue")
-        await world.until(lambda: world.running(stays) == 3 and world.running(doomed) == 4)
+        cancelled_by_dependency = await world.run_job("daemon", 4, crew="blue")
+        await world.until(
+            lambda: world.running(stays) == 3 and world.running(cancelled_by_dependency) == 4
+        )
         await curio.sleep(SETTLED)
         if kind != "seat/level":
             lost = lose_half(world, kind, lambda writer: to_end.append(int(writer[1:])))
@@ -104,15 +106,15 @@
                 await curio.sleep(25)
                 await world.start(leader)
             await curio.sleep(5)
-        assert await world.until_told(doomed, limit=40) == "cancelled"
-        await world.until(lambda: not world.held(doomed), limit=CANCEL_S)
+        assert await world.until_told(cancelled_by_dependency, limit=40) == "cancelled"
+        await world.until(lambda: not world.held(cancelled_by_dependency), limit=CANCEL_S)
         for job in jobs:
             await world.until_done(job)
         assert lost, "no answer of the kind was lost"
         world.network.answer_lost = None
         await curio.sleep(12)
         for number in range(3):
-            assert await world.status(doomed, number) == "cancelled"
+            assert await world.status(cancelled_by_dependency, number) == "cancelled"
             assert {await world.status(job, number) for job in jobs} == {"done"}
         await world.until(lambda: world.running(stays) == 3)
 
--- a/tests/test_records.py
+++ b/tests/test_persistence.py
@@ -13,13 +13,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from micadeal.clock import seconds
-from micadeal.controller.intake import Intake
-from micadeal.controller.records import Changes, Recorder
-from micadeal.rollout.levels import Build
-from micadeal.rollout.membership import Process, Sight
-from micadeal.rollout.steps import plan
+from micadeal.controller.persistence.record_writer import RecordWriter, WriteBatch
+from micadeal.controller.record_loader import RecordLoader
+from micadeal.rollout.feature_level import Build
+from micadeal.rollout.membership import PeerObservation, Process
+from micadeal.rollout.migration import plan
+from micadeal.schema.decoding import read
 from micadeal.state.limits import Limits
-from micadeal.stored.reading import read
 from micadeal.wire.codec import convert, decode, encode
 from micadeal.wire.state import (
     Drop,
@@ -33,7 +33,7 @@
     Transaction,
 )
 from micadeal.wire.users import Shape
-from tests.fakes.picture import Picture
+from tests.fakes.random_clusters import Picture
 from tests.fakes.world import World
 
 LIMITS = Limits(150, 60, 16, 2048)
@@ -46,7 +46,7 @@
     keys: dict[str, Item] = field(default_factory=dict)
     revision: int = 100
 
-    def apply(self, changes: Changes) -> int | None:
+    def apply(self, changes: WriteBatch) -> int | None:
         for condition in changes.conditions:
             found = self.keys.get(condition.key)
             if (found.version if found else 0) != condition.version:
@@ -60,7 +60,7 @@
                 del self.keys[operation.key]
         return self.revision
 
-    def read(self, changes: Changes) -> dict[str, Item | None]:
+    def read(self, changes: WriteBatch) -> dict[str, Item | None]:
         return {c.key: self.keys.get(c.key) for c in changes.conditions}
 
     def named(self) -> set[tuple[str, str, int, int]]:
@@ -88,25 +88,25 @@
     """Guards ``ran_twice`` after a change of leaders: transactions are applied, refused, or get
     lost with their answer and are applied later or never, those that merge records among them."""
     picture = Picture(30, 8, seed)
-    recorder, store = Recorder(picture.cluster, LIMITS), Store()
-    late: list[Changes] = []
+    record_writer, store = RecordWriter(picture.cluster, LIMITS), Store()
+    late: list[WriteBatch] = []
     for _ in range(120):
-        picture.scheduler.run_pass(picture.now)
-        for batch in recorder.next(picture.now):
+        picture.scheduler.run_cycle(picture.now)
+        for batch in record_writer.next(picture.now):
             fate = picture.random.choice(["applied", "applied", "unanswered", "late", "never"])
             revision = None if fate in ("late", "never") else store.apply(batch)
             if fate == "late":
                 late.append(batch)
             if fate == "applied" and revision is not None:
-                recorder.committed(batch, revision, picture.now)
+                record_writer.committed(batch, revision, picture.now)
             else:
-                recorder.failed(batch, store.read(batch), picture.now)
+                record_writer.failed(batch, store.read(batch), picture.now)
             assert started(picture) <= store.named()
         if late and picture.random.random() < 0.4:
             store.apply(late.pop(picture.random.randrange(len(late))))
         picture.now += seconds(1)
         for name in picture.cluster.machines:
-            picture.report(name, done=picture.random.random() < 0.1)
+            picture.heartbeat(name, done=picture.random.random() < 0.1)
         if picture.random.random() < 0.2:
             picture.submit()
         assert started(picture) <= store.named()
@@ -119,44 +119,44 @@
     that such a record names: a key is used again and dropped, and then an earlier transaction under
     it is carried out."""
     picture = Picture(30, 8, seed)
-    recorder, store = Recorder(picture.cluster, LIMITS), Store()
-    late: list[Changes] = []
+    record_writer, store = RecordWriter(picture.cluster, LIMITS), Store()
+    late: list[WriteBatch] = []
     emptied: set[str] = set()
     for _ in range(160):
-        picture.scheduler.run_pass(picture.now)
-        for batch in recorder.next(picture.now):
+        picture.scheduler.run_cycle(picture.now)
+        for batch in record_writer.next(picture.now):
             fate = picture.random.choice(["applied", "applied", "late"])
             revision = store.apply(batch) if fate == "applied" else None
             if fate == "late":
                 late.append(batch)
             if revision is not None:
-                recorder.committed(batch, revision, picture.now)
+                record_writer.committed(batch, revision, picture.now)
             else:
-                recorder.failed(batch, store.read(batch), picture.now)
+                record_writer.failed(batch, store.read(batch), picture.now)
         if len(late) > 8:
             store.apply(late.pop(0))
         placed = {k: v.value["machines"] for k, v in store.keys.items() if k.startswith("placed/")}
         emptied |= {key for key, machines in placed.items() if not machines}
-        known = {*picture.cluster.records, *recorder._unsure}
+        known = {*picture.cluster.records, *record_writer._unsure}
         assert {key for key, machines in placed.items() if machines} <= known
         picture.now += seconds(1)
         for name in picture.cluster.machines:
-            picture.report(name, done=picture.random.random() < 0.3)
+            picture.heartbeat(name, done=picture.random.random() < 0.3)
         if picture.random.random() < 0.3:
             picture.submit()
     assert emptied
     # The next leader drops what is empty.
     now, after = picture.now, Picture(4, 1, seed)
-    recorder = Recorder(after.cluster, LIMITS)
+    record_writer = RecordWriter(after.cluster, LIMITS)
     for key in emptied:
-        recorder.versions[key] = store.keys[key].version
+        record_writer.versions[key] = store.keys[key].version
         after.cluster.load_placed(key, convert(PlacedRecord, store.keys[key].value), now)
     dropped: set[str] = set()
     for _ in range(60):
         now += seconds(2)
-        for batch in recorder.next(now):
+        for batch in record_writer.next(now):
             dropped |= {o.key for o in batch.operations if isinstance(o, Drop)}
-            recorder.committed(batch, 10**6, now)
+            record_writer.committed(batch, 10**6, now)
     assert emptied <= dropped
 
 
@@ -176,7 +176,8 @@
         for key in [key for key in world.state.keys if key.startswith("placed/")]:
             for m in convert(PlacedRecord, world.state.keys.pop(key)[0]).machines:
                 old = by_machine.setdefault(
-                    m.name, MachineRecord(m.machine_type, m.zone, m.spot, m.address, m.session, [])
+                    m.name,
+                    MachineRecord(m.machine_type, m.zone, m.spot, m.address, m.incarnation, []),
                 )
                 old.tasks += [PlacedTask(t.job_id, t.index, t.attempt) for t in m.tasks]
         for name, record in by_machine.items():
@@ -206,16 +207,16 @@
         for index in range(0, 72_000, 3):
             job.finish(index)
         picture.cluster.finished_dirty.add(job.id)
-    recorder = Recorder(picture.cluster, Limits(200, 80, 32, 8192))
-    recorder.next(picture.now)
+    record_writer = RecordWriter(picture.cluster, Limits(200, 80, 32, 8192))
+    record_writer.next(picture.now)
     written = 0
     for _ in range(200):
         picture.now += seconds(2)
-        for batch in recorder.next(picture.now):
+        for batch in record_writer.next(picture.now):
             message = Transaction(list(batch.conditions), list(batch.operations))
             assert len(msgspec.json.encode(message)) < 64 * 1024
             written += len(batch.finished)
-            recorder.committed(batch, 1, picture.now)
+            record_writer.committed(batch, 1, picture.now)
     assert written == 90
     assert not picture.cluster.finished_dirty
 
@@ -231,7 +232,7 @@
         self.level = LevelRecord()
         self.picture = Picture(1, 0)
         self.job = self.picture.submit(shape=Shape.ARRAY, tasks=60_000)
-        self.recorder = Recorder(self.picture.cluster, Limits(200, 80, 4, 8192))
+        self.record_writer = RecordWriter(self.picture.cluster, Limits(200, 80, 4, 8192))
         self.written: set[int] = set()
 
     @rule(
@@ -250,21 +251,21 @@
     def write(self, outcomes: list[str]) -> None:
         for outcome in outcomes:
             self.picture.now += seconds(1.5)
-            for batch in self.recorder.next(self.picture.now):
+            for batch in self.record_writer.next(self.picture.now):
                 assert batch.ends is None
                 if outcome != "refused":
                     self._apply(batch)
                 if outcome == "done":
-                    self.recorder.committed(batch, self.revision, self.picture.now)
+                    self.record_writer.committed(batch, self.revision, self.picture.now)
                 else:
                     found = {
                         c.key: Item(c.key, *self.keys[c.key]) if c.key in self.keys else None
                         for c in batch.conditions
                     }
-                    self.recorder.failed(batch, found, self.picture.now)
+                    self.record_writer.failed(batch, found, self.picture.now)
         self.written = set(self.job.durable)
 
-    def _apply(self, batch: Changes) -> None:
+    def _apply(self, batch: WriteBatch) -> None:
         for condition in batch.conditions:
             assert self.keys.get(condition.key, (None, 0))[1] == condition.version
         self.revision += 1
@@ -279,11 +280,13 @@
     def step(self, ceiling: int) -> None:
         own = Process("p", Build("b", 0, 1))
         now = seconds(1000)
-        sights = {"x": Sight(own, seconds(900), now)}
-        found = plan(self.level, own, sights, ceiling, self.recorder.stock(), now)
+        observations = {"x": PeerObservation(own, seconds(900), now)}
+        found = plan(
+            self.level, own, observations, ceiling, self.record_writer.migration_backlog(), now
+        )
         if found.move is not None:
             self.level = found.move
-            self.recorder.level_moved(self.level)
+            self.record_writer.feature_level_changed(self.level)
 
     @rule()
     def next_leader(self) -> None:
@@ -298,8 +301,10 @@
         self.picture = Picture(1, 0)
         self.job = self.picture.submit(shape=Shape.ARRAY, tasks=60_000)
         assert self.job.id == before.id
-        self.recorder = Recorder(self.picture.cluster, Limits(200, 80, 4, 8192), level=self.level)
-        intake = Intake(self.picture.scheduler, self.recorder)
+        self.record_writer = RecordWriter(
+            self.picture.cluster, Limits(200, 80, 4, 8192), level=self.level
+        )
+        intake = RecordLoader(self.picture.scheduler, self.record_writer)
         for chunk in read(finished, FinishedRecord):
             intake._load_finished(chunk)
         assert self.written <= self.job.finished <= before.finished
--- a/tests/test_contact.py
+++ b/tests/test_reachability.py
@@ -8,9 +8,9 @@
 import curio
 import pytest
 
-from bench.model_contact import GUARDS, explore, small_margin, without
-from micadeal.clock import seconds, steady
-from micadeal.fleet.contact import MISSES, MOST_MISSES, Contact
+from bench.model_reachability import GUARDS, explore, small_margin, without
+from micadeal.clock import monotonic, seconds
+from micadeal.fleet.reachability import MISSES, MOST_MISSES, Reachability
 from micadeal.http.message import Request
 from micadeal.wire.codec import decode
 from tests.fakes.workers import FakeWorker
@@ -34,8 +34,8 @@
     async def story(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         await world.until(lambda: world.running(service) == 3)
-        deaf = _workers_of(world, service)[0]
-        world.network.deaf.add(deaf.name)
+        receives_nothing = _workers_of(world, service)[0]
+        world.network.receives_nothing.add(receives_nothing.name)
         leader = leader_of(world)
         if trouble == "crash":
             world.crash(leader)
@@ -51,8 +51,8 @@
         assert took < MOVED_IN
         for job in more:
             await world.until_done(job)
-        assert deaf not in _workers_of(world, service)
-        await world.until(lambda: deaf.name in world.cloud.releases, limit=60)
+        assert receives_nothing not in _workers_of(world, service)
+        await world.until(lambda: receives_nothing.name in world.cloud.releases, limit=60)
 
     world = World().play(monkeypatch, story)
     assert max(world.starts.values()) <= 2
@@ -63,13 +63,13 @@
         first = await world.run_job("array", 2, run_s=30.0)
         await world.until(lambda: world.running(first) == 2)
         machine = _workers_of(world, first)[0]
-        world.network.deaf.add(machine.name)
+        world.network.receives_nothing.add(machine.name)
         second = await world.run_job("array", 1, run_s=5.0, crew="blue")
         await curio.sleep(9)
-        world.network.deaf.clear()
+        world.network.receives_nothing.clear()
         await world.until_done(second)
         await world.until_done(first)
-        assert machine.session == 1
+        assert machine.incarnation == 1
 
     world = World().play(monkeypatch, story)
     assert all(count == 1 for count in world.starts.values())
@@ -85,14 +85,16 @@
         gang = await world.run_job("gang", 2, run_s=200.0, one_zone=True, crew="blue")
         await world.until(lambda: world.running(service) == 4 and world.running(gang) == 2)
         zone = _workers_of(world, gang)[0].zone
-        world.network.deaf |= {w.name for w in world.fleet.workers.values() if w.zone == zone}
+        world.network.receives_nothing |= {
+            w.name for w in world.fleet.workers.values() if w.zone == zone
+        }
         assert await world.cancel(gang, 1) == "cancelled"
         await curio.sleep(3)
         world.crash(leader_of(world))
         await world.until(lambda: not world.held(gang), limit=30)
         await curio.sleep(LEASE_S)
         await world.until(lambda: world.running(service) == 4, limit=60)
-        assert not world.network.deaf & {w.name for w in _workers_of(world, service)}
+        assert not world.network.receives_nothing & {w.name for w in _workers_of(world, service)}
 
     World().play(monkeypatch, story)
 
@@ -104,10 +106,10 @@
         array = await world.run_job("array", 6, run_s=60.0)
         await world.until(lambda: world.running(array) == 6)
         names = set(world.fleet.workers)
-        world.network.deaf |= names
+        world.network.receives_nothing |= names
         await curio.sleep(25)
         assert not names & set(world.cloud.releases)
-        world.network.deaf.clear()
+        world.network.receives_nothing.clear()
         await world.until_done(array)
 
     World().play(monkeypatch, story)
@@ -273,9 +275,9 @@
         late = await world.run_job("array", 1, run_s=4.0, crew="blue")
         if not leads:
             await world.start(leader)
-        began = steady()
+        began = monotonic()
         while await world.status(late, rest[1]) != "done":
-            assert steady() - began < seconds(90)
+            assert monotonic() - began < seconds(90)
             await curio.sleep(1)
         for other in ("state", *(f"c{n}" for n in rest)):
             await world.network.heal(f"c{alone}", other)
@@ -293,14 +295,14 @@
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         array = await world.run_job("array", 4, run_s=40.0, crew="blue")
         await world.until(lambda: world.running(service) == 3)
-        doomed = await world.run_job("array", 2, run_s=200.0, crew="blue")
+        cancelled_by_dependency = await world.run_job("array", 2, run_s=200.0, crew="blue")
         await curio.sleep(2)
         for number in (0, 1, 2, 2, 0, 1, 1):
             world.crash(number)
             await curio.sleep(0.2)
             await world.start(number)
             await curio.sleep(0.4)
-        assert await world.cancel(doomed, 1) in ("cancelled", None)
+        assert await world.cancel(cancelled_by_dependency, 1) in ("cancelled", None)
         leader = world.leader()
         if leader is not None:
             world.crash(leader)
@@ -316,30 +318,32 @@
 
 
 def test_only_an_answer_put_after_the_newest_message_proves_that_a_worker_began_anew() -> None:
-    contact = Contact()
-    contact.take(7, seconds(10))
-    assert not contact.proves_anew(None)
-    assert not contact.proves_anew(seconds(9))
-    assert not contact.proves_anew(seconds(10))
-    assert contact.proves_anew(seconds(11))
+    reachability = Reachability()
+    reachability.take(7, seconds(10))
+    assert not reachability.proves_restart(None)
+    assert not reachability.proves_restart(seconds(9))
+    assert not reachability.proves_restart(seconds(10))
+    assert reachability.proves_restart(seconds(11))
 
 
 def test_a_machine_is_deaf_by_what_it_shows_and_hears_again_by_an_answer() -> None:
-    contact = Contact()
-    contact.unseen(seconds(1))
-    assert not contact.deaf
-    contact.not_told(seconds(0))
-    assert not contact.deaf
-    contact.not_told(seconds(2))
-    assert contact.deaf and contact.deaf_for(seconds(5)) == seconds(4)
-    contact.told(seconds(6))
-    assert not contact.deaf and contact.missed < MISSES
+    reachability = Reachability()
+    reachability.unseen(seconds(1))
+    assert not reachability.receives_nothing
+    reachability.probe_unanswered(seconds(0))
+    assert not reachability.receives_nothing
+    reachability.probe_unanswered(seconds(2))
+    assert reachability.receives_nothing and reachability.receives_nothing_for(
+        seconds(5)
+    ) == seconds(4)
+    reachability.told(seconds(6))
+    assert not reachability.receives_nothing and reachability.missed < MISSES
     for _ in range(MOST_MISSES):
-        contact.unseen(seconds(7))
-    contact.told(seconds(8))
-    assert contact.deaf
-    contact.seen()
-    assert not contact.deaf
+        reachability.unseen(seconds(7))
+    reachability.told(seconds(8))
+    assert reachability.receives_nothing
+    reachability.seen()
+    assert not reachability.receives_nothing
 
 
 def test_no_course_of_a_small_world_breaks_the_rule_and_each_guard_is_needed() -> None:
@@ -376,9 +380,9 @@
         job = await world.run_job("array", 1, run_s=20.0)
         await world.until(lambda: world.running(job) == 1)
         worker = _workers_of(world, job)[0]
-        report = worker._report() | nonsense
+        heartbeat = worker._on_heartbeat() | nonsense
         for number in range(3):
-            assert (await world.call(number, "POST", "/checkin", report))[0] == 400
+            assert (await world.call(number, "POST", "/checkin", heartbeat))[0] == 400
         await world.until_done(job)
 
     World().play(monkeypatch, story)
@@ -393,9 +397,9 @@
             {"leg": "no task", "try": 1, "status": "running"},
             {"leg": "req-999999/0", "try": 1, "status": "dreaming"},
         ]
-        report = worker._report()
-        report["legs"] = report["legs"] + odd
-        assert (await world.call(leader_of(world), "POST", "/checkin", report))[0] == 200
+        heartbeat = worker._on_heartbeat()
+        heartbeat["legs"] = heartbeat["legs"] + odd
+        assert (await world.call(leader_of(world), "POST", "/checkin", heartbeat))[0] == 200
         await world.until_done(job)
 
     World().play(monkeypatch, story)
--- a/tests/test_largest.py
+++ b/tests/test_reservations.py
@@ -9,9 +9,9 @@
 import pytest
 
 from micadeal.clock import seconds
-from micadeal.scheduling.gathering import Gathering
+from micadeal.scheduling.reservations import GangReservations
 from micadeal.wire.users import Priority, Shape
-from tests.fakes.picture import Picture
+from tests.fakes.random_clusters import Picture
 from tests.fakes.world import World
 
 #: Operators check it at the end of each day.
@@ -169,17 +169,17 @@
             memory_gb=20.0, team=picture.teams[1], spot_allowed=True, one_zone=False,
             spread=False, zone=None, machine_types=None,
         )  # fmt: skip
-    picture.scheduler.run_pass(now)
+    picture.scheduler.run_cycle(now)
     gang = picture.submit(
         shape=Shape.GANG, priority=Priority.STANDARD, tasks=2, gpus=2.0, cpus=14.0, one_zone=True,
         team=picture.teams[0], spot_allowed=True, spread=False, zone=None, machine_types=None,
     )  # fmt: skip
-    gathering, key = Gathering(), (gang.spec.team, gang.resource)
-    policy, market = picture.scheduler.policy, picture.scheduler.market
+    gathering, key = GangReservations(), (gang.spec.team, gang.resource)
+    policy, instance_offers = picture.scheduler.policy, picture.scheduler.instance_offers
     now += seconds(60)
     for machine in cluster.machines.values():
         machine.heard = now
-    gathering.look(cluster, market, policy, [], [], True, now)
+    gathering.look(cluster, instance_offers, policy, [], [], True, now)
     first = gathering.sets[gang.id]
-    gathering.look(cluster, market, policy, [key], [], True, now + seconds(1.5))
+    gathering.look(cluster, instance_offers, policy, [key], [], True, now + seconds(1.5))
     assert gathering.sets[gang.id] == first
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,15 +10,22 @@
 
 from bench.model_rollout import GUARDS, broken_without, explore, start
 from micadeal.clock import ZERO, seconds
-from micadeal.controller.levels import Levels
-from micadeal.controller.messages import LevelMoved, StockTold
-from micadeal.controller.raising import Raising
+from micadeal.controller.feature_level_updater import FeatureLevelUpdater
+from micadeal.controller.feature_levels import FeatureLevels
+from micadeal.controller.messages import FeatureLevelChanged, MigrationStatus
 from micadeal.http.message import Answer, Request
 from micadeal.leadership.term import Term
-from micadeal.rollout import seat as seats
-from micadeal.rollout.levels import Build
-from micadeal.rollout.membership import DEFERENCE, Presence, Process, Sight, deference, presence
-from micadeal.rollout.steps import SETTLE, Stock, plan
+from micadeal.rollout import leader_lock as leader_locks
+from micadeal.rollout.feature_level import Build
+from micadeal.rollout.membership import (
+    ELECTION_DELAY,
+    PeerObservation,
+    Presence,
+    Process,
+    election_delay,
+    presence,
+)
+from micadeal.rollout.migration import SETTLE, MigrationBacklog, plan
 from micadeal.wire.state import Item, LeaderRecord, LevelRecord
 from tests.fakes.kernel import run_stepped
 from tests.fakes.network import HOLD
@@ -521,24 +528,30 @@
 NOW = seconds(1000)
 
 
-def seen(process: Process | None, since: float, heard: float = 0.5, **fields: Any) -> Sight:
-    return Sight(process, NOW - seconds(since), NOW - seconds(heard), **fields)
+def seen(
+    process: Process | None, since: float, heard: float = 0.5, **fields: Any
+) -> PeerObservation:
+    return PeerObservation(process, NOW - seconds(since), NOW - seconds(heard), **fields)
 
 
 def test_presence_is_dated_by_questions_and_tells_a_cut_from_an_end() -> None:
     one, two = Process("1", Build("b")), Process("2", Build("b"))
-    sight = Sight().hear(one, seconds(10), seconds(10.1), seconds(5), ZERO, ["z"])
-    assert sight.since == seconds(10) and sight.born == seconds(5.1)
+    observation = PeerObservation().hear(one, seconds(10), seconds(10.1), seconds(5), ZERO, ["z"])
+    assert observation.since == seconds(10) and observation.born == seconds(5.1)
     # An answer to an earlier question says nothing new, whatever it says.
-    assert sight.hear(two, seconds(9), seconds(12)) is sight
-    assert sight.hear(one, seconds(12), seconds(12.1)).shown(seconds(12.5)) == seconds(2)
-    again = sight.hear(two, seconds(13), seconds(13.1))
+    assert observation.hear(two, seconds(9), seconds(12)) is observation
+    assert observation.hear(one, seconds(12), seconds(12.1)).shown(seconds(12.5)) == seconds(2)
+    again = observation.hear(two, seconds(13), seconds(13.1))
     assert again.restarts == 1 and again.shown(seconds(13.2)) == ZERO
-    sights = {"x": sight, "y": sight.hear(one, seconds(19), seconds(19)), "z": Sight()}
-    found = {name: presence(name, sights, seconds(20)) for name in sights}
+    observations = {
+        "x": observation,
+        "y": observation.hear(one, seconds(19), seconds(19)),
+        "z": PeerObservation(),
+    }
+    found = {name: presence(name, observations, seconds(20)) for name in observations}
     assert found == {"x": Presence.SILENT, "y": Presence.PRESENT, "z": Presence.UNSEEN}
-    reaching = sights["y"].hear(one, seconds(20), seconds(20), reaches=["x"])
-    assert presence("x", {**sights, "y": reaching}, seconds(20)) is Presence.SEEN_BY_OTHERS
+    reaching = observations["y"].hear(one, seconds(20), seconds(20), reaches=["x"])
+    assert presence("x", {**observations, "y": reaching}, seconds(20)) is Presence.SEEN_BY_OTHERS
 
 
 def test_an_empty_seat_is_left_to_those_that_were_replaced() -> None:
@@ -546,13 +559,13 @@
 
     def wait(own_born: Any, **fields: Any) -> Any:
         values = {"born": fresh, "state_age": ZERO, **fields}
-        sight = seen(Process("2", fields.pop("build", Build("b", 0, 2))), 20, **values)
-        return deference(OWN, own_born, [sight], seconds(3), NOW)
+        observation = seen(Process("2", fields.pop("build", Build("b", 0, 2))), 20, **values)
+        return election_delay(OWN, own_born, [observation], seconds(3), NOW)
 
-    assert wait(old) == DEFERENCE
+    assert wait(old) == ELECTION_DELAY
     assert wait(fresh) == ZERO
     assert wait(old, state_age=seconds(9)) == ZERO  # it could not be elected
-    assert deference(OWN, old, [Sight()], seconds(3), NOW) == ZERO
+    assert election_delay(OWN, old, [PeerObservation()], seconds(3), NOW) == ZERO
 
 
 def test_the_level_moves_up_only_where_all_have_shown_it_and_down_step_by_step() -> None:
@@ -560,27 +573,35 @@
     late = SETTLE.total_seconds() + 1
 
     def step(
-        record: LevelRecord, ceiling: int | None = None, stock: Any = Stock(), **by: Any
+        record: LevelRecord,
+        ceiling: int | None = None,
+        migration_backlog: Any = MigrationBacklog(),
+        **by: Any,
     ) -> Any:
-        sights = {"x": seen(peer, late), "y": seen(peer, late), **by}
-        return plan(record, OWN, sights, ceiling, stock, NOW)
+        observations = {"x": seen(peer, late), "y": seen(peer, late), **by}
+        return plan(record, OWN, observations, ceiling, migration_backlog, NOW)
 
     assert step(LevelRecord()).move.level == 2
     assert step(LevelRecord(), 1).move.level == 1
     mixed = step(LevelRecord(), y=seen(Process("q", Build("a", 0, 1)), late))
     assert mixed.move.level == 1 and mixed.move.oldest == 0
-    for sight in (seen(peer, 1), seen(peer, late, heard=9), seen(None, late), Sight()):
-        assert step(LevelRecord(), y=sight).move is None
+    for observation in (
+        seen(peer, 1),
+        seen(peer, late, heard=9),
+        seen(None, late),
+        PeerObservation(),
+    ):
+        assert step(LevelRecord(), y=observation).move is None
     there = LevelRecord(2, 2, 0)
-    assert step(there, stock=Stock(older=3)).move is None
+    assert step(there, migration_backlog=MigrationBacklog(older=3)).move is None
     assert step(there).move.oldest == 2
     # A later build leads: what is under way at the level in force does not wait for the others.
-    after = plan(LevelRecord(1, 1, 0), OWN, {"x": Sight()}, None, Stock(), NOW)
+    after = plan(LevelRecord(1, 1, 0), OWN, {"x": PeerObservation()}, None, MigrationBacklog(), NOW)
     assert after.move == LevelRecord(1, 1, 1) and "never seen" in after.waits[0]
     lowering = step(LevelRecord(2, 2, 2), 1).move
     assert (lowering.level, lowering.writes, lowering.oldest) == (2, 1, 1)
-    assert step(lowering, 1, Stock(newer=2)).move is None
-    assert "can't be written back" in step(lowering, 1, Stock(newer=2, stuck=1)).waits[0]
+    assert step(lowering, 1, MigrationBacklog(newer=2)).move is None
+    assert "can't be written back" in step(lowering, 1, MigrationBacklog(newer=2, stuck=1)).waits[0]
     assert step(lowering, 1).move.level == 1
     # Half way down and up again.
     assert step(lowering).move.writes == 2
@@ -593,9 +614,11 @@
 ) -> None:
     """Guards what is stored: a move of our own whose outcome was unknown may be applied late."""
     level = LevelRecord(1, 1, 0)
-    levels = Levels("c0", [], NOW)
-    levels.seen(seats.Seat(4, LeaderRecord("c0", 1), level=level, versions={"leader": 4}))
-    moved = seats.Seat(
+    feature_levels = FeatureLevels("c0", [], NOW)
+    feature_levels.seen(
+        leader_locks.LeaderLock(4, LeaderRecord("c0", 1), level=level, versions={"leader": 4})
+    )
+    moved = leader_locks.LeaderLock(
         9, LeaderRecord("c0", 1, 4), level=LevelRecord(1, 0, 0), versions={"leader": 9}
     )
     committed: list[Any] = []
@@ -607,40 +630,44 @@
             return 10
 
     async def main() -> None:
-        async def ask(*_: Any) -> StockTold:
-            return StockTold(Stock(), None)
+        async def ask(*_: Any) -> MigrationStatus:
+            return MigrationStatus(MigrationBacklog(), None)
 
         async def tell(message: Any) -> None:
             told.append(message)
 
-        async def read_moved(_: Any) -> seats.Seat:
+        async def read_moved(_: Any) -> leader_locks.LeaderLock:
             return moved
 
-        monkeypatch.setattr("micadeal.controller.raising.read_seat", read_moved)
+        monkeypatch.setattr("micadeal.controller.feature_level_updater.read_leader_lock", read_moved)
         state: Any = State()
         term = Term(4, 1, NOW, NOW, 4)
-        await Raising(levels, state, term, ask, tell)._step()
+        await FeatureLevelUpdater(feature_levels, state, term, ask, tell)._step()
 
     run_stepped(main, monkeypatch)
-    assert told == [LevelMoved(moved.level, 9)]
+    assert told == [FeatureLevelChanged(moved.level, 9)]
     assert committed == []
 
 
 def test_what_is_recorded_is_read_or_named_and_never_guessed() -> None:
     process = Process("p1", Build("b", 0, 1))
-    conditions, changes = seats.registration(seats.read([], 0), "c0", process, 5.0)
+    conditions, changes = leader_locks.registration(leader_locks.read([], 0), "c0", process, 5.0)
     assert conditions[0].version == 0
     member = Item("seat/member/c0", msgspec.to_builtins(changes[0].value), 3)  # type: ignore[union-attr]
-    seat = seats.read([member], 3)
-    assert seats.registered(seat, "c0", process) and not seat.taken
-    assert seats.refusal(seat, "c0", process) is None
-    assert "another process" in str(seats.refusal(seat, "c0", Process("p2", process.build)))
+    leader_lock = leader_locks.read([member], 3)
+    assert leader_locks.registered(leader_lock, "c0", process) and not leader_lock.taken
+    assert leader_locks.refusal(leader_lock, "c0", process) is None
+    assert "another process" in str(
+        leader_locks.refusal(leader_lock, "c0", Process("p2", process.build))
+    )
     for value in ({"level": 2, "writes": 2, "oldest": 3}, {"level": "x"}, 7, None):
-        damaged = seats.read([member, Item("seat/level", value, 4)], 4)
+        damaged = leader_locks.read([member, Item("seat/level", value, 4)], 4)
         assert damaged.damaged == ("seat/level",)
-        assert "can't be read" in str(seats.refusal(damaged, "c0", process))
-    later = seats.read([member, Item("seat/level", {"level": 2, "writes": 2, "oldest": 2}, 4)], 4)
-    assert "level 2 is in force" in str(seats.refusal(later, "c0", process))
+        assert "can't be read" in str(leader_locks.refusal(damaged, "c0", process))
+    later = leader_locks.read(
+        [member, Item("seat/level", {"level": 2, "writes": 2, "oldest": 2}, 4)], 4
+    )
+    assert "level 2 is in force" in str(leader_locks.refusal(later, "c0", process))
     skipped = Process("p1", Build("n", 1, 2))
     assert "are still stored" in str(skipped.build.refusal(LevelRecord(1, 1, 0)))
 
--- a/tests/test_stories.py
+++ b/tests/test_scenarios.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from micadeal.clock import steady
+from micadeal.clock import monotonic
 from tests.fakes import state as state_fake
 from tests.fakes.world import LEASE_S, World
 
@@ -128,7 +128,7 @@
             world.network.cut(worker.name, f"c{leader}")
         await curio.sleep(45)
         assert world.running(service) == 3
-        assert all(worker.session == 1 for worker in workers)
+        assert all(worker.incarnation == 1 for worker in workers)
 
     world = World().play(monkeypatch, story)
     assert all(count == 1 for count in world.starts.values())
@@ -210,10 +210,10 @@
         await curio.sleep(10)
         world.crash(first)
         await world.until(lambda: world.leader() not in (None, first))
-        elected = steady().total_seconds()
+        elected = monotonic().total_seconds()
         met = {worker for worker, _ in world.held(service)}
         await world.until(lambda: all(worker.renewed > elected - 3 for worker in met))
-        assert steady().total_seconds() - elected < 3
+        assert monotonic().total_seconds() - elected < 3
 
     World().play(monkeypatch, story)
 
@@ -239,7 +239,7 @@
         for worker in workers:
             await world.network.heal(worker.name, f"c{leader}")
         await curio.sleep(30)
-        assert all(worker.session == 1 for worker in workers)
+        assert all(worker.incarnation == 1 for worker in workers)
 
     world = World().play(monkeypatch, story)
     assert all(count == 1 for count in world.starts.values())
@@ -282,7 +282,7 @@
         await curio.sleep(8)
         leader = world.leader()
         assert leader is not None
-        held = {name: worker._report() for name, worker in world.fleet.workers.items()}
+        held = {name: worker._on_heartbeat() for name, worker in world.fleet.workers.items()}
         job = await world.run_job("array", 1, run_s=60.0, accelerators=2.0)
         await world.until(lambda: world.running(job) == 1)
         worker, _ = world.held(job)[0]
@@ -376,7 +376,7 @@
         worker, _ = world.held(job)[0]
         assert worker.spot
         await curio.sleep(20)
-        worker.notice_end = steady().total_seconds() + 15
+        worker.notice_end = monotonic().total_seconds() + 15
         await curio.sleep(15)
         world.cloud.take(worker.name)
         await world.until_done(job)
@@ -606,7 +606,7 @@
         await curio.sleep(15)
         worker, _ = world.held(job)[0]
         if notice is not None:
-            worker.notice_end = steady().total_seconds() + notice
+            worker.notice_end = monotonic().total_seconds() + notice
             await curio.sleep(notice)
         world.cloud.take(worker.name)
         assert await world.until(lambda: world.running(job) == 1, limit=60) < limit
@@ -625,7 +625,7 @@
         worker, _ = world.held(long)[0]
         assert world.held(short)[0][0] is worker
         await curio.sleep(5)
-        worker.notice_end = steady().total_seconds() + 25
+        worker.notice_end = monotonic().total_seconds() + 25
         await curio.sleep(8)
         # The long one is on its way elsewhere, the short one goes on and ends in time.
         assert all(w is not worker for w, _ in world.held(long))
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -14,15 +14,15 @@
 from micadeal.clock import seconds
 from micadeal.operator.platform import Team
 from micadeal.operator.policy import Flexible, Policy
-from micadeal.operator.script import BadScript, evaluate, policy_from_values
-from micadeal.scheduling import answers
-from micadeal.scheduling.holding import Holding
+from micadeal.operator.script import InvalidScriptError, evaluate, policy_from_values
+from micadeal.scheduling import explanations
+from micadeal.scheduling.deferral import Deferral
 from micadeal.timing import series as read
 from micadeal.timing.series import Curve, Quality, Quantity, Series, SignalError, read_series
 from micadeal.timing.shift import Hold, Keeper, Pools, Work, latest_safe_start
 from micadeal.timing.signal import Profile, Signal, cost_curve
 from micadeal.wire.users import Priority, Shape
-from tests.fakes.picture import Picture
+from tests.fakes.random_clusters import Picture
 
 NOW = datetime(2026, 12, 1, 20, 0, tzinfo=UTC)
 HOUR = timedelta(hours=1)
@@ -55,23 +55,26 @@
 @pytest.mark.parametrize(
     ("changes", "error"),
     [
-        ({"points": points(0.3) + points(0.2, first=NOW + 2 * HOUR)}, read.Gap),
-        ({"points": points(0.3) + points(0.2, first=NOW + HOUR / 2)}, read.Overlap),
-        ({"points": points(0.3, 0.2)[::-1]}, read.Overlap),
-        ({"points": []}, read.Malformed),
-        ({"points": points(*[0.1] * 2017, apart=timedelta(minutes=1))}, read.Malformed),
-        ({"unit": "EUR/MWh"}, read.WrongUnit),
-        ({"quantity": "carbon"}, read.WrongUnit),
-        ({"quantity": "carbon", "unit": "gCO2/kWh", "points": points(-1.0)}, read.BadValue),
-        ({"zone": "south"}, read.WrongSeries),
-        ({"issued": "2026-12-01T20:00:00"}, read.BadTime),
-        ({"issued": (NOW + HOUR).isoformat()}, read.BadTime),
-        ({"points": points(0.1, first=NOW + timedelta(days=365))}, read.BadTime),
-        ({"interval_s": 0}, read.BadTime),
-        ({"points": points(0.3, 0.2, first=NOW - 5 * HOUR)}, read.Expired),
-        ({"valid_until": (NOW - HOUR).isoformat()}, read.Expired),
-        ({"points": points(30.0, 28.0, 10.0)}, read.StepChange),
-        ({"points": points(0.003, 0.001)}, read.StepChange),
+        ({"points": points(0.3) + points(0.2, first=NOW + 2 * HOUR)}, read.SeriesGapError),
+        ({"points": points(0.3) + points(0.2, first=NOW + HOUR / 2)}, read.SeriesOverlapError),
+        ({"points": points(0.3, 0.2)[::-1]}, read.SeriesOverlapError),
+        ({"points": []}, read.MalformedSeriesError),
+        ({"points": points(*[0.1] * 2017, apart=timedelta(minutes=1))}, read.MalformedSeriesError),
+        ({"unit": "EUR/MWh"}, read.UnitMismatchError),
+        ({"quantity": "carbon"}, read.UnitMismatchError),
+        (
+            {"quantity": "carbon", "unit": "gCO2/kWh", "points": points(-1.0)},
+            read.InvalidValueError,
+        ),
+        ({"zone": "south"}, read.SeriesMismatchError),
+        ({"issued": "2026-12-01T20:00:00"}, read.InvalidTimeError),
+        ({"issued": (NOW + HOUR).isoformat()}, read.InvalidTimeError),
+        ({"points": points(0.1, first=NOW + timedelta(days=365))}, read.InvalidTimeError),
+        ({"interval_s": 0}, read.InvalidTimeError),
+        ({"points": points(0.3, 0.2, first=NOW - 5 * HOUR)}, read.SeriesExpiredError),
+        ({"valid_until": (NOW - HOUR).isoformat()}, read.SeriesExpiredError),
+        ({"points": points(30.0, 28.0, 10.0)}, read.StepChangeError),
+        ({"points": points(0.003, 0.001)}, read.StepChangeError),
     ],
 )
 def test_a_bad_series_is_refused_by_name(changes: dict[str, Any], error: type[SignalError]) -> None:
@@ -151,12 +154,12 @@
 
 
 def plan(
-    works: list[Work], night: Curve | None, now: datetime, room: float | None,
+    works: list[Work], night: Curve | None, now: datetime, capacity: float | None,
     former: dict[str, Hold],
 ) -> dict[str, Hold]:  # fmt: skip
     keeper = Keeper()
     keeper.holds = {name: hold for name, hold in former.items() if now < hold.until}
-    refresh(keeper, works, night, now, Pools({} if room is None else {"": room}))
+    refresh(keeper, works, night, now, Pools({} if capacity is None else {"": capacity}))
     return keeper.holds
 
 
@@ -240,7 +243,7 @@
     st.floats(0.0, 8.0),
 )
 def test_no_hold_lasts_longer_than_is_safe_costs_more_or_overfills(
-    rough: list[tuple[float, float, float]], rates: list[float], room: float | None, past: float
+    rough: list[tuple[float, float, float]], rates: list[float], capacity: float | None, past: float
 ) -> None:
     works = [
         Work(f"w{i}", units, HOUR * hours, NOW + HOUR * latest)
@@ -248,21 +251,21 @@
     ]
     night = curve(*rates)
     former = {w.job_id: Hold(NOW + HOUR * past, w.latest, 0.5) for w in works[::2]}
-    holds = plan(works, night, NOW, room, former)
+    holds = plan(works, night, NOW, capacity, former)
     for work in works:
         hold = holds.get(work.job_id)
         if hold is not None:
             assert NOW < hold.until <= work.latest
             start = night.cost(hold.until, work.duration)
             assert start <= night.cost(NOW, work.duration) + 1e-9
-    if room is not None:
+    if capacity is not None:
         for i in range(15):
             instant = NOW + i * HOUR
             held = sum(
                 w.units for w in works if w.job_id in holds
                 and holds[w.job_id].until <= instant < holds[w.job_id].until + w.duration
             )  # fmt: skip
-            assert held <= room + 1e-9
+            assert held <= capacity + 1e-9
 
 
 NIGHTLY = {
@@ -283,8 +286,8 @@
     return picture
 
 
-def evening(picture: Picture, ends: int = 40) -> Holding:
-    holding = Holding(picture.cluster, UTC, DRIFT)
+def evening(picture: Picture, ends: int = 40) -> Deferral:
+    holding = Deferral(picture.cluster, UTC, DRIFT)
     holding.take(take(document(points=PRICES)))
     holding.learn([("nightly", 1.0)] * ends)
     return holding
@@ -294,9 +297,9 @@
     """Some hours later: every machine reports, windows are chosen, a pass is made."""
     picture.now += HOUR * hours
     for name in picture.cluster.machines:
-        picture.report(name)
+        picture.heartbeat(name)
     picture.scheduler.hold(picture.now, NOW + (picture.now - seconds(100)))
-    picture.scheduler.run_pass(picture.now)
+    picture.scheduler.run_cycle(picture.now)
 
 
 def test_a_held_job_holds_nothing_and_starts_in_its_window() -> None:
@@ -307,12 +310,12 @@
     go(picture)
     assert other.attempts and not job.attempts
     assert picture.scheduler.plan.teams["gpus"]["team-0"].demand == 2.0
-    said = answers.why(picture.scheduler, job.id, picture.now)
+    said = explanations.why(picture.scheduler, job.id, picture.now)
     assert said is not None and said.reasons[0].reason == (
         "held for a better hour until 2026-12-01 23:00 UTC, to save 67%"
     )
     picture.now += seconds(90)
-    seen = answers.overview(picture.scheduler, "c0", picture.now, True)
+    seen = explanations.overview(picture.scheduler, "c0", picture.now, True)
     assert seen.jobs["held"] == 1 and not seen.stuck
     go(picture, 2.9)
     assert not job.attempts
@@ -371,7 +374,7 @@
     assert second is not None
     assert (second.until, second.latest) == (first.until, first.latest)
     # One that has no series holds nothing.
-    picture.scheduler.holding = Holding(picture.cluster, UTC, DRIFT)
+    picture.scheduler.holding = Deferral(picture.cluster, UTC, DRIFT)
     go(picture, 0.5)
     assert job.attempts
 
@@ -391,7 +394,7 @@
     values, _ = evaluate('flexible = {"nightly": {"slack": 0.5, "carbon": 0.1}}\n', "policy.star")
     assert policy_from_values(values).flexible["nightly"] == Flexible(0.5, 1.0, 0.1)
     for wrong in ('{"slack": 1.5}', '{"money": -1}', '{"money": 0}', '{"window": 3}'):
-        with pytest.raises(BadScript, match=r"policy\.star:2"):
+        with pytest.raises(InvalidScriptError, match=r"policy\.star:2"):
             evaluate(f'refresh_s = 2\nflexible = {{"nightly": {wrong}}}\n', "policy.star")
 
 
@@ -456,7 +459,7 @@
     go(picture)
     picture.now += 2 * HOUR
     for name in picture.cluster.machines:
-        picture.report(name, done=2)
+        picture.heartbeat(name, done=2)
     go(picture, 0.1)
     # Twice its estimate, and a tenth more: an hour is counted as 2.2.
     later = picture.submit(**NIGHTLY)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,19 +10,19 @@
 import pytest
 
 from micadeal.clock import ZERO, seconds
-from micadeal.controller.records import Recorder
+from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.jobs.model import CHUNK, SMALL_CHUNK, Job, to_bits
+from micadeal.schema.job_records import join_parts, part_keys, split
 from micadeal.state.limits import Limits
-from micadeal.stored.descriptions import part_keys, split, whole
-from micadeal.wire import mesh
+from micadeal.wire import peers
 from micadeal.wire import state as records
 from micadeal.wire.codec import decode, encode, json_size
 from micadeal.wire.users import Shape, Status
-from tests.fakes.earlier import forget
-from tests.fakes.picture import Picture
+from tests.fakes.previous_versions import forget
+from tests.fakes.random_clusters import Picture
+from tests.fakes.records_of_previous_versions import WRITTEN
 from tests.fakes.world import COMING, World
-from tests.fakes.written_before import WRITTEN
-from tests.test_parts import spec
+from tests.test_components import spec
 
 KINDS: dict[str, Any] = {
     "leader": records.LeaderRecord,
@@ -34,13 +34,13 @@
     "placed": records.PlacedRecord,
     "images": records.ImagesRecord,
     "settings": records.SettingsRecord,
-    "ping": mesh.Ping,
-    "pong": mesh.Pong,
-    "notice": mesh.Notice,
-    "relay": mesh.Relay,
-    "relayed": mesh.Relayed,
-    "why": mesh.WhyAnswer,
-    "overview": mesh.Overview,
+    "ping": peers.Ping,
+    "pong": peers.Pong,
+    "notice": peers.CancellationNotice,
+    "relay": peers.Relay,
+    "relayed": peers.Relayed,
+    "why": peers.WhyAnswer,
+    "overview": peers.Overview,
 }
 SMALL: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
 LOW = Limits(150, 18, 5, 2048)
@@ -68,7 +68,7 @@
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert(decode(Any, encode(parts[0].value)), records.JobRecord)
     values = [decode(Any, encode(put.value)) for put in parts]
-    assert whole(values[0], values[1:]) == record
+    assert join_parts(values[0], values[1:]) == record
     assert part_keys(values[0], later.job_id) == [put.key for put in parts[1:]]
 
 
@@ -166,17 +166,17 @@
         memory_gb=51.0, image="görüntü-" + "ü" * 40, spot_allowed=False, team=picture.teams[0],
     )  # fmt: skip
     limits = Limits(150, 18, operations, 2048)
-    recorder = Recorder(picture.cluster, limits)
-    picture.scheduler.run_pass(picture.now)
+    record_writer = RecordWriter(picture.cluster, limits)
+    picture.scheduler.run_cycle(picture.now)
     assert len(job.attempts) == 250
     for _ in range(400):
         picture.now += seconds(0.5)
-        for batch in recorder.next(picture.now):
+        for batch in record_writer.next(picture.now):
             assert len(batch.operations) <= operations
             for operation in batch.operations:
                 if isinstance(operation, records.Put):
                     assert json_size(operation.value) <= 2048
-            recorder.committed(batch, 1, picture.now)
+            record_writer.committed(batch, 1, picture.now)
     assert not picture.cluster.unwritten
     assert all(attempt.durable for attempt in job.all_attempts())
 
@@ -184,20 +184,20 @@
 def test_what_is_called_too_large_is_never_asked_for_again() -> None:
     """Guards against a 400 that comes back for ever, should the service count otherwise."""
     picture = Picture(40, 60, 5)
-    recorder = Recorder(picture.cluster, LOW)
+    record_writer = RecordWriter(picture.cluster, LOW)
     most = 900
     refused = 0
-    picture.scheduler.run_pass(picture.now)
+    picture.scheduler.run_cycle(picture.now)
     for _ in range(600):
         picture.now += seconds(0.5)
-        for batch in recorder.next(picture.now):
+        for batch in record_writer.next(picture.now):
             sizes = [json_size(o.value) for o in batch.operations if isinstance(o, records.Put)]
             if any(size > most for size in sizes):
                 refused += 1
-                recorder.refused(batch)
-                recorder.failed(batch, {c.key: None for c in batch.conditions}, picture.now)
+                record_writer.refused(batch)
+                record_writer.failed(batch, {c.key: None for c in batch.conditions}, picture.now)
             else:
-                recorder.committed(batch, 1, picture.now)
+                record_writer.committed(batch, 1, picture.now)
     assert 0 < refused < 12
     assert not picture.cluster.unwritten
 
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -20,7 +20,7 @@
 from msgspec import inspect
 
 import micadeal.wire
-from micadeal.stored.descriptions import part_keys, whole
+from micadeal.schema.job_records import join_parts, part_keys
 from micadeal.wire.cloud import (
     Catalog,
     ListedMachine,
@@ -30,27 +30,26 @@
     RentalRequest,
 )
 from micadeal.wire.codec import convert, decode, encode
-from micadeal.wire.mesh import (
+from micadeal.wire.peers import (
+    CancellationNotice,
     Counts,
     LevelLine,
     MachineLine,
     MemberLine,
-    Notice,
     Overview,
     Ping,
     Pong,
     Process,
     Relay,
     Relayed,
+    RenewalPromise,
     StuckJob,
     TeamLine,
     WhyAnswer,
     WhyLine,
-    Word,
 )
 from micadeal.wire.signals import Point, SeriesDocument
 from micadeal.wire.state import (
-    Changes,
     Condition,
     Drop,
     EndRecord,
@@ -58,7 +57,6 @@
     Event,
     Failed,
     FinishedRecord,
-    HeldRecord,
     ImagesRecord,
     Item,
     JobNeeds,
@@ -68,6 +66,7 @@
     LeaseRequest,
     LeavingRecord,
     LevelRecord,
+    LockHolderRecord,
     MachineRecord,
     MemberRecord,
     Page,
@@ -80,17 +79,18 @@
     SettingsRecord,
     SplitRecord,
     Transaction,
+    WatchResponse,
 )
 from micadeal.wire.users import JobAnswer, JobName, Priority, Shape, Status, Submission
 from micadeal.wire.workers import (
-    DirectOrders,
-    Order,
-    Orders,
+    Command,
+    CommandKind,
+    DirectCommands,
+    Heartbeat,
+    HeartbeatResponse,
     Redirect,
-    Report,
-    TaskReport,
     TaskState,
-    Verb,
+    TaskStatus,
 )
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -105,10 +105,10 @@
     "cloud_machine_list": MachineList,
     "mesh_process": Process,
     "mesh_ping": Ping,
-    "mesh_word": Word,
+    "mesh_word": RenewalPromise,
     "mesh_counts": Counts,
     "mesh_pong": Pong,
-    "mesh_notice": Notice,
+    "mesh_notice": CancellationNotice,
     "mesh_relay": Relay,
     "mesh_relayed": Relayed,
     "mesh_why_line": WhyLine,
@@ -132,9 +132,9 @@
     "state_lease_request": LeaseRequest,
     "state_lease_answer": LeaseAnswer,
     "state_event": Event,
-    "state_changes": Changes,
+    "state_changes": WatchResponse,
     "state_leader": LeaderRecord,
-    "state_held": HeldRecord,
+    "state_held": LockHolderRecord,
     "state_level": LevelRecord,
     "state_member": MemberRecord,
     "state_job": JobRecord,
@@ -154,11 +154,11 @@
     "users_submission": Submission,
     "users_job_name": JobName,
     "users_job_answer": JobAnswer,
-    "workers_task_report": TaskReport,
-    "workers_report": Report,
-    "workers_order": Order,
-    "workers_orders": Orders,
-    "workers_direct_orders": DirectOrders,
+    "workers_task_report": TaskStatus,
+    "workers_report": Heartbeat,
+    "workers_order": Command,
+    "workers_orders": HeartbeatResponse,
+    "workers_direct_orders": DirectCommands,
     "workers_redirect": Redirect,
 }
 #: Messages that are JSON on the wire; all others are MessagePack.
@@ -180,7 +180,7 @@
     Priority: ["production", "high", "standard", "low"],
     Status: ["pending", "running", "done", "cancelled"],
     TaskState: ["pulling", "waiting", "running", "flushing", "exited"],
-    Verb: ["run", "halt", "reap"],
+    CommandKind: ["run", "halt", "reap"],
 }
 
 
@@ -336,5 +336,5 @@
     assert [part["put"] for part in rest] == [
         f"part/req-000412/{number + 1}" for number in range(len(rest))
     ]
-    record = whole(first["data"], [part["data"] for part in rest])
+    record = join_parts(first["data"], [part["data"] for part in rest])
     assert encode(record) == recorded("state_job", "full")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,48 +9,48 @@
 
 from micadeal.clock import seconds
 from micadeal.rollout.membership import Presence
-from micadeal.zones.knowing import TRUST, Cause, Signs, Zone, ZoneState, cause_of, observe
+from micadeal.zones.zone_health import TRUST, Cause, Zone, ZoneSignals, ZoneState, cause_of, observe
 from tests.fakes.world import ZONES, World
 
 HERE, GONE, ELSEWHERE = Presence.PRESENT, Presence.SILENT, Presence.SEEN_BY_OTHERS
 
 
-def follow(zone: Zone, *steps: tuple[float, Signs]) -> Zone:
-    for at, signs in steps:
-        zone = observe(zone, signs, False, seconds(at))
+def follow(zone: Zone, *steps: tuple[float, ZoneSignals]) -> Zone:
+    for at, signals in steps:
+        zone = observe(zone, signals, False, seconds(at))
     return zone
 
 
 @pytest.mark.parametrize(
-    ("signs", "others_silent", "cause"),
+    ("signals", "others_silent", "cause"),
     [
-        (Signs(20, 20, GONE), False, Cause.CUT),
-        (Signs(20, 20, ELSEWHERE), False, Cause.APART),
-        (Signs(20, 20, HERE), False, Cause.MACHINES),
-        (Signs(20, 0, GONE), False, Cause.CONTROLLER),
-        (Signs(20, 20, GONE), True, Cause.OURS),
-        (Signs(20, 3, HERE), False, Cause.NONE),
-        (Signs(2, 2, HERE), False, Cause.NONE),
+        (ZoneSignals(20, 20, GONE), False, Cause.CUT),
+        (ZoneSignals(20, 20, ELSEWHERE), False, Cause.APART),
+        (ZoneSignals(20, 20, HERE), False, Cause.MACHINES),
+        (ZoneSignals(20, 0, GONE), False, Cause.CONTROLLER),
+        (ZoneSignals(20, 20, GONE), True, Cause.OURS),
+        (ZoneSignals(20, 3, HERE), False, Cause.NONE),
+        (ZoneSignals(2, 2, HERE), False, Cause.NONE),
     ],
 )
 def test_the_signs_tell_one_trouble_from_another(
-    signs: Signs, others_silent: bool, cause: Cause
+    signals: ZoneSignals, others_silent: bool, cause: Cause
 ) -> None:
-    assert cause_of(signs, others_silent) is cause
+    assert cause_of(signals, others_silent) is cause
 
 
 def test_a_zone_is_judged_after_a_doubt_and_watched_when_it_is_back() -> None:
-    cut, back = Signs(20, 19, GONE), Signs(20, 1, HERE)
+    cut, back = ZoneSignals(20, 19, GONE), ZoneSignals(20, 1, HERE)
     zone = follow(Zone("a"), (0, back), (10, cut))
     assert zone.state is ZoneState.DOUBTFUL
     assert follow(zone, (11, cut)).state is ZoneState.DOUBTFUL
-    assert follow(zone, (11, Signs(20, 2, HERE))).state is ZoneState.OPEN  # reports were late
+    assert follow(zone, (11, ZoneSignals(20, 2, HERE))).state is ZoneState.OPEN  # reports were late
     # In between it neither goes nor comes back: no flicker near a bound.
-    assert follow(zone, (13, Signs(20, 12, GONE))).state is ZoneState.DOUBTFUL
+    assert follow(zone, (13, ZoneSignals(20, 12, GONE))).state is ZoneState.DOUBTFUL
     zone = follow(zone, (12.5, cut))
     assert zone.state is ZoneState.CUT_OFF and zone.went == 1
-    assert follow(zone, (14, Signs(20, 9, GONE))).state is ZoneState.CUT_OFF
-    assert follow(zone, (30, Signs(20, 20, GONE, ended=20))).state is ZoneState.LOST
+    assert follow(zone, (14, ZoneSignals(20, 9, GONE))).state is ZoneState.CUT_OFF
+    assert follow(zone, (30, ZoneSignals(20, 20, GONE, ended=20))).state is ZoneState.LOST
     zone = follow(zone, (40, back))
     assert zone.state is ZoneState.RETURNING
     assert follow(zone, (41, back)).state is ZoneState.RETURNING
@@ -58,7 +58,7 @@
 
 
 def test_trust_in_a_zone_that_flaps_comes_back_more_slowly_each_time() -> None:
-    cut, back = Signs(20, 20, GONE), Signs(20, 0, HERE)
+    cut, back = ZoneSignals(20, 20, GONE), ZoneSignals(20, 0, HERE)
     zone, now, trusts = Zone("a"), 0.0, []
     for _ in range(6):
         zone = follow(zone, (now, cut), (now + 3, cut), (now + 10, back))
