--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,7 +1,7 @@
 """What meets a change of leaders: cancellations, limits, machines that were just up, old reports.
 
 Also machines that reach nobody, floods of small jobs, leaders that change all the time
-(docs/meetings.md).
+(docs/fault-interactions.md).
 """
 
 from __future__ import annotations
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -1,4 +1,4 @@
-"""Two troubles meet: stories with several machines, a rule watched in each (docs/meetings.md)."""
+"""Two troubles meet: stories with several machines, a rule watched in each (docs/fault-interactions.md)."""
 
 from __future__ import annotations
 
--- a/tests/test_lost_responses.py
+++ b/tests/test_lost_responses.py
@@ -1,6 +1,6 @@
 """Only the answer of a request to the state service is lost; what it wrote is there at once.
 
-The writer does not know that, and others read it (docs/meetings.md).
+The writer does not know that, and others read it (docs/fault-interactions.md).
 """
 
 from __future__ import annotations
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -1,4 +1,4 @@
-"""No answer is older than one that was given to an earlier question (docs/meetings.md).
+"""No answer is older than one that was given to an earlier question (docs/fault-interactions.md).
 
 The world checks the order of all answers; these stories have questions overlap with what changes.
 """
