--- a/micadeal/jobs/__init__.py
+++ b/micadeal/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: as the leader knows them, which wait for which, validation of submissions.  Pure."""
+"""Jobs: the leader's model of them, dependencies among them, validation of submissions.  Pure."""
--- a/micadeal/jobs/model.py
+++ b/micadeal/jobs/model.py
@@ -1,4 +1,4 @@
-"""A job as the leader knows it."""
+"""A job as the leader knows it: its submission, its attempts, what is finished."""
 
 from __future__ import annotations
 
@@ -16,200 +16,261 @@
 
 #: Tasks per chunk of the finished set under ``done/``: 3000 bytes, 4000 as base64.
 CHUNK = 24_000
-#: And under ``finished/``, for where that is too large: 500 bytes, 668 as base64.
+#: Tasks per chunk under ``finished/``, used where a ``done/`` chunk is too large for the state
+#: service: 500 bytes, 668 as base64.
 SMALL_CHUNK = 4_000
+#: Deadlines and estimates are cut to this many seconds, so that sums stay within ``timedelta``.
+MAX_DURATION_S = 1e9
+#: From errors on this many machines on, the job itself is suspected rather than the machines.
+SUSPECT_MACHINES = 2
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """``attempts`` holds everything that may be on a machine, finished or not."""
+    """One job and the state of its tasks.
 
+    Owned by the leader's actor, which alone changes it.  All instants are on this process's
+    monotonic clock.  A task is named by its index, from 0 to ``spec.tasks - 1``.
+    """
+
+    #: The submission as the user sent it; it never changes.
     spec: Submission
-    #: Instant of submission on this process's steady clock (before its start: negative).
+    #: Instant of submission; negative if the job is older than this process.
     submitted: timedelta
+    #: Version of the job's record in the state service, for compare-and-swap.
     version: int
+    #: Tasks that ended successfully, as far as the leader has heard.
     finished: set[int] = field(default_factory=set)
+    #: Finished tasks that the state service is known to hold.
     durable: set[int] = field(default_factory=set)
-    #: Keys of the parts of the finished set that the state service holds, or may hold.
+    #: Keys of the chunks of the finished set that the state service holds, or may hold.
     record_keys: set[str] = field(default_factory=set)
+    #: Attempts that may be on a machine, by task, whether the task is finished or not.
     attempts: dict[int, list[Attempt]] = field(default_factory=dict)
-    #: No longer in the state service's list of jobs: nothing of it may start any more.
+    #: The job is no longer in the state service's list of jobs: nothing of it may start any more.
     over: bool = False
     #: Errors of this job since its last success, by machine.
     errors: Counter[str] = field(default_factory=Counter)
+    #: After an error, no task of the job is placed before this instant.
     retry_at: timedelta = timedelta.min
+    #: When a task of the job last ended successfully.
     last_progress: timedelta = ZERO
-    #: Since when it passes on machines without its image; None: it last started on one with it.
+    #: Since when the job has declined machines that lack its image (delay scheduling); None if it
+    #: last started on a machine that has it.
     passed_since: timedelta | None = None
+    #: Why tasks could not be placed in the last scheduling cycle: tasks by reason.
     reasons: Counter[str] = field(default_factory=Counter)
-    #: Jobs that it names and that are not recorded done (``jobs/dependencies.py``).
+    #: Prerequisites that are not recorded done (``jobs/dependencies.py``).
     needs: set[str] = field(default_factory=set)
-    #: It needs a cancelled job: its own end is about to be recorded.
+    #: A prerequisite was cancelled: the end of this job is about to be recorded.
     cancelled_by_dependency: bool = False
-    #: From when its times count: its submission, or the end of the last job that it needs.
+    #: From when waiting times count: the submission, or the end of the last prerequisite.
     ready: timedelta = field(init=False)
-    #: Its own priority, or the highest of the jobs that need it, and which of them has that.
+    #: Own priority rank, or the best of the jobs that depend on this one; lower goes first.
     rank: int = field(init=False)
+    #: The dependent job whose rank this one has taken over, if any.
     lifted_by: str | None = None
-    #: Latest sensible finish, by its own deadline and by the estimates of what follows.
+    #: Latest sensible finish, by the job's own deadline and by its dependents' latest starts.
     latest: timedelta | None = field(init=False)
-    _fresh: int = 0
-    _returned: list[int] = field(default_factory=list)
-    #: Tasks that are finished and have attempts left: counted along, since passes ask often.
-    _both: int = 0
+    #: All tasks below this index have been handed out at least once, or are finished.
+    _next_new_index: int = 0
+    #: Heap of tasks that have lost all their attempts; entries may be out of date.
+    _returned_indexes: list[int] = field(default_factory=list)
+    #: Number of tasks that are finished and have attempts left, kept up to date by ``add``,
+    #: ``remove`` and ``finish`` because every scheduling cycle asks for it.
+    _finished_with_attempts: int = 0
 
     def __post_init__(self) -> None:
         self.ready, self.rank, self.latest = self.submitted, self.own_rank, self.own_latest
 
     @property
     def id(self) -> str:
+        """Job id, as the user named it."""
         return self.spec.job_id
 
     @property
     def is_gang(self) -> bool:
+        """Whether all tasks must run at the same time."""
         return self.spec.shape is Shape.GANG
 
     @property
     def is_service(self) -> bool:
+        """Whether the job runs until it is cancelled."""
         return self.spec.shape is Shape.SERVICE
 
     @property
     def production(self) -> bool:
+        """Whether the job counts as production, by its own rank or by a dependent's."""
         return self.rank == RANK[Priority.PRODUCTION]
 
     @property
     def own_rank(self) -> int:
+        """Rank of the priority that the submission names."""
         return RANK[self.spec.priority]
 
     @property
     def own_latest(self) -> timedelta | None:
+        """Deadline that the submission names; None if there is none."""
         deadline = self.spec.deadline_s
-        return None if deadline is None else self.submitted + seconds(min(deadline, 1e9))
+        return None if deadline is None else self.submitted + seconds(min(deadline, MAX_DURATION_S))
 
     @property
     def latest_start(self) -> timedelta | None:
+        """Latest start by which the job still finishes by ``latest``, as estimated."""
         if self.latest is None:
             return None
-        return self.latest - seconds(min(self.spec.estimate_s, 1e9))
+        return self.latest - seconds(min(self.spec.estimate_s, MAX_DURATION_S))
 
     @property
     def blocked(self) -> bool:
-        """Nothing of it may start: a job that it needs is not recorded done."""
+        """Whether a prerequisite is not recorded done, so that no task may start."""
         return bool(self.needs) or self.cancelled_by_dependency
 
     @property
     def order(self) -> tuple[int, timedelta, str]:
-        """In-team order by default: priority, then the time from which it could run, or should have
-        run for what follows to be in time."""
+        """Sort key within a team: rank, then age.
+
+        Age counts from when the job could run, or should have run for its dependents to be in
+        time, whichever is earlier.  The id makes the order total.
+        """
         start = self.latest_start
         since = self.ready if start is None else min(self.ready, start)
         return (self.rank, since, self.spec.job_id)
 
     @property
     def resource(self) -> str:
+        """Resource that the job is accounted in: ``"gpus"`` or ``"cpus"``."""
         return "gpus" if self.spec.gpus > 0 else "cpus"
 
     @property
     def units(self) -> float:
-        """Slots that one task books, in the job's resource."""
+        """Amount that one task books of the job's resource."""
         return self.spec.gpus if self.spec.gpus > 0 else self.spec.cpus
 
     @property
     def save_time(self) -> timedelta:
+        """Time that a task needs to save its state when it is stopped."""
         return seconds(self.spec.save_s)
 
     @property
     def can_save(self) -> bool:
+        """Whether tasks write checkpoints."""
         return self.spec.checkpoint_s > 0
 
     @property
     def unbegun(self) -> bool:
+        """Whether no task is finished or on a machine."""
         return not self.attempts and not self.finished
 
     @property
     def suspect(self) -> bool:
-        """It failed on several machines and has never got anywhere since: most likely its own
-        mistake, which says nothing of the machines."""
-        return len(self.errors) > 1
+        """Whether the job failed on several machines with no success since.
+
+        Most likely the fault is its own, and its errors are no evidence against the machines.
+        """
+        return len(self.errors) >= SUSPECT_MACHINES
 
     def runs_apart(self, machine: str, since: timedelta) -> bool:
-        """Whether a task of it runs on another machine, and has run there since then."""
+        """Whether a task has been running on another machine since the given instant."""
         return any(
-            a.machine != machine and a.running_since is not None and a.running_since <= since
-            for a in self.all_attempts()
+            attempt.machine != machine
+            and attempt.running_since is not None
+            and attempt.running_since <= since
+            for attempt in self.all_attempts()
         )
 
     def waiting_count(self) -> int:
-        """Tasks that wait for room; none as long as the job waits for others."""
+        """Count tasks that wait to be placed; none as long as the job is blocked."""
         return 0 if self.over or self.blocked else self.left_count()
 
     def left_count(self) -> int:
-        """Tasks that are neither finished nor may be on a machine."""
-        return self.spec.tasks - len(self.finished) - len(self.attempts) + self._both
+        """Count tasks that are neither finished nor possibly on a machine."""
+        return (
+            self.spec.tasks - len(self.finished) - len(self.attempts) + self._finished_with_attempts
+        )
 
     def running_count(self) -> int:
+        """Count tasks with a running attempt."""
         return sum(
             1 for attempts in self.attempts.values() if any(attempt.running for attempt in attempts)
         )
 
     @property
     def may_start(self) -> bool:
-        """Whether a task that was placed may start yet: that may be under way, its image is being
-        fetched, or nothing was heard of it."""
+        """Whether a placed task may still start.
+
+        Its start command may be under way, its image may be being fetched, or no heartbeat has
+        mentioned it yet.
+        """
         return any(attempt.may_still_start for attempt in self.all_attempts())
 
     def all_attempts(self) -> Iterator[Attempt]:
+        """Iterate over all attempts that may be on a machine."""
         for attempts in self.attempts.values():
             yield from attempts
 
-    def _waits(self, index: int) -> bool:
-        return index not in self.finished and index not in self.attempts
-
     def next_waiting(self) -> int | None:
-        """The lowest task that waits; it stays in the queue until an attempt is added."""
+        """Return the lowest waiting task, returned ones first; None if there is none.
+
+        The task stays in the queue until an attempt is added.
+        """
         if self.blocked:
             return None
-        while self._returned and not self._waits(self._returned[0]):
-            heapq.heappop(self._returned)
-        if self._returned:
-            return self._returned[0]
-        while self._fresh < self.spec.tasks and not self._waits(self._fresh):
-            self._fresh += 1
-        return self._fresh if self._fresh < self.spec.tasks else None
+        while self._returned_indexes and not self._is_waiting(self._returned_indexes[0]):
+            heapq.heappop(self._returned_indexes)
+        if self._returned_indexes:
+            return self._returned_indexes[0]
+        while self._next_new_index < self.spec.tasks and not self._is_waiting(self._next_new_index):
+            self._next_new_index += 1
+        return self._next_new_index if self._next_new_index < self.spec.tasks else None
 
     def add(self, attempt: Attempt) -> None:
+        """Record an attempt that may be on a machine from now on."""
         attempts = self.attempts.get(attempt.index)
         if attempts is None:
             attempts = self.attempts[attempt.index] = []
-            self._both += attempt.index in self.finished
+            self._finished_with_attempts += attempt.index in self.finished
         attempts.append(attempt)
 
     def remove(self, attempt: Attempt) -> None:
-        rest = [other for other in self.attempts.get(attempt.index, ()) if other is not attempt]
-        if rest:
-            self.attempts[attempt.index] = rest
+        """Forget an attempt that is on no machine any more.
+
+        A task that is left without attempts waits again, unless it is finished.
+        """
+        others = [other for other in self.attempts.get(attempt.index, ()) if other is not attempt]
+        if others:
+            self.attempts[attempt.index] = others
             return
         if self.attempts.pop(attempt.index, None) is None:
             return
         if attempt.index in self.finished:
-            self._both -= 1
+            self._finished_with_attempts -= 1
         else:
-            heapq.heappush(self._returned, attempt.index)
+            heapq.heappush(self._returned_indexes, attempt.index)
 
     def finish(self, index: int) -> None:
+        """Record that a task ended successfully; repeating it changes nothing."""
         if index not in self.finished:
             self.finished.add(index)
-            self._both += index in self.attempts
+            self._finished_with_attempts += index in self.attempts
 
     @property
     def complete(self) -> bool:
+        """Whether all tasks are finished; a service never is."""
         return not self.is_service and len(self.finished) >= self.spec.tasks
 
     def with_timeout(self, start: int, size: int) -> frozenset[int]:
-        """Finished tasks of a chunk."""
+        """Return the finished tasks of the chunk of ``size`` tasks from ``start`` on."""
         return frozenset(index for index in self.finished if start <= index < start + size)
 
+    def _is_waiting(self, index: int) -> bool:
+        return index not in self.finished and index not in self.attempts
+
     def load_bits(self, start: int, text: str) -> None:
+        """Take in a stored chunk of the finished set, which begins with task ``start``.
+
+        ``text`` is as ``to_bits`` returns it.  Bits beyond the last task are ignored.
+        """
         for place, byte in enumerate(base64.b64decode(text)):
             for bit in range(8):
                 index = start + place * 8 + bit
@@ -219,10 +280,15 @@
 
 
 def to_bits(indexes: Iterable[int], start: int) -> str:
+    """Encode task indexes as a bit set in base64.
+
+    Bit 0 of the first byte stands for task ``start``; no index may be below it.
+    """
     bits = bytearray()
     for index in indexes:
-        byte = (index - start) >> 3
-        if byte >= len(bits):
-            bits.extend(bytes(byte + 1 - len(bits)))
-        bits[byte] |= 1 << ((index - start) & 7)
+        # Shifts and masks, since chunks are large: divmod takes half as long again.
+        place = (index - start) >> 3
+        if place >= len(bits):
+            bits.extend(bytes(place + 1 - len(bits)))
+        bits[place] |= 1 << ((index - start) & 7)
     return base64.b64encode(bits).decode()
--- a/micadeal/jobs/validate.py
+++ b/micadeal/jobs/validate.py
@@ -1,9 +1,10 @@
-"""Checks of submissions: what is malformed (400) and what can never run (422).  Pure."""
+"""Checks of submissions: what is malformed (400) and what can never run (422).  No I/O."""
 
 from __future__ import annotations
 
 import math
 import re
+from collections.abc import Sequence
 
 from micadeal.fleet.instance_offers import InstanceOffers
 from micadeal.operator.platform import Team
@@ -12,29 +13,41 @@
 from micadeal.wire.users import JobName, Shape, Submission
 
 JOB_ID = re.compile(r"req-[0-9]{1,32}\Z")
-MOST_TASKS = 100_000
-LONGEST_NAME = 200
-#: Some more than the state service can hold of one job in any case.
-MOST_PREREQUISITES = 1000
+MAX_TASKS = 100_000
+#: Characters in the name of a class, team, image, zone or machine type.
+MAX_NAME_LENGTH = 200
+#: Somewhat more than the state service can hold for one job in any case.
+MAX_PREREQUISITES = 1000
 
 
 class MalformedJobError(ValueError):
-    """400: what is wrong."""
+    """A submission that is malformed; the text says what is wrong (status 400)."""
 
 
 class UnschedulableJobError(ValueError):
-    """422: why it can never run."""
+    """A submission that can never run; the text says why (status 422)."""
 
 
 def parse(body: bytes) -> Submission:
+    """Decode a submission and check its fields.
+
+    Raises ``MalformedJobError`` for the first fault, in the order of the checks below.
+    """
     try:
         spec = decode(Submission, body)
     except MessageFormatError as problem:
         raise MalformedJobError(str(problem)) from None
     if not JOB_ID.match(spec.job_id):
         raise MalformedJobError("not a job id")
-    if not 1 <= spec.tasks <= MOST_TASKS:
-        raise MalformedJobError(f"number of tasks must be 1 to {MOST_TASKS}")
+    _check_amounts(spec)
+    _check_names(spec)
+    _check_prerequisites(spec.prerequisites or ())
+    return spec
+
+
+def _check_amounts(spec: Submission) -> None:
+    if not 1 <= spec.tasks <= MAX_TASKS:
+        raise MalformedJobError(f"number of tasks must be 1 to {MAX_TASKS}")
     amounts = {
         "cores": spec.cpus,
         "accelerators": spec.gpus,
@@ -50,24 +63,30 @@
             raise MalformedJobError(f"{name} must be a number and not below 0")
     if spec.cpus == 0 and spec.gpus == 0:
         raise MalformedJobError("a task must take cores or accelerators")
+
+
+def _check_names(spec: Submission) -> None:
     zone = "-" if spec.zone is None else spec.zone
-    for text in (spec.job_class, spec.team, spec.image, zone):
-        if not 0 < len(text) <= LONGEST_NAME:
+    for name in (spec.job_class, spec.team, spec.image, zone):
+        if not 0 < len(name) <= MAX_NAME_LENGTH:
             raise MalformedJobError("an empty or overlong name")
-    if spec.machine_types is not None and not all(
-        0 < len(name) <= LONGEST_NAME for name in spec.machine_types
-    ):
-        raise MalformedJobError("an empty or overlong machine type")
-    names = spec.prerequisites or ()
-    if len(names) > MOST_PREREQUISITES:
-        raise MalformedJobError(f"at most {MOST_PREREQUISITES} jobs may be waited for")
-    if not all(map(JOB_ID.match, names)):
+    for name in spec.machine_types or ():
+        if not 0 < len(name) <= MAX_NAME_LENGTH:
+            raise MalformedJobError("an empty or overlong machine type")
+
+
+def _check_prerequisites(job_ids: Sequence[str]) -> None:
+    if len(job_ids) > MAX_PREREQUISITES:
+        raise MalformedJobError(f"at most {MAX_PREREQUISITES} jobs may be waited for")
+    if not all(map(JOB_ID.match, job_ids)):
         raise MalformedJobError("waits_on must be a list of job ids")
-    return spec
 
 
 def job_id_of(body: bytes) -> str | None:
-    """The id in a body whose other fields may be invalid: a repeat of a known job is no error."""
+    """Return the id in a body whose other fields may be invalid, None if there is no valid id.
+
+    It lets a repeated submission of a known job be answered without an error.
+    """
     try:
         job_id = decode(JobName, body).job_id
     except MessageFormatError:
@@ -78,6 +97,10 @@
 def check_possible(
     spec: Submission, teams: dict[str, Team], instance_offers: InstanceOffers
 ) -> None:
+    """Check that a submission could run in a deployment with these teams and machine types.
+
+    Raises ``UnschedulableJobError`` for the first reason why it never could.
+    """
     team = teams.get(spec.team)
     if team is None:
         raise UnschedulableJobError("unknown team")
@@ -85,10 +108,11 @@
         raise UnschedulableJobError("it waits for itself")
     if not instance_offers.can_ever_fit(spec):
         raise UnschedulableJobError("a task fits no allowed machine type")
-    tasks = 1 if spec.shape is Shape.ARRAY else spec.tasks
+    # Gangs and services run all their tasks at the same time; of an array one is enough.
+    concurrent_tasks = 1 if spec.shape is Shape.ARRAY else spec.tasks
     for need, limit, name in (
         (spec.cpus, team.cpus_max, "cores"),
         (spec.gpus, team.gpus_max, "accelerators"),
     ):
-        if limit is not None and tasks * need > limit + EPSILON:
+        if limit is not None and concurrent_tasks * need > limit + EPSILON:
             raise UnschedulableJobError(f"more {name} than the team's limit")
