--- a/micadeal/operator/__init__.py
+++ b/micadeal/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the platform and of operators."""
+"""Settings: the platform's file, options of a deployment, operators' scripts."""
--- a/micadeal/operator/platform.py
+++ b/micadeal/operator/platform.py
@@ -1,9 +1,14 @@
-"""The settings file that the platform hands over (TOML), checked."""
+"""The settings file that the platform hands over (TOML), decoded and checked.
+
+The private structs mirror the file: their ``rename`` maps hold the platform's words for what the
+rest of the program names otherwise.  Texts of errors name fields as the file does.
+"""
 
 from __future__ import annotations
 
 import math
 import tomllib
+from collections.abc import Mapping
 from dataclasses import dataclass
 from datetime import timedelta
 from pathlib import Path
@@ -16,7 +21,10 @@
 
 
 class InvalidSettingsError(ValueError):
-    """One line that names what is missing or senseless."""
+    """Settings that are refused; the text is one line that names what is missing or wrong."""
+
+
+# -- the file as it is written -----------------------------------------------------------------
 
 
 class _Peer(msgspec.Struct, rename={"name": "member", "zone": "domain", "address": "endpoint"}):
@@ -54,7 +62,7 @@
 
 
 class _NextState(msgspec.Struct):
-    """Limits that the state service will have from some moment on; what is missing stays."""
+    """Limits announced by the state service for later; a limit that is missing stays."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -113,68 +121,103 @@
     peers: list[_Peer] = []
 
 
+# -- what the program uses ---------------------------------------------------------------------
+
+
 @dataclass(frozen=True, slots=True)
 class Peer:
+    """Another controller of the deployment."""
+
     name: str
     zone: str
+    #: ``host:port`` of its listener for other controllers.
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """Guarantees and limits; a limit of None means none."""
+    """Guarantees and limits of a team; a limit of None means none."""
 
     name: str
+    #: Guaranteed cores and accelerators.
     cpus: float = 0.0
     gpus: float = 0.0
     cpus_max: float | None = None
     gpus_max: float | None = None
 
     def minimum(self, resource: str) -> float:
+        """Return the guarantee in ``"gpus"`` or ``"cpus"``."""
         return self.gpus if resource == "gpus" else self.cpus
 
     def limit(self, resource: str) -> float | None:
+        """Return the limit in ``"gpus"`` or ``"cpus"``."""
         return self.gpus_max if resource == "gpus" else self.cpus_max
 
 
 @dataclass(frozen=True, slots=True)
 class Workers:
+    """Times by which workers act, the same for all of them."""
+
     heartbeat_interval: timedelta
+    #: A worker kills its tasks when the last answered heartbeat was sent longer ago than this.
     lease: timedelta
+    #: A task of a gang exits if the gang was not complete within this time.
     gang_wait: timedelta
+    #: Within this time the tasks of a gang notice that one of them is gone.
     gang_peer: timedelta
+    #: When a user is told of a cancellation, all tasks must be gone within this time
+    #: (``ran_cancelled``); longer than the lease.
     cancel_timeout: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
+    """What is expected for one class of jobs."""
+
+    #: ``"wait"`` bounds the time to a start; other kinds are not acted on.
     kind: str
     job_class: str
+    #: The time in which it is to be met.
     with_timeout: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
+    """Checked settings of one controller and its deployment."""
+
+    #: Name and zone of this controller.
     name: str
     zone: str
+    #: Host and port on which users and workers are answered.
     listen: tuple[str, int]
+    #: Host and port on which other controllers are answered.
     mesh: tuple[str, int]
+    #: The other controllers; this one is left out.
     peers: tuple[Peer, ...]
     cloud_address: str
     state_address: str
+    #: All zones of the deployment.
     zones: tuple[str, ...]
     teams: dict[str, Team]
     objectives: tuple[Objective, ...]
     workers: Workers
-    #: The state service's limits, and the lower of each and of those that it has announced.
+    #: Limits of the state service today.
     state_limits: Limits
+    #: The lower of each of today's limits and those announced.
     sure_limits: Limits
+    #: Requests to the cloud's API, per second.
     cloud_rps: float
+    #: Usual delay of the cloud's list of machines; at times it is twice that.
     list_lag: timedelta
+    #: Connections that this process may have open at a time.
     max_connections: int
 
 
 def load(path: Path) -> Platform:
+    """Read and check a settings file.
+
+    Raises ``InvalidSettingsError`` for the first fault.
+    """
     try:
         text = path.read_bytes().decode()
     except (OSError, UnicodeDecodeError) as problem:
@@ -183,113 +226,161 @@
 
 
 def parse(text: str) -> Platform:
+    """Decode and check the text of a settings file.
+
+    Raises ``InvalidSettingsError`` for the first fault.
+    """
     try:
         file = msgspec.convert(tomllib.loads(text), _File)
     except tomllib.TOMLDecodeError as problem:
         raise InvalidSettingsError(f"not TOML: {problem}") from None
     except msgspec.ValidationError as problem:
         raise InvalidSettingsError(str(problem).replace("`", "'")) from None
-    return _check(file)
+    return _platform(file)
 
 
-def _address(name: str, text: str) -> tuple[str, int]:
-    try:
-        return parse_address(text)
-    except ValueError as problem:
-        raise InvalidSettingsError(f"{name}: {problem}") from None
+# -- checks ------------------------------------------------------------------------------------
 
 
-def _positive(**values: float) -> None:
-    for name, value in values.items():
-        if not (math.isfinite(value) and value > 0):
-            raise InvalidSettingsError(f"{name.replace('__', '.')} must be above 0, not {value}")
-
-
-def _sure_limits(now: Limits, coming: _NextState) -> Limits:
-    """What holds now and after the change announced, which comes without notice."""
-    value_bytes = now.value_bytes if coming.value_kb is None else int(coming.value_kb * 1024)
-    return now.stricter(
-        Limits(
-            coming.rps or now.requests_per_s,
-            coming.write_rps or now.changes_per_s,
-            coming.txn_ops or now.operations,
-            value_bytes,
-        )
+def _platform(file: _File) -> Platform:
+    """Check the file in a fixed order, so that of several faults the same one is reported."""
+    cluster = file.cluster
+    _check_numbers(cluster)
+    _check_zones(file)
+    _check_timeouts(cluster.workers)
+    teams = {team.name: _team(team) for team in cluster.teams}
+    state_limits = _state_limits(cluster.state)
+    _check_addresses(file)
+    return Platform(
+        name=file.name,
+        zone=file.zone,
+        listen=_address("api_addr", file.listen),
+        mesh=_address("mesh_addr", file.mesh),
+        peers=_other_controllers(file),
+        cloud_address=file.services.cloud,
+        state_address=file.services.state,
+        zones=tuple(cluster.zones),
+        teams=teams,
+        objectives=tuple(_objective(objective) for objective in cluster.objectives),
+        workers=_workers(cluster.workers),
+        state_limits=state_limits,
+        sure_limits=_sure_limits(state_limits, cluster.state.next or _NextState()),
+        cloud_rps=cluster.cloud.rps,
+        list_lag=seconds(cluster.cloud.list_lag_s),
+        max_connections=cluster.quota.max_connections,
     )
 
 
-def _check(file: _File) -> Platform:
-    cluster = file.cluster
-    workers = cluster.workers
-    _positive(
-        cluster__workers__report_s=workers.report_s,
-        cluster__workers__lease_s=workers.lease_s,
-        cluster__workers__gang_wait_s=workers.gang_wait_s,
-        cluster__workers__gang_peer_s=workers.gang_peer_s,
-        cluster__workers__cancel_s=workers.cancel_s,
-        cluster__state__rps=cluster.state.rps,
-        cluster__state__write_rps=cluster.state.write_rps,
-        cluster__state__value_kb=cluster.state.value_kb,
-        cluster__state__txn_ops=cluster.state.txn_ops,
-        cluster__cloud__rps=cluster.cloud.rps,
-        cluster__quota__max_connections=cluster.quota.max_connections,
+def _check_numbers(cluster: _Cluster) -> None:
+    workers, state = cluster.workers, cluster.state
+    _check_positive(
+        {
+            "cluster.workers.report_s": workers.report_s,
+            "cluster.workers.lease_s": workers.lease_s,
+            "cluster.workers.gang_wait_s": workers.gang_wait_s,
+            "cluster.workers.gang_peer_s": workers.gang_peer_s,
+            "cluster.workers.cancel_s": workers.cancel_s,
+            "cluster.state.rps": state.rps,
+            "cluster.state.write_rps": state.write_rps,
+            "cluster.state.value_kb": state.value_kb,
+            "cluster.state.txn_ops": state.txn_ops,
+            "cluster.cloud.rps": cluster.cloud.rps,
+            "cluster.quota.max_connections": cluster.quota.max_connections,
+        }
     )
-    coming = cluster.state.next or _NextState()
-    _positive(
-        **{
-            f"cluster__state__next__{name}": value
-            for name, value in msgspec.structs.asdict(coming).items()
-            if value is not None
+    announced = msgspec.structs.asdict(state.next or _NextState())
+    _check_positive(
+        {
+            f"cluster.state.next.{name}": limit
+            for name, limit in announced.items()
+            if limit is not None
         }
     )
-    if not cluster.zones:
+
+
+def _check_positive(values: Mapping[str, float]) -> None:
+    """Check values by their dotted names in the file."""
+    for name, value in values.items():
+        if not (math.isfinite(value) and value > 0):
+            raise InvalidSettingsError(f"{name} must be above 0, not {value}")
+
+
+def _check_zones(file: _File) -> None:
+    if not file.cluster.zones:
         raise InvalidSettingsError("cluster.zones must name at least one zone")
-    if file.zone not in cluster.zones:
+    if file.zone not in file.cluster.zones:
         raise InvalidSettingsError(f"domain {file.zone!r} is not one of cluster.zones")
+
+
+def _check_timeouts(workers: _Workers) -> None:
     if workers.lease_s >= workers.cancel_s:
         raise InvalidSettingsError("cluster.workers.cancel_s must be above cluster.workers.lease_s")
-    teams: dict[str, Team] = {}
-    for team in cluster.teams:
-        for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            value = getattr(team, name)
-            if not (math.isfinite(value) and value >= 0):
-                raise InvalidSettingsError(f"team {team.name!r}: {name} must not be negative")
-        for name in ("cpus", "gpus"):
-            most = getattr(team, name + "_max")
-            if most and getattr(team, name) > most:
-                raise InvalidSettingsError(f"team {team.name!r}: {name} is above {name}_max")
-        teams[team.name] = Team(
-            team.name, team.cpus, team.gpus, team.cpus_max or None, team.gpus_max or None
+
+
+def _team(team: _Team) -> Team:
+    """Check a team's amounts; a limit of 0 in the file means none."""
+    for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
+        value = getattr(team, name)
+        if not (math.isfinite(value) and value >= 0):
+            raise InvalidSettingsError(f"team {team.name!r}: {name} must not be negative")
+    for name in ("cpus", "gpus"):
+        limit = getattr(team, f"{name}_max")
+        if limit and getattr(team, name) > limit:
+            raise InvalidSettingsError(f"team {team.name!r}: {name} is above {name}_max")
+    return Team(team.name, team.cpus, team.gpus, team.cpus_max or None, team.gpus_max or None)
+
+
+def _state_limits(state: _State) -> Limits:
+    return Limits(state.rps, state.write_rps, state.txn_ops, _bytes(state.value_kb))
+
+
+def _sure_limits(now: Limits, announced: _NextState) -> Limits:
+    """Return limits that hold before and after an announced change, which comes without notice."""
+    value_bytes = now.value_bytes if announced.value_kb is None else _bytes(announced.value_kb)
+    return now.stricter(
+        Limits(
+            announced.rps or now.requests_per_s,
+            announced.write_rps or now.changes_per_s,
+            announced.txn_ops or now.operations,
+            value_bytes,
         )
-    state = cluster.state
-    limits = Limits(state.rps, state.write_rps, state.txn_ops, int(state.value_kb * 1024))
+    )
+
+
+def _bytes(kilobytes: float) -> int:
+    return int(kilobytes * 1024)
+
+
+def _check_addresses(file: _File) -> None:
     _address("endpoints.cloud", file.services.cloud)
     _address("endpoints.state", file.services.state)
     for peer in file.peers:
         _address(f"seeds {peer.name!r}", peer.address)
-    return Platform(
-        name=file.name,
-        zone=file.zone,
-        listen=_address("api_addr", file.listen),
-        mesh=_address("mesh_addr", file.mesh),
-        peers=tuple(Peer(p.name, p.zone, p.address) for p in file.peers if p.name != file.name),
-        cloud_address=file.services.cloud,
-        state_address=file.services.state,
-        zones=tuple(cluster.zones),
-        teams=teams,
-        objectives=tuple(
-            Objective(o.kind, o.job_class, seconds(o.within_s)) for o in cluster.objectives
-        ),
-        workers=Workers(
-            seconds(workers.report_s),
-            seconds(workers.lease_s),
-            seconds(workers.gang_wait_s),
-            seconds(workers.gang_peer_s),
-            seconds(workers.cancel_s),
-        ),
-        state_limits=limits,
-        sure_limits=_sure_limits(limits, coming),
-        cloud_rps=cluster.cloud.rps,
-        list_lag=seconds(cluster.cloud.list_lag_s),
-        max_connections=cluster.quota.max_connections,
+
+
+def _address(name: str, text: str) -> tuple[str, int]:
+    try:
+        return parse_address(text)
+    except ValueError as problem:
+        raise InvalidSettingsError(f"{name}: {problem}") from None
+
+
+def _other_controllers(file: _File) -> tuple[Peer, ...]:
+    """Return the peers without this controller, which the file lists as well."""
+    return tuple(
+        Peer(peer.name, peer.zone, peer.address) for peer in file.peers if peer.name != file.name
+    )
+
+
+def _objective(objective: _Objective) -> Objective:
+    return Objective(objective.kind, objective.job_class, seconds(objective.within_s))
+
+
+def _workers(workers: _Workers) -> Workers:
+    return Workers(
+        heartbeat_interval=seconds(workers.report_s),
+        lease=seconds(workers.lease_s),
+        gang_wait=seconds(workers.gang_wait_s),
+        gang_peer=seconds(workers.gang_peer_s),
+        cancel_timeout=seconds(workers.cancel_s),
     )
--- a/micadeal/operator/script.py
+++ b/micadeal/operator/script.py
@@ -1,5 +1,8 @@
-"""Operators' settings: a Starlark script is evaluated and checked by the client, its values are
-stored, and every leader checks the values again before it takes them up."""
+"""Operators' settings, written as a Starlark script.
+
+The command line evaluates and checks a script.  Its values are stored, and every leader checks
+them again before they take effect.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +15,12 @@
 from micadeal.operator.policy import Flexible, Policy, TeamPolicy
 from micadeal.wire.codec import MessageFormatError, convert
 
+#: Name in a script that bounds the feature level of the stored state.
+HIGHEST_LEVEL = "highest_level"
+#: Feature levels that a script may name are below this.
+LEVEL_BOUND = 1000
+MAX_TIMEOUT_S = 86_400
+#: Shown by ``micadeal settings show`` where no script is in force.
 EXAMPLE = """\
 # Every name may be left out.  Durations are in seconds.
 refresh_s = 2           # how often shares are computed
@@ -36,7 +45,7 @@
 
 
 class InvalidScriptError(ValueError):
-    """Refused: with file, line and reason."""
+    """A script or value that is refused; the text names the reason, and file and line if known."""
 
 
 class _TeamValues(msgspec.Struct, forbid_unknown_fields=True):
@@ -53,6 +62,8 @@
 
 
 class _Values(msgspec.Struct, forbid_unknown_fields=True):
+    """The names that a script may set, with their defaults; field names are the Starlark names."""
+
     refresh_s: float = 2.0
     minimum_timeout_s: float = 15.0
     share_timeout_s: float = 30.0
@@ -61,71 +72,78 @@
     flexible: dict[str, _FlexibleValues] = {}
 
 
-def _check(name: str, value: float, least: float, most: float) -> None:
+def _check_range(name: str, value: float, least: float, most: float) -> None:
     if not (math.isfinite(value) and least <= value <= most):
         raise InvalidScriptError(f"{name} must be between {least:g} and {most:g}, not {value:g}")
 
 
 def policy_from_values(values: dict[str, Any]) -> Policy:
-    """Raises ``InvalidScriptError``."""
+    """Check values and convert them to a policy.
+
+    Raises ``InvalidScriptError`` for the first fault.
+    """
     try:
         read = convert(_Values, values)
     except MessageFormatError as problem:
         raise InvalidScriptError(str(problem)) from None
-    _check("refresh_s", read.refresh_s, 0.25, 60)
-    _check("minimum_timeout_s", read.minimum_timeout_s, 0, 86_400)
-    _check("share_timeout_s", read.share_timeout_s, 0, 86_400)
-    _check("gather_after_s", read.gather_after_s, 0, 86_400)
-    teams: dict[str, TeamPolicy] = {}
-    for name, team in read.teams.items():
-        _check(f"teams[{name!r}].weight", team.weight, 0.001, 1000)
-        if team.running_jobs is not None:
-            _check(f"teams[{name!r}].running_jobs", team.running_jobs, 0, 1_000_000)
-        if team.minimum_timeout_s is not None:
-            _check(f"teams[{name!r}].minimum_timeout_s", team.minimum_timeout_s, 0, 86_400)
-        if team.order not in ("priority", "submitted"):
-            raise InvalidScriptError(f'teams[{name!r}].order must be "priority" or "submitted"')
-        teams[name] = TeamPolicy(
-            team.weight,
-            team.running_jobs,
-            None if team.minimum_timeout_s is None else seconds(team.minimum_timeout_s),
-            team.order,
-        )
-    flexible: dict[str, Flexible] = {}
-    for name, word in read.flexible.items():
-        _check(f"flexible[{name!r}].slack", word.slack, 0, 1)
-        _check(f"flexible[{name!r}].money", word.money, 0, 1e6)
-        _check(f"flexible[{name!r}].carbon", word.carbon, 0, 1e6)
-        if not word.money and not word.carbon:
-            raise InvalidScriptError(f"flexible[{name!r}] gives weight to neither money nor carbon")
-        flexible[name] = Flexible(word.slack, word.money, word.carbon)
+    _check_range("refresh_s", read.refresh_s, 0.25, 60)
+    _check_range("minimum_timeout_s", read.minimum_timeout_s, 0, MAX_TIMEOUT_S)
+    _check_range("share_timeout_s", read.share_timeout_s, 0, MAX_TIMEOUT_S)
+    _check_range("gather_after_s", read.gather_after_s, 0, MAX_TIMEOUT_S)
     return Policy(
-        seconds(read.refresh_s),
-        seconds(read.minimum_timeout_s),
-        seconds(read.share_timeout_s),
-        seconds(read.gather_after_s),
-        teams,
-        flexible,
+        refresh=seconds(read.refresh_s),
+        minimum_timeout=seconds(read.minimum_timeout_s),
+        share_timeout=seconds(read.share_timeout_s),
+        gather_after=seconds(read.gather_after_s),
+        teams={name: _team_policy(name, team) for name, team in read.teams.items()},
+        flexible={name: _flexible(name, weights) for name, weights in read.flexible.items()},
     )
 
 
-HIGHEST_LEVEL = "highest_level"
+def _team_policy(name: str, team: _TeamValues) -> TeamPolicy:
+    field = f"teams[{name!r}]"
+    _check_range(f"{field}.weight", team.weight, 0.001, 1000)
+    if team.running_jobs is not None:
+        _check_range(f"{field}.running_jobs", team.running_jobs, 0, 1_000_000)
+    if team.minimum_timeout_s is not None:
+        _check_range(f"{field}.minimum_timeout_s", team.minimum_timeout_s, 0, MAX_TIMEOUT_S)
+    if team.order not in ("priority", "submitted"):
+        raise InvalidScriptError(f'{field}.order must be "priority" or "submitted"')
+    timeout = None if team.minimum_timeout_s is None else seconds(team.minimum_timeout_s)
+    return TeamPolicy(team.weight, team.running_jobs, timeout, team.order)
+
+
+def _flexible(name: str, values: _FlexibleValues) -> Flexible:
+    field = f"flexible[{name!r}]"
+    _check_range(f"{field}.slack", values.slack, 0, 1)
+    _check_range(f"{field}.money", values.money, 0, 1e6)
+    _check_range(f"{field}.carbon", values.carbon, 0, 1e6)
+    if not values.money and not values.carbon:
+        raise InvalidScriptError(f"{field} gives weight to neither money nor carbon")
+    return Flexible(values.slack, values.money, values.carbon)
 
 
 def check_highest_level(value: Any) -> int | None:
-    """Raises ``InvalidScriptError``.  None: not held."""
-    if value is not None and (type(value) is not int or not 0 <= value < 1000):
+    """Return the highest feature level that a script allows; None if it sets no bound.
+
+    Raises ``InvalidScriptError``.
+    """
+    if value is None:
+        return None
+    # A bool is an int, too, but no level.
+    if type(value) is not int or not 0 <= value < LEVEL_BOUND:
         raise InvalidScriptError(f"{HIGHEST_LEVEL} must be a whole number from 0 on, not {value!r}")
     return value
 
 
 def evaluate(script: str, name: str) -> tuple[dict[str, Any], int | None]:
-    """The values that a script sets, checked, and the highest level that it allows.
+    """Return the checked values that a script sets, and the highest feature level it allows.
 
-    The level is none of the values: versions that know of no levels refuse values that they do not
-    know, and would take none of the others up.  Raises ``InvalidScriptError``.
+    The level is not among the values, since versions without feature levels refuse a whole script
+    for one value that they do not know.  ``name`` is the file's, for errors.  Raises
+    ``InvalidScriptError``.
     """
-    import starlark  # only the command line evaluates scripts: controllers start without it
+    import starlark  # noqa: PLC0415 - only the command line needs it, controllers do not
 
     module = starlark.Module()
     try:
@@ -133,11 +151,7 @@
         starlark.eval(module, tree, starlark.Globals.standard())
     except starlark.StarlarkError as problem:
         raise InvalidScriptError(str(problem)) from None
-    values: dict[str, Any] = {}
-    for key in _Values.__struct_fields__:
-        value = module[key]
-        if value is not None:
-            values[key] = value
+    values = {key: value for key in _Values.__struct_fields__ if (value := module[key]) is not None}
     try:
         policy_from_values(values)
         level = check_highest_level(module[HIGHEST_LEVEL])
@@ -148,7 +162,7 @@
 
 
 def _line_of(script: str, problem: str) -> int:
-    """The line of the setting that the problem names; 1 if it names none."""
+    """Return the line of the setting that a problem names; 1 if it names none."""
     for number, line in enumerate(script.splitlines(), 1):
         key = line.split("=")[0].strip()
         if key and key.isidentifier() and (problem.startswith(key) or f"$.{key}" in problem):
