--- a/micadeal/timing/__init__.py
+++ b/micadeal/timing/__init__.py
@@ -1,1 +1,1 @@
-"""When flexible work had better run: price and carbon series, what to hold, until when.  Pure."""
+"""When to start deferrable work: price and carbon series, start times by cost.  Pure."""
--- a/micadeal/timing/estimate_errors.py
+++ b/micadeal/timing/estimate_errors.py
@@ -1,7 +1,7 @@
-"""How far off the users' estimates are, by class of work, learned from what ended.
+"""How far off users' run time estimates are, by class of jobs, learned from tasks that ended.
 
-Kept in high dynamic range histograms (``hdrhistogram``, the extra ``timing``): a few kilobytes for
-each class, with one hundredth of precision, however much ends.
+Ratios are kept in high dynamic range histograms (``hdrhistogram``, the extra ``timing``): a few
+kilobytes for each class, to a precision of one hundredth, however many tasks end.
 """
 
 from __future__ import annotations
@@ -9,44 +9,50 @@
 from collections import OrderedDict
 from typing import Any
 
-#: A hold allows for the worst error seen of its class, and some more: with a percentile below it
-#: deadlines were missed that had been kept without holds (docs/timing.md).
-BEYOND_WORST = 1.1
-#: With fewer ends than this a class is not known, and nothing of it is held.
-LEAST_ENDS = 20
-LEAST, MOST = 1.0, 10.0
-MOST_CLASSES = 100
-#: Ratios are kept in thousandths, from 0.001 to 100.
+#: Factors are the worst ratio seen of a class times this: with a lower percentile, deadlines were
+#: missed that had been kept without holds (docs/timing.md).
+SAFETY_FACTOR = 1.1
+#: With fewer ended tasks a class is unknown, and nothing of it is held.
+MIN_SAMPLES = 20
+MIN_FACTOR = 1.0
+#: Estimates that may be off by a larger factor are worth nothing.
+MAX_FACTOR = 10.0
+MAX_CLASSES = 100
+#: Histograms hold whole numbers: ratios in thousandths, from 0.001 to 100.
 SCALE = 1000
-HIGHEST = 100 * SCALE
+MAX_RECORDED = 100 * SCALE
+SIGNIFICANT_DIGITS = 2
 
 
 class EstimateErrors:
-    """Ratios of time taken to time estimated."""
+    """Ratios of time taken to time estimated, by class of jobs."""
 
     def __init__(self) -> None:
-        # Imported here: a controller that holds nothing starts without it.
-        from hdrh.histogram import HdrHistogram
+        # An optional dependency: a controller that defers nothing runs without it.
+        from hdrh.histogram import HdrHistogram  # noqa: PLC0415 - see above
 
-        self._new: Any = HdrHistogram
-        self._classes: OrderedDict[str, Any] = OrderedDict()
+        self._histogram_type: Any = HdrHistogram
+        #: By class, the one that was recorded last at the end.
+        self._histograms: OrderedDict[str, Any] = OrderedDict()
 
     def ended(self, job_class: str, ratio: float) -> None:
-        """One task took ``ratio`` times what was estimated."""
-        histogram = self._classes.pop(job_class, None)
+        """Record that a task took ``ratio`` times its estimate."""
+        histogram = self._histograms.pop(job_class, None)
         if histogram is None:
-            histogram = self._new(1, HIGHEST, 2)
-        self._classes[job_class] = histogram
-        if len(self._classes) > MOST_CLASSES:
-            # Class names are the users' choice: the one that ended least lately goes.
-            self._classes.popitem(last=False)
-        histogram.record_value(int(min(max(ratio * SCALE, 1), HIGHEST)))
+            histogram = self._histogram_type(1, MAX_RECORDED, SIGNIFICANT_DIGITS)
+        self._histograms[job_class] = histogram
+        if len(self._histograms) > MAX_CLASSES:
+            # Users choose the names of classes: the one least recently recorded is dropped.
+            self._histograms.popitem(last=False)
+        histogram.record_value(int(min(max(ratio * SCALE, 1), MAX_RECORDED)))
 
     def factor(self, job_class: str) -> float | None:
-        """What to multiply an estimate of this class with, to be on the safe side; None: too few
-        have ended to tell, or estimates are worth nothing."""
-        histogram = self._classes.get(job_class)
-        if histogram is None or histogram.get_total_count() < LEAST_ENDS:
+        """Return the factor that makes an estimate of this class safe.
+
+        None: too few tasks have ended to tell, or estimates of the class are worth nothing.
+        """
+        histogram = self._histograms.get(job_class)
+        if histogram is None or histogram.get_total_count() < MIN_SAMPLES:
             return None
-        value: float = histogram.get_max_value() / SCALE * BEYOND_WORST
-        return max(value, LEAST) if value <= MOST else None
+        factor: float = histogram.get_max_value() / SCALE * SAFETY_FACTOR
+        return max(factor, MIN_FACTOR) if factor <= MAX_FACTOR else None
--- a/micadeal/timing/series.py
+++ b/micadeal/timing/series.py
@@ -1,62 +1,76 @@
-"""One price or carbon series, checked: what is taken from a feed, and why the rest is refused."""
+"""One price or carbon series, and the checks of what a feed sends.
+
+Each kind of fault has its own error.
+"""
 
 from __future__ import annotations
 
 import math
 import re
-from bisect import bisect_right
 from dataclasses import dataclass
 from datetime import UTC, datetime, timedelta
 from enum import Enum
 from itertools import pairwise
 from statistics import median
+from typing import NamedTuple
 
 import msgspec
 
 from micadeal.wire.signals import SeriesDocument
 
-#: More points than a week of five-minute intervals are nobody's forecast.
-MOST_POINTS = 2016
-LEAST_INTERVAL = timedelta(seconds=1)
-MOST_INTERVAL = timedelta(days=1)
-#: Times of the field's tariffs do not lie further ahead: a year that is wrong shows here.
+#: A week of five-minute intervals; no feed forecasts more.
+MAX_POINTS = 2016
+MIN_INTERVAL = timedelta(seconds=1)
+MAX_INTERVAL = timedelta(days=1)
+#: Tariffs are not published further ahead: a wrong year is found by this.
 HORIZON = timedelta(days=8)
-#: A typical value that is so many times the one before, or its inverse, is taken for another unit.
+#: If the typical value rises or falls by this factor, a change of unit is assumed.
 STEP_FACTOR = 100.0
 CARBON_UNIT = "gCO2/kWh"
 _PRICE_UNIT = re.compile(r"[A-Z]{3}/kWh")
 
 
 class Quantity(Enum):
+    """What a series measures."""
+
     PRICE = "price"
     CARBON = "carbon"
 
 
 class Quality(Enum):
+    """How well a value is known."""
+
     MEASURED = "measured"
     FORECAST = "forecast"
-    #: From the daily profile learned of earlier series.
+    #: From the daily profile learned from earlier series.
     PROFILE = "profile"
 
 
+class Reading(NamedTuple):
+    """A value at an instant."""
+
+    value: float
+    quality: Quality
+
+
 class SignalError(ValueError):
-    """A series that is refused; the last good one stays in force until it expires."""
+    """A series that is refused; the last valid one stays in force until it expires."""
 
 
 class MalformedSeriesError(SignalError):
-    """No JSON, truncated, or fields missing or of another type."""
+    """The body is not JSON, is truncated, or lacks fields or has them of another type."""
 
 
 class SeriesMismatchError(SignalError):
-    """Of another zone or quantity than was asked for."""
+    """The series is of another zone or quantity than requested."""
 
 
 class UnitMismatchError(SignalError):
-    """Not a currency per kWh, not the currency of before, not grams of CO2 per kWh."""
+    """The unit is no currency per kWh, not the previous currency, or not grams of CO2 per kWh."""
 
 
 class InvalidTimeError(SignalError):
-    """A time without its zone, out of order, too far ahead, or an interval that is none."""
+    """A time lacks its zone or is too far ahead, or the interval is out of range."""
 
 
 class SeriesGapError(SignalError):
@@ -64,31 +78,36 @@
 
 
 class SeriesOverlapError(SignalError):
-    """Two points lay claim to one instant."""
+    """Two points cover the same instant, or points are out of order."""
 
 
 class InvalidValueError(SignalError):
-    """Not a finite number; or carbon below zero.  Prices may be negative."""
+    """A value is not finite, or is carbon below zero.  Prices may be negative."""
 
 
 class StepChangeError(SignalError):
-    """The typical value jumped by a factor that only another unit explains."""
+    """The typical value jumped by a factor that only a change of unit explains."""
 
 
 class SeriesExpiredError(SignalError):
-    """Nothing in it is of now or later, or its validity is over."""
+    """The series ends in the past, or is no longer valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """``values[i]`` holds from ``start + i * interval`` for one interval.  Instants are in UTC."""
+    """A checked series of values at equal distances.  Instants are in UTC.
+
+    ``values[i]`` holds from ``start + i * interval`` for one interval.
+    """
 
     zone: str
     quantity: Quantity
     unit: str
+    #: Who published it, as shown to operators.
     source: str
     issued: datetime
     valid_until: datetime
+    #: Intervals that begin before this instant were measured, the others are a forecast.
     measured_until: datetime
     start: datetime
     interval: timedelta
@@ -96,18 +115,20 @@
 
     @property
     def end(self) -> datetime:
+        """End of the last interval."""
         return self.start + self.interval * len(self.values)
 
-    def at(self, when: datetime) -> tuple[float, Quality] | None:
-        """The value at an instant, and what it is worth; None outside the series."""
+    def at(self, when: datetime) -> Reading | None:
+        """Return the value at an instant; None outside the series."""
         if not self.start <= when < self.end:
             return None
         index = (when - self.start) // self.interval
-        begins = self.start + self.interval * index
-        measured = begins < self.measured_until
-        return self.values[index], Quality.MEASURED if measured else Quality.FORECAST
+        interval_start = self.start + self.interval * index
+        measured = interval_start < self.measured_until
+        return Reading(self.values[index], Quality.MEASURED if measured else Quality.FORECAST)
 
     def expired(self, now: datetime) -> bool:
+        """Whether nothing in the series may be relied on any more."""
         return now >= self.valid_until or now >= self.end
 
 
@@ -117,122 +138,114 @@
     quantity: Quantity,
     now: datetime,
     drift: timedelta,
-    last: Series | None = None,
+    previous: Series | None = None,
 ) -> Series:
-    """Check a feed's answer.  Raises a subclass of ``SignalError`` that names what is wrong.
+    """Decode and check a feed's answer.
 
-    ``drift``: how far apart the feed's clock and ours may be.  ``last``: the good series of before.
+    ``drift`` is how far apart the feed's clock and ours may be, ``previous`` the last valid series
+    of the same zone and quantity.  Raises the subclass of ``SignalError`` for the first fault.
     """
     try:
-        read = msgspec.json.decode(body, type=SeriesDocument)
+        document = msgspec.json.decode(body, type=SeriesDocument)
     except (msgspec.DecodeError, ValueError) as problem:
         raise MalformedSeriesError(str(problem)) from None
-    if (read.zone, read.quantity) != (zone, quantity.value):
+    if (document.zone, document.quantity) != (zone, quantity.value):
         raise SeriesMismatchError(
-            f"{read.quantity} of {read.zone!r} instead of {quantity.value} of {zone!r}"
+            f"{document.quantity} of {document.zone!r} instead of {quantity.value} of {zone!r}"
         )
-    _check_unit(read.unit, quantity, last)
-    starts, interval = _check_times(read, now, drift)
-    values = tuple(point.value for point in read.points)
-    for value, start in zip(values, starts, strict=True):
-        if not math.isfinite(value) or (quantity is Quantity.CARBON and value < 0):
-            raise InvalidValueError(f"{value} from {start.isoformat()}")
+    _check_unit(document.unit, quantity, previous)
+    _check_point_count(document)
+    _check_time_zones(document)
+    # Subtracting datetimes of one local zone ignores its change of clocks: all become UTC first.
+    starts = [point.start.astimezone(UTC) for point in document.points]
+    interval = _checked_interval(document)
+    _check_not_ahead(document, starts, now, drift)
+    _check_spacing(starts, interval)
+    values = tuple(point.value for point in document.points)
+    _check_values(values, starts, quantity)
     series = Series(
-        zone, quantity, read.unit, read.source, read.issued.astimezone(UTC),
-        read.valid_until.astimezone(UTC), read.measured_until.astimezone(UTC), starts[0],
-        interval, values,
-    )  # fmt: skip
+        zone=zone,
+        quantity=quantity,
+        unit=document.unit,
+        source=document.source,
+        issued=document.issued.astimezone(UTC),
+        valid_until=document.valid_until.astimezone(UTC),
+        measured_until=document.measured_until.astimezone(UTC),
+        start=starts[0],
+        interval=interval,
+        values=values,
+    )
     if series.expired(now):
         raise SeriesExpiredError(
             f"valid until {series.valid_until.isoformat()}, ends {series.end.isoformat()}"
         )
-    _check_step(series, last)
+    _check_step(series, previous)
     return series
 
 
-def _check_unit(unit: str, quantity: Quantity, last: Series | None) -> None:
+def _check_unit(unit: str, quantity: Quantity, previous: Series | None) -> None:
     if quantity is Quantity.CARBON:
         if unit != CARBON_UNIT:
             raise UnitMismatchError(f"{unit!r} instead of {CARBON_UNIT!r}")
     elif not _PRICE_UNIT.fullmatch(unit):
         raise UnitMismatchError(f"{unit!r} is no currency per kWh, such as EUR/kWh")
-    if last is not None and unit != last.unit:
-        raise UnitMismatchError(f"{unit!r}, but {last.unit!r} before")
+    if previous is not None and unit != previous.unit:
+        raise UnitMismatchError(f"{unit!r}, but {previous.unit!r} before")
+
 
+def _check_point_count(document: SeriesDocument) -> None:
+    if not 1 <= len(document.points) <= MAX_POINTS:
+        raise MalformedSeriesError(f"{len(document.points)} points; 1 to {MAX_POINTS} are taken")
 
-def _check_times(
-    read: SeriesDocument, now: datetime, drift: timedelta
-) -> tuple[list[datetime], timedelta]:
-    if not read.points or len(read.points) > MOST_POINTS:
-        raise MalformedSeriesError(f"{len(read.points)} points; 1 to {MOST_POINTS} are taken")
-    times = [read.issued, read.valid_until, read.measured_until, *(p.start for p in read.points)]
-    for when in times:
+
+def _check_time_zones(document: SeriesDocument) -> None:
+    times = [document.issued, document.valid_until, document.measured_until]
+    for when in [*times, *(point.start for point in document.points)]:
         if when.tzinfo is None:
             raise InvalidTimeError(f"{when.isoformat()} does not say its time zone")
-    # Subtracting datetimes of one local zone ignores its change of clocks: all become UTC first.
-    starts = [point.start.astimezone(UTC) for point in read.points]
-    if not math.isfinite(read.interval_s):
+
+
+def _checked_interval(document: SeriesDocument) -> timedelta:
+    if not math.isfinite(document.interval_s):
         raise InvalidTimeError("the interval is no number")
-    interval = timedelta(seconds=min(max(read.interval_s, 0.0), 1e6))
-    if not LEAST_INTERVAL <= interval <= MOST_INTERVAL:
-        raise InvalidTimeError(f"an interval of {read.interval_s:g} s")
-    if read.issued > now + drift:
-        raise InvalidTimeError(f"issued at {read.issued.isoformat()}, which is still to come")
+    # Cut to what a timedelta can hold; both ends of the cut are refused below.
+    interval = timedelta(seconds=min(max(document.interval_s, 0.0), 1e6))
+    if not MIN_INTERVAL <= interval <= MAX_INTERVAL:
+        raise InvalidTimeError(f"an interval of {document.interval_s:g} s")
+    return interval
+
+
+def _check_not_ahead(
+    document: SeriesDocument, starts: list[datetime], now: datetime, drift: timedelta
+) -> None:
+    if document.issued > now + drift:
+        raise InvalidTimeError(f"issued at {document.issued.isoformat()}, which is still to come")
     if starts[-1] > now + HORIZON:
         raise InvalidTimeError(f"{starts[-1].isoformat()} is too far ahead")
-    for one, other in pairwise(starts):
-        if other - one < interval:
-            raise SeriesOverlapError(f"{one.isoformat()} and {other.isoformat()}")
-        if other - one > interval:
-            raise SeriesGapError(f"between {one.isoformat()} and {other.isoformat()}")
-    return starts, interval
 
 
-def _check_step(series: Series, last: Series | None) -> None:
-    if last is None:
-        return
-    typical = median(abs(value) for value in series.values)
-    before = median(abs(value) for value in last.values)
-    if min(typical, before) <= 0:
-        # Free power is legal, and no factor can be told of it.
-        return
-    factor = typical / before
-    if factor >= STEP_FACTOR or factor <= 1 / STEP_FACTOR:
-        raise StepChangeError(f"typically {typical:g} {series.unit} after {before:g}")
-
+def _check_spacing(starts: list[datetime], interval: timedelta) -> None:
+    for start, following in pairwise(starts):
+        if following - start < interval:
+            raise SeriesOverlapError(f"{start.isoformat()} and {following.isoformat()}")
+        if following - start > interval:
+            raise SeriesGapError(f"between {start.isoformat()} and {following.isoformat()}")
 
-class Curve:
-    """What an hour costs, over the time ahead: piecewise constant, with quick sums.
-
-    ``edges[i]`` to ``edges[i + 1]`` costs ``rates[i]`` an hour, in any unit that the weights give.
-    """
-
-    __slots__ = ("_sums", "edges", "rates")
-
-    def __init__(self, edges: list[datetime], rates: list[float]) -> None:
-        if len(edges) != len(rates) + 1 or not rates:
-            raise ValueError("one more edge than rates, and at least one rate")
-        self.edges = edges
-        self.rates = rates
-        self._sums = [0.0]
-        for index, rate in enumerate(rates):
-            hours = (edges[index + 1] - edges[index]) / timedelta(hours=1)
-            self._sums.append(self._sums[-1] + rate * hours)
-
-    @property
-    def end(self) -> datetime:
-        return self.edges[-1]
 
-    def index(self, when: datetime) -> int:
-        """Which piece an instant lies in; the first or last for what lies outside."""
-        return min(max(bisect_right(self.edges, when) - 1, 0), len(self.rates) - 1)
+def _check_values(values: tuple[float, ...], starts: list[datetime], quantity: Quantity) -> None:
+    for value, start in zip(values, starts, strict=True):
+        if not math.isfinite(value) or (quantity is Quantity.CARBON and value < 0):
+            raise InvalidValueError(f"{value} from {start.isoformat()}")
 
-    def _upto(self, when: datetime) -> float:
-        index = self.index(when)
-        return self._sums[index] + self.rates[index] * (
-            (when - self.edges[index]) / timedelta(hours=1)
-        )
 
-    def cost(self, start: datetime, duration: timedelta) -> float:
-        """Of running from ``start`` on.  Past its end the curve goes on with its last rate."""
-        return self._upto(start + duration) - self._upto(start)
+def _check_step(series: Series, previous: Series | None) -> None:
+    if previous is None:
+        return
+    typical = median(abs(value) for value in series.values)
+    typical_before = median(abs(value) for value in previous.values)
+    if min(typical, typical_before) <= 0:
+        # Free energy is legal, and it has no ratio to anything.
+        return
+    factor = typical / typical_before
+    if factor >= STEP_FACTOR or factor <= 1 / STEP_FACTOR:
+        raise StepChangeError(f"typically {typical:g} {series.unit} after {typical_before:g}")
--- a/micadeal/timing/shift.py
+++ b/micadeal/timing/shift.py
@@ -1,8 +1,8 @@
-"""Until when flexible work is held: the cheapest window that is safe and has room.
+"""Start times of deferrable jobs: the cheapest window that is safe and has capacity left.
 
-A hold is a promise to start by then, never one to wait: whatever makes the window worse, less sure
-or too full releases the work earlier.  Only the windows chosen last and what was released are
-remembered (``Keeper``), so that a forecast that flips moves no work to and fro.
+A hold sets the latest start, not the earliest: if its window becomes dearer, uncertain or full,
+the job is released earlier.  Only the windows chosen last and the released jobs are remembered
+(``Keeper``), so that a forecast that alternates does not move work to and fro.
 """
 
 from __future__ import annotations
@@ -10,14 +10,19 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 from datetime import datetime, timedelta
+from typing import NamedTuple
 
-from micadeal.timing.series import Curve
+from micadeal.clock import ZERO
+from micadeal.timing.cost_curve import CostCurve
 
-#: A window is left for another only if that saves so much more, as a share of what starting now
-#: costs.
+#: A window is given up for another only if that saves this much more, as a share of the cost of
+#: starting now.
 SWITCH_SHARE = 0.05
-#: Holding for less than this share is not worth the risk.
-LEAST_SAVING = 0.02
+#: Holding for a saving below this share is not worth the risk.
+MIN_SAVING = 0.02
+#: Costs are rounded to this many digits, so that of windows with equal costs every leader takes
+#: the first.
+COST_DIGITS = 9
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,18 +30,21 @@
     """A job that could be held."""
 
     job_id: str
-    #: Room that it takes while it runs, in the units of its pool.
+    #: Capacity that it takes while it runs, in the units of its pool.
     units: float
-    #: How long it is likely to run, all of it.
+    #: How long the whole job is likely to run.
     duration: timedelta
-    #: No hold lasts longer.
+    #: Latest safe start: no hold lasts longer.
     latest: datetime
-    #: Whose room it takes.
+    #: The pool whose capacity it takes.
     pool: str = ""
 
 
 class Pools:
-    """Room that held work may count on in one slot, by pool; what is not named has enough."""
+    """Capacity that held work may use at one time, by pool; pools not named are unlimited.
+
+    Slots are the pieces of the cost curves.
+    """
 
     __slots__ = ("_capacity", "_used")
 
@@ -45,24 +53,30 @@
         self._used: dict[tuple[str, int], float] = {}
 
     def take(self, work: Work, slots: range) -> None:
+        """Count a job's units as used during the slots."""
         for slot in slots:
             key = (work.pool, slot)
             self._used[key] = self._used.get(key, 0.0) + work.units
 
     def fits(self, work: Work, slots: range) -> bool:
+        """Whether a job's units are free during all of the slots."""
         capacity = self._capacity.get(work.pool)
         if capacity is None:
             return True
-        capacity = capacity - work.units
-        return all(self._used.get((work.pool, slot), 0.0) <= capacity for slot in slots)
+        max_used = capacity - work.units
+        return all(self._used.get((work.pool, slot), 0.0) <= max_used for slot in slots)
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
+    """A decision to hold a job."""
+
+    #: Planned start.
     until: datetime
+    #: Latest safe start.
     latest: datetime
-    #: Share of the cost of starting now that is likely to be saved.  Of a cost that is zero or
-    #: below: 1.
+    #: Share of the cost of starting now that is likely to be saved; 1 if that cost is zero or
+    #: below.
     saving: float
 
 
@@ -74,109 +88,129 @@
     overhead: timedelta,
     slack: float,
 ) -> datetime:
-    """Work that starts by then ends by its deadline though it takes ``error`` times its estimate.
+    """Return the start by which work ends in time even at ``error`` times its estimate.
 
-    ``overhead``: boot, image, the queue ahead of it, and the clocks' bound.  Of the slack after
-    that only the share ``slack`` is used.
+    ``overhead`` covers machine boot, image fetch, the queue ahead, and the bound on clock
+    differences.  Of the slack that is left only the share ``slack`` is used.
     """
     safe = deadline - estimate * max(error, 1.0) - overhead
-    return ready + max(safe - ready, timedelta(0)) * min(max(slack, 0.0), 1.0)
+    return ready + max(safe - ready, ZERO) * min(max(slack, 0.0), 1.0)
+
+
+class _Candidate(NamedTuple):
+    """A start time that may be chosen; sorts by cost, then by time."""
+
+    cost: float
+    start: datetime
+
+
+class _Choice(NamedTuple):
+    """The best start found, and its cost; without a start, the bound that none was below."""
+
+    cost: float
+    start: datetime | None
 
 
 class Planner:
-    """Chooses windows on one curve, one job after the other, and takes their room.
+    """Chooses windows on one cost curve, job after job, and takes their capacity.
 
-    ``pools`` may be shared by planners whose curves begin with the same slots.  What a window would
-    cost past the curve's end is not known, so none reaches beyond it.
+    ``pools`` may be shared by planners whose curves begin with the same slots.  No window reaches
+    beyond the curve's end, since costs are unknown there.
     """
 
-    def __init__(self, curve: Curve, now: datetime, pools: Pools) -> None:
+    def __init__(self, curve: CostCurve, now: datetime, pools: Pools) -> None:
         self._curve = curve
         self._now = now
         self._pools = pools
         #: Starts by cost, cheapest first, for each duration: many jobs share one.
-        self._starts: dict[timedelta, list[tuple[float, datetime]]] = {}
+        self._candidates: dict[timedelta, list[_Candidate]] = {}
 
-    def choose(self, work: Work, former: Hold | None) -> Hold | None:
-        """The hold for one job, None to start it now; its room is counted in either case."""
+    def choose(self, work: Work, previous: Hold | None) -> Hold | None:
+        """Return the hold for a job, None to start it now; its capacity is taken either way."""
         known = self._now + work.duration <= self._curve.end
-        start = self._window(work, former) if known and work.latest > self._now else None
-        self._pools.take(work, self._span(work, self._now if start is None else start))
+        start = self._best_start(work, previous) if known and work.latest > self._now else None
+        self._pools.take(work, self._slots(work, self._now if start is None else start))
         if start is None:
             return None
         return Hold(start, work.latest, self._saving(work, start))
 
-    def _span(self, work: Work, start: datetime) -> range:
+    def _slots(self, work: Work, start: datetime) -> range:
         return range(self._curve.index(start), self._curve.index(start + work.duration) + 1)
 
     def _saving(self, work: Work, start: datetime) -> float:
-        at_once = self._curve.cost(self._now, work.duration)
-        if at_once <= 0:
+        cost_now = self._curve.cost(self._now, work.duration)
+        if cost_now <= 0:
             return 1.0
-        return (at_once - self._curve.cost(start, work.duration)) / at_once
-
-    def _by_cost(self, duration: timedelta) -> list[tuple[float, datetime]]:
-        """Where the cost of a window can be least: where it begins or ends at an edge."""
-        found = self._starts.get(duration)
-        if found is None:
-            starts = {s for edge in self._curve.edges for s in (edge, edge - duration)}
-            found = self._starts[duration] = sorted(
-                # Rounded: of windows that cost the same the first is taken, by every leader.
-                (round(self._curve.cost(start, duration), 9), start)
+        return (cost_now - self._curve.cost(start, work.duration)) / cost_now
+
+    def _candidates_for(self, duration: timedelta) -> list[_Candidate]:
+        """Return the starts at which a cost can be least: the window begins or ends at an edge."""
+        candidates = self._candidates.get(duration)
+        if candidates is None:
+            starts = {start for edge in self._curve.edges for start in (edge, edge - duration)}
+            candidates = self._candidates[duration] = sorted(
+                _Candidate(round(self._curve.cost(start, duration), COST_DIGITS), start)
                 for start in starts
                 if start > self._now and start + duration <= self._curve.end
             )
-        return found
-
-    def _window(self, work: Work, former: Hold | None) -> datetime | None:
-        at_once = self._curve.cost(self._now, work.duration)
-        scale = abs(at_once) or 1.0
-        best: datetime | None = None
-        least = at_once - LEAST_SAVING * scale
-        for cost, start in self._by_cost(work.duration):
-            if cost >= least:
+        return candidates
+
+    def _best_start(self, work: Work, previous: Hold | None) -> datetime | None:
+        cost_now = self._curve.cost(self._now, work.duration)
+        scale = abs(cost_now) or 1.0
+        best = self._cheapest(work, cost_now - MIN_SAVING * scale)
+        if previous is None or not self._now < previous.until <= work.latest:
+            return best.start
+        # Guards against a forecast that alternates with each refresh: the previous window is kept
+        # unless another one is clearly better, or it would cost more than starting at once.
+        previous_cost = self._curve.cost(previous.until, work.duration)
+        if previous_cost >= cost_now or not self._is_open(work, previous.until):
+            return best.start
+        keep = best.start is None or previous_cost - best.cost <= SWITCH_SHARE * scale
+        return previous.until if keep else best.start
+
+    def _cheapest(self, work: Work, bound: float) -> _Choice:
+        """Return the cheapest safe start with capacity left that costs less than ``bound``."""
+        best = _Choice(bound, None)
+        for candidate in self._candidates_for(work.duration):
+            if candidate.cost >= bound:
                 break
-            if start <= work.latest and self._open(work, start):
-                best, least = start, cost
+            if candidate.start <= work.latest and self._is_open(work, candidate.start):
+                best = _Choice(candidate.cost, candidate.start)
                 break
-        last = self._curve.cost(work.latest, work.duration)
-        if last < least and self._open(work, work.latest):
-            best, least = work.latest, last
-        if former is None or not self._now < former.until <= work.latest:
-            return best
-        # Guards against a forecast that flips with each refresh: the window of before is kept
-        # unless another one is clearly better, or it would cost more than starting at once.
-        kept = self._curve.cost(former.until, work.duration)
-        if kept >= at_once or not self._open(work, former.until):
-            return best
-        return former.until if best is None or kept - least <= SWITCH_SHARE * scale else best
+        cost_at_latest = self._curve.cost(work.latest, work.duration)
+        if cost_at_latest < best.cost and self._is_open(work, work.latest):
+            return _Choice(cost_at_latest, work.latest)
+        return best
 
-    def _open(self, work: Work, start: datetime) -> bool:
+    def _is_open(self, work: Work, start: datetime) -> bool:
+        """Whether the costs of a window are known and its capacity is free."""
         known = start + work.duration <= self._curve.end
-        return known and self._pools.fits(work, self._span(work, start))
+        return known and self._pools.fits(work, self._slots(work, start))
 
 
 class Keeper:
-    """Holds of one leader's term.  Work that was released once is not held again.
+    """The holds of one leader's term.  Work that was released once is not held again.
 
-    A later leader decides anew, by the same records and series: its holds end by the same latest
-    starts, so none lasts longer for the change.
+    A later leader decides anew from the same records and series.  Its holds have the same latest
+    starts, so no job is held longer because the leader changed.
     """
 
     def __init__(self) -> None:
+        #: By job id.
         self.holds: dict[str, Hold] = {}
-        #: Latest safe starts of all that was decided on, held or not.
+        #: Latest safe starts of all jobs decided on, held or not, by job id.
         self.latest: dict[str, datetime] = {}
         self._released: set[str] = set()
         self._planner: Planner | None = None
 
     def begin(
-        self, names: Collection[str], curve: Curve | None, now: datetime, pools: Pools
+        self, names: Collection[str], curve: CostCurve | None, now: datetime, pools: Pools
     ) -> None:
-        """Windows are chosen anew, by ``consider`` for one job after the other; until its turn a
-        job keeps what it has.  Who is not in ``names`` is forgotten.
+        """Start a new round of decisions, made by ``consider`` for one job after the other.
 
-        ``curve`` begins now; None: nothing is known, and nothing is held any more.
+        Until its turn a job keeps its hold.  Jobs that are not in ``names`` are forgotten.
+        ``curve`` begins now; without one no cost is known, and all holds are released.
         """
         self._released |= {name for name, hold in self.holds.items() if hold.until <= now}
         self._planner = None if curve is None else Planner(curve, now, pools)
@@ -191,28 +225,30 @@
         self.latest = {name: latest for name, latest in self.latest.items() if name in names}
 
     def consider(self, work: Work, now: datetime) -> None:
-        """Decide on one job, on the curve and beside those that came before it.
+        """Decide on one job, beside those decided before it in this round.
 
-        Who has the least time is to come first: later deadlines give way then.  Who finds every
-        window full starts now, while there is time left.
+        Jobs are to come in the order of their latest starts, so that later deadlines give way.  A
+        job that finds every window full starts now, while there is time left.
         """
         self.latest[work.job_id] = work.latest
         if work.job_id in self._released:
             return
-        former = self.holds.pop(work.job_id, None)
-        # Guards against work that is held again though its hour came while others had their turn.
-        over = former is not None and former.until <= now
+        previous = self.holds.pop(work.job_id, None)
+        # Guards against work that is held again though its start came while the round went on.
+        expired = previous is not None and previous.until <= now
         hold = None
-        if self._planner is not None and not over:
-            hold = self._planner.choose(work, former)
+        if self._planner is not None and not expired:
+            hold = self._planner.choose(work, previous)
         if hold is None:
             self._released.add(work.job_id)
         else:
             self.holds[work.job_id] = hold
 
     def decided(self, job_id: str) -> bool:
+        """Whether a job is held, or was released."""
         return job_id in self.holds or job_id in self._released
 
     def held(self, job_id: str, now: datetime) -> Hold | None:
+        """Return a job's hold if it is in force."""
         hold = self.holds.get(job_id)
         return hold if hold is not None and now < hold.until else None
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -18,7 +18,8 @@
 from micadeal.scheduling import explanations
 from micadeal.scheduling.deferral import Deferral
 from micadeal.timing import series as read
-from micadeal.timing.series import Curve, Quality, Quantity, Series, SignalError, read_series
+from micadeal.timing.cost_curve import CostCurve
+from micadeal.timing.series import Quality, Quantity, Series, SignalError, read_series
 from micadeal.timing.shift import Hold, Keeper, Pools, Work, latest_safe_start
 from micadeal.timing.signal import Profile, Signal, cost_curve
 from micadeal.wire.users import Priority, Shape
@@ -146,7 +147,7 @@
 
 
 def refresh(
-    keeper: Keeper, works: list[Work], night: Curve | None, now: datetime, pools: Pools = ROOMY
+    keeper: Keeper, works: list[Work], night: CostCurve | None, now: datetime, pools: Pools = ROOMY
 ) -> None:
     keeper.begin({work.job_id for work in works}, night, now, pools)
     for work in sorted(works, key=lambda work: work.latest):
@@ -154,7 +155,7 @@
 
 
 def plan(
-    works: list[Work], night: Curve | None, now: datetime, capacity: float | None,
+    works: list[Work], night: CostCurve | None, now: datetime, capacity: float | None,
     former: dict[str, Hold],
 ) -> dict[str, Hold]:  # fmt: skip
     keeper = Keeper()
@@ -163,8 +164,8 @@
     return keeper.holds
 
 
-def curve(*rates: float) -> Curve:
-    return Curve([NOW + i * HOUR for i in range(len(rates) + 1)], list(rates))
+def curve(*rates: float) -> CostCurve:
+    return CostCurve([NOW + i * HOUR for i in range(len(rates) + 1)], list(rates))
 
 
 def test_the_cheapest_window_that_is_safe_is_taken() -> None:
@@ -405,7 +406,7 @@
     work = Work("a", 1.0, HOUR, NOW + 5 * HOUR)
     refresh(keeper, [work], curve(0.3, 0.1, 0.3, 0.3, 0.3, 0.3), NOW)
     begun = NOW + HOUR - timedelta(seconds=5)
-    later = Curve([begun + i * HOUR for i in range(7)], [0.3, 0.3, 0.3, 0.01, 0.3, 0.3])
+    later = CostCurve([begun + i * HOUR for i in range(7)], [0.3, 0.3, 0.3, 0.01, 0.3, 0.3])
     keeper.begin({"a"}, later, begun, ROOMY)
     keeper.consider(work, NOW + HOUR)
     assert keeper.held("a", NOW + HOUR) is None
