--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -35,6 +35,8 @@
 
 
 class Controller:
+    """Answers as a controller would, and keeps the settings that it receives."""
+
     def __init__(self) -> None:
         self.settings: dict[str, Any] = {"script": ""}
         server = Server(("127.0.0.1", 0), self.handle, most=20)
@@ -73,17 +75,19 @@
     return CliRunner().invoke(main, [*arguments, "-c", controller.address])
 
 
-def test_users_submit_look_and_cancel(controller: Controller, tmp_path: Path) -> None:
+def test_submit_status_and_cancel(controller: Controller, tmp_path: Path) -> None:
     job = tmp_path / "job.toml"
     job.write_text('name_id = "req-000007"\ncrew = "red"\n')
     assert run(controller, "submit", str(job)).output == "req-000007: pending\n"
     assert "running, 1 tasks done, 2 running" in run(controller, "status", "req-000007").output
-    said = run(controller, "status", "req-000007", "--json")
-    assert json.loads(said.output)["status"] == "running"
+    as_json = run(controller, "status", "req-000007", "--json")
+    assert json.loads(as_json.output)["status"] == "running"
     assert run(controller, "cancel", "req-000007").output == "req-000007: cancelled\n"
 
 
-def test_failures_exit_1_and_misuse_2(controller: Controller, tmp_path: Path) -> None:
+def test_exit_code_is_1_for_failure_and_2_for_misuse(
+    controller: Controller, tmp_path: Path
+) -> None:
     missing = run(controller, "status", "req-000008")
     assert (missing.exit_code, missing.output) == (1, "micadeal: no such job (status 404)\n")
     bad = tmp_path / "job.toml"
@@ -96,7 +100,7 @@
     assert CliRunner().invoke(main, ["fly"]).exit_code == 2
 
 
-def test_operators_see_why_and_the_morning_status(controller: Controller) -> None:
+def test_why_and_overview_show_the_answers(controller: Controller) -> None:
     why = run(controller, "why", "req-000007").output
     assert "2 waiting" in why and "- 2 tasks: no room, and the cloud refused" in why
     shown = run(controller, "overview").output
@@ -105,7 +109,7 @@
     assert json.loads(run(controller, "overview", "--json").output)["token"] == 41
 
 
-def test_settings_are_checked_before_they_are_applied(
+def test_settings_are_validated_before_they_are_applied(
     controller: Controller, tmp_path: Path
 ) -> None:
     assert "defaults are in force" in run(controller, "settings", "show").output
@@ -131,7 +135,7 @@
         (None, "No such file"),
     ],
 )
-def test_what_is_switched_on_is_checked(tmp_path: Path, text: str | None, said: str) -> None:
+def test_options_file_is_validated(tmp_path: Path, text: str | None, said: str) -> None:
     config, options = tmp_path / "settings.toml", tmp_path / "options.toml"
     config.write_text(settings(0, TEAMS))
     if text is not None:
