--- a/micadeal/actor.py
+++ b/micadeal/actor.py
@@ -1,4 +1,4 @@
-"""Actors: each owns its state, takes one message at a time and never ends by a fault of its own."""
+"""Actors: each owns its state and handles one message at a time."""
 
 from __future__ import annotations
 
@@ -13,67 +13,90 @@
 
 log = logging.getLogger(__name__)
 
+#: Messages that may wait in a mailbox.
+DEFAULT_CAPACITY = 1000
+#: Pause before a task that has ended is started again.
+RESTART_INTERVAL = timedelta(seconds=1)
+
 
 class MailboxFullError(Exception):
     """The mailbox is full: the sender should say "later" to whoever asked it."""
 
 
 class _Envelope:
+    """A message, and the result of handling it once ``answered`` is set."""
+
     __slots__ = ("answered", "failure", "message", "result")
 
-    def __init__(self, message: Any, wants_answer: bool) -> None:
+    def __init__(self, message: Any, answered: curio.Event | None = None) -> None:
         self.message = message
-        self.answered = curio.Event() if wants_answer else None
+        #: None: nobody waits for the result.
+        self.answered = answered
         self.result: Any = None
         self.failure: Exception | None = None
 
 
 class Actor:
-    """A mailbox and the one task that reads it."""
+    """A mailbox and the one task that reads it (``run``).
+
+    A subclass handles the messages in ``receive``.
+    """
 
-    def __init__(self, bound: int = 1000) -> None:
+    def __init__(self, bound: int = DEFAULT_CAPACITY) -> None:
+        """``bound``: messages that may wait before senders get ``MailboxFullError``."""
         self._mailbox: curio.Queue = curio.Queue()
-        self._bound = bound
+        self._capacity = bound
 
     async def receive(self, message: Any) -> Any:
         """Handle one message; the result goes to whoever asked."""
         raise NotImplementedError
 
     async def tell(self, message: Any) -> None:
-        await self._post(_Envelope(message, wants_answer=False))
+        """Send a message without waiting for it; ``MailboxFullError`` if the mailbox is full."""
+        await self._post(_Envelope(message))
 
     async def tell_unbounded(self, message: Any) -> None:
-        """From a task that the actor itself has started: never refused.
+        """Send a message from a task that the actor itself has started: it is never refused.
 
-        Guards against work that stands still for ever after a moment's flood: an outcome that was
-        dropped is waited for to no end, and a feed that ended on a full mailbox never came back.
-        There are as many of these as tasks under way, not as many as others care to send.
+        Guards against work that stops for ever after a short overload: an outcome that was dropped
+        would be waited for without end, and a watch that ended on a full mailbox would never come
+        back.  There are as many of these as tasks under way, not as many as others care to send.
         """
-        await self._mailbox.put(_Envelope(message, wants_answer=False))
+        await self._mailbox.put(_Envelope(message))
 
     async def ask(self, message: Any, timeout: timedelta) -> Any:
-        envelope = _Envelope(message, wants_answer=True)
+        """Send a message and return the result of handling it.
+
+        Raises ``MailboxFullError``, ``TimeoutError`` (the message may still be handled later), or
+        what ``receive`` raised.
+        """
+        answered = curio.Event()
+        envelope = _Envelope(message, answered)
         await self._post(envelope)
-        assert envelope.answered is not None
-        await with_timeout(timeout, envelope.answered.wait())
+        await with_timeout(timeout, answered.wait())
         if envelope.failure is not None:
             raise envelope.failure
         return envelope.result
 
     async def _post(self, envelope: _Envelope) -> None:
-        if self._mailbox.qsize() >= self._bound:
+        if self._mailbox.qsize() >= self._capacity:
             raise MailboxFullError
         await self._mailbox.put(envelope)
 
     async def run(self) -> None:
+        """Handle messages until cancelled."""
         while True:
             envelope = await self._mailbox.get()
             try:
                 envelope.result = await self.receive(envelope.message)
-            except Exception as problem:
+            except Exception as failure:
                 # Garbage from outside must not end the process: it costs its sender an answer.
-                log.exception("%s could not handle a message", type(self).__name__)
-                envelope.failure = problem
+                log.exception(
+                    "message failed: actor=%s message=%s",
+                    type(self).__name__,
+                    type(envelope.message).__name__,
+                )
+                envelope.failure = failure
             if envelope.answered is not None:
                 await envelope.answered.set()
 
@@ -83,7 +106,8 @@
     while True:
         try:
             await work()
-            log.warning("%s came to an end; it is started again", name)
+            log.warning("task ended, restarting: task=%s", name)
         except Exception:
-            log.exception("%s failed; it is started again", name)
-        await sleep(timedelta(seconds=1))
+            # Any fault of one task is logged here; the others go on.
+            log.exception("task failed, restarting: task=%s", name)
+        await sleep(RESTART_INTERVAL)
--- a/micadeal/clock.py
+++ b/micadeal/clock.py
@@ -1,30 +1,39 @@
-"""Steady time as timedelta since the process started, and the edges to and from numbers."""
+"""The clocks: monotonic time as a timedelta since the process started, and the time of day."""
 
 from __future__ import annotations
 
 import time
 from datetime import UTC, datetime, timedelta
 
+#: Reading of ``time.monotonic`` when the process started.
 _start = time.monotonic()
 
 ZERO = timedelta(0)
-#: Steady clocks of two machines drift apart by at most this share (PROTOCOL, head).
+#: The monotonic clocks of two machines drift apart by at most this share of the elapsed time.
 DRIFT = 0.0005
+#: Ages of records beyond this, in seconds, are cut, so that a damaged time can't overflow.
+MAX_AGE_S = 1e9
 
 
 def monotonic() -> timedelta:
+    """Return the time since this process started, unaffected by changes of the system clock."""
     return timedelta(seconds=time.monotonic() - _start)
 
 
 def utc_now() -> datetime:
+    """Return the time of day, for what other processes and people read."""
     return datetime.fromtimestamp(time.time(), tz=UTC)
 
 
 def seconds(value: float) -> timedelta:
+    """Return a duration given in seconds."""
     return timedelta(seconds=value)
 
 
 def monotonic_at(timestamp: float, now: timedelta) -> timedelta:
-    """An instant of a record (time of day) on our steady clock; none lies ahead."""
-    age = utc_now().timestamp() - timestamp
-    return now - timedelta(seconds=min(max(age, 0.0), 1e9))
+    """Convert a record's time of day (Unix time) to our monotonic clock.
+
+    ``now`` is the present monotonic time.  An instant in the future becomes ``now``.
+    """
+    age_s = utc_now().timestamp() - timestamp
+    return now - timedelta(seconds=min(max(age_s, 0.0), MAX_AGE_S))
--- a/micadeal/http/__init__.py
+++ b/micadeal/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on curio and h11: one small server, one pooled client."""
+"""HTTP/1.1 on curio and h11: one small server and one client that keeps connections open."""
--- a/micadeal/http/network.py
+++ b/micadeal/http/network.py
@@ -2,19 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
 from datetime import timedelta
 from typing import Protocol
 
 from micadeal.http.client import Client
-from micadeal.http.message import Answer, Request
-from micadeal.http.server import Server
-
-Handler = Callable[[Request], Awaitable[Answer]]
+from micadeal.http.server import Handler, Server
+from micadeal.wire.address import SocketAddress
 
 
 class AnyClient(Protocol):
-    """Requests to one address; raises ``HttpError`` when there is no answer."""
+    """Sends requests to one address."""
 
     async def request(
         self,
@@ -24,24 +21,47 @@
         *,
         timeout: timedelta,
         repeatable: bool = True,
-    ) -> tuple[int, bytes]: ...
+    ) -> tuple[int, bytes]:
+        """Send one request and return status and body of its response.
+
+        Raises ``HttpError`` when there is none within ``timeout``.
+        ``repeatable``: the request may be executed twice, so it may be sent again if an idle
+        connection turns out to be closed.
+        """
+        ...
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """Close idle connections; the client can still be used."""
+        ...
 
 
 class AnyServer(Protocol):
-    async def run(self) -> None: ...
+    """Serves one address."""
+
+    async def run(self) -> None:
+        """Serve until cancelled."""
+        ...
 
 
 class Network(Protocol):
-    def client(self, address: str, keep: int) -> AnyClient: ...
+    """Creates clients and servers."""
 
-    def server(self, address: tuple[str, int], handler: Handler, most: int) -> AnyServer: ...
+    def client(self, address: str, keep: int) -> AnyClient:
+        """Return a client of ``address`` that keeps up to ``keep`` idle connections open."""
+        ...
+
+    def server(self, address: SocketAddress, handler: Handler, most: int) -> AnyServer:
+        """Return a server of ``address`` that takes up to ``most`` connections at a time."""
+        ...
 
 
 class TcpNetwork:
+    """The real network."""
+
     def client(self, address: str, keep: int) -> AnyClient:
+        """Return a client of ``address`` that keeps up to ``keep`` idle connections open."""
         return Client(address, keep)
 
-    def server(self, address: tuple[str, int], handler: Handler, most: int) -> AnyServer:
+    def server(self, address: SocketAddress, handler: Handler, most: int) -> AnyServer:
+        """Return a server of ``address`` that takes up to ``most`` connections at a time."""
         return Server(address, handler, most)
--- a/micadeal/http/server.py
+++ b/micadeal/http/server.py
@@ -6,6 +6,7 @@
 import math
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -14,120 +15,135 @@
 
 from micadeal.http.message import BODY_LIMIT, Answer, HttpError, Request, error
 from micadeal.timeouts import sleep, with_timeout
+from micadeal.wire.address import SocketAddress
 
 log = logging.getLogger(__name__)
 
 Handler = Callable[[Request], Awaitable[Answer]]
 
-#: A request that has begun must be whole within this time.
-REQUEST_TIME = timedelta(seconds=10)
+#: A request that has begun must be whole within this time, and a response must be sent.
+REQUEST_TIMEOUT = timedelta(seconds=10)
 #: An idle connection is kept for this long; workers and users come back within seconds.
-IDLE_TIME = timedelta(seconds=75)
+IDLE_TIMEOUT = timedelta(seconds=75)
+#: Pause after a connection could not be accepted.
+ACCEPT_RETRY_INTERVAL = timedelta(milliseconds=50)
+ACCEPT_BACKLOG = 256
 READ_SIZE = 16 * 1024
 HEADER_LIMIT = 16 * 1024
 
 
 class Server:
-    """Serves one address; at most ``most`` connections at a time, the rest are closed at once."""
+    """Serves one address."""
 
-    def __init__(self, address: tuple[str, int], handler: Handler, most: int) -> None:
+    def __init__(self, address: SocketAddress, handler: Handler, most: int) -> None:
+        """Prepare to serve ``address``; port 0 stands for any free one.
+
+        ``handler`` answers each request.  Of more than ``most`` connections at a time the surplus
+        is closed at once.
+        """
         self._address = address
         self._handler = handler
-        self._most = most
-        self._open = 0
+        self._max_connections = most
+        self._connections = 0
         self._listener: Any = None
 
-    def listen(self) -> tuple[str, int]:
-        """Bind; the address, with the port that was given if 0 was asked for."""
+    def listen(self) -> SocketAddress:
+        """Bind, and return the address with the port in use; done by ``run`` if not before."""
         if self._listener is None:
-            self._listener = curio.tcp_server_socket(*self._address, backlog=256)
+            self._listener = curio.tcp_server_socket(*self._address, backlog=ACCEPT_BACKLOG)
         host, port = self._listener.getsockname()
         return host, port
 
     async def run(self) -> None:
+        """Serve until cancelled."""
         self.listen()
         listener, self._listener = self._listener, None
         async with listener:
             while True:
                 try:
                     client, _ = await listener.accept()
-                except OSError as problem:
+                except OSError as failure:
                     # Out of sockets for a moment: the queue of the listener holds them.
-                    log.warning("accept on %s failed: %s", self._address, problem)
-                    await sleep(timedelta(milliseconds=50))
+                    log.warning("accept failed: address=%s:%d reason=%s", *self._address, failure)
+                    await sleep(ACCEPT_RETRY_INTERVAL)
                     continue
-                if self._open >= self._most:
+                if self._connections >= self._max_connections:
                     await client.close()
                     continue
-                self._open += 1
+                self._connections += 1
                 await curio.spawn(self._serve, client, daemon=True)
 
     async def _serve(self, client: Any) -> None:
         try:
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await _Connection(client, self._handler).run()
-        except (OSError, HttpError, TimeoutError, h11.ProtocolError) as problem:
-            log.debug("connection ended: %s", problem)
+        except (OSError, HttpError, TimeoutError, h11.ProtocolError) as failure:
+            log.debug("connection closed: address=%s:%d reason=%s", *self._address, failure)
         except Exception:
-            log.exception("connection ended by a fault")
+            # A fault in serving one connection must not end the task unseen.
+            log.exception("connection failed: address=%s:%d", *self._address)
         finally:
-            self._open -= 1
+            self._connections -= 1
             await client.close()
 
 
 class _Connection:
+    """One connection of a client, which sends one request after the other."""
+
     def __init__(self, client: Any, handler: Handler) -> None:
         self._client = client
         self._handler = handler
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_LIMIT)
 
     async def run(self) -> None:
-        while True:
-            try:
-                request = await self._read()
-                if request is None:
-                    return
-                reply = await self._handler(request)
-            except _BodyTooLargeError:
-                reply = error(400, "body too large")
-            except h11.RemoteProtocolError as problem:
-                if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-                    return
-                await self._write(error(problem.error_status_hint, "not HTTP"), close=True)
-                return
-            except Exception:
-                log.exception("a request failed")
-                reply = error(500, "internal error")
-            # Who is told to come back later comes over a new connection: the balancer may then
-            # choose a controller that can do more.
-            close = self._http.their_state is not h11.DONE or reply.status == 503
-            await self._write(reply, close)
-            if close or self._http.our_state is h11.MUST_CLOSE:
-                return
+        """Serve requests until either side closes the connection."""
+        while await self._serve_request():
             self._http.start_next_cycle()
 
-    async def _read(self) -> Request | None:
-        head = self._http.next_event()
-        if head is h11.NEED_DATA:
-            if not await self._receive(IDLE_TIME):
+    async def _serve_request(self) -> bool:
+        """Answer one request; return whether another may follow on this connection."""
+        try:
+            request = await self._read_request()
+            if request is None:
+                return False
+            reply = await self._handler(request)
+        except _BodyTooLargeError:
+            reply = error(HTTPStatus.BAD_REQUEST, "body too large")
+        except h11.RemoteProtocolError as violation:
+            if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+                await self._write(error(violation.error_status_hint, "not HTTP"), close=True)
+            return False
+        except Exception:
+            # Whatever fails in a handler costs its client this answer and nobody else anything.
+            log.exception("request failed")
+            reply = error(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error")
+        # Who is told to come back later comes over a new connection: the balancer may then choose
+        # a controller that can do more.
+        unavailable = reply.status == HTTPStatus.SERVICE_UNAVAILABLE
+        close = self._http.their_state is not h11.DONE or unavailable
+        await self._write(reply, close)
+        return not close and self._http.our_state is not h11.MUST_CLOSE
+
+    async def _read_request(self) -> Request | None:
+        """Read one whole request; None if the client has gone away."""
+        event = self._http.next_event()
+        if event is h11.NEED_DATA:
+            if not await self._receive(IDLE_TIMEOUT):
                 return None
-        elif isinstance(head, h11.ConnectionClosed):
+            return await with_timeout(REQUEST_TIMEOUT, self._read_rest(None))
+        if isinstance(event, h11.ConnectionClosed):
             return None
-        else:
-            return await with_timeout(REQUEST_TIME, self._rest(head))
-        return await with_timeout(REQUEST_TIME, self._rest(None))
+        return await with_timeout(REQUEST_TIMEOUT, self._read_rest(event))
 
-    async def _rest(self, head: Any) -> Request | None:
+    async def _read_rest(self, head: Any) -> Request | None:
+        """Read what follows ``head``, the ``h11.Request`` if it has been read already."""
         chunks: list[bytes] = []
         size = 0
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                if self._http.they_are_waiting_for_100_continue:
-                    await self._client.sendall(
-                        self._http.send(h11.InformationalResponse(status_code=100, headers=[]))
-                    )
-                if not await self._receive(REQUEST_TIME):
+                await self._continue_if_expected()
+                if not await self._receive(REQUEST_TIMEOUT):
                     return None
             elif isinstance(event, h11.Request):
                 head = event
@@ -143,10 +159,16 @@
         path, _, query = head.target.decode("ascii", "replace").partition("?")
         return Request(head.method.decode("ascii"), path, query, b"".join(chunks))
 
-    async def _receive(self, limit: timedelta) -> bool:
-        """More bytes from the peer; False when it went away between requests."""
+    async def _continue_if_expected(self) -> None:
+        """Send "100 Continue" to a client that waits for it before it sends the body."""
+        if self._http.they_are_waiting_for_100_continue:
+            interim = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
+            await self._client.sendall(self._http.send(interim))
+
+    async def _receive(self, timeout: timedelta) -> bool:
+        """Receive more bytes; return False if the client went away between requests."""
         try:
-            data = await with_timeout(limit, self._client.recv(READ_SIZE))
+            data = await with_timeout(timeout, self._client.recv(READ_SIZE))
         except (OSError, TimeoutError):
             if self._http.their_state is h11.IDLE:
                 return False
@@ -167,8 +189,8 @@
         data = http.send(h11.Response(status_code=reply.status, headers=headers)) or b""
         data += http.send(h11.Data(data=reply.body)) or b""
         data += http.send(h11.EndOfMessage()) or b""
-        await with_timeout(REQUEST_TIME, self._client.sendall(data))
+        await with_timeout(REQUEST_TIMEOUT, self._client.sendall(data))
 
 
 class _BodyTooLargeError(Exception):
-    pass
+    """The body of a request is larger than ``BODY_LIMIT``."""
--- a/micadeal/state/limits.py
+++ b/micadeal/state/limits.py
@@ -1,4 +1,4 @@
-"""What the state service takes, and sizes as it counts them."""
+"""Rate and size limits of the state service."""
 
 from __future__ import annotations
 
@@ -7,31 +7,37 @@
 
 from micadeal.wire.codec import json_size
 
-#: However often the service calls something too large, records do not shrink below this.
-LEAST_BYTES = 768
-LEAST_OPERATIONS = 2
+#: However often the service rejects something as too large, ``Limits.shrunk`` stays above these.
+MIN_VALUE_BYTES = 768
+MIN_OPERATIONS = 2
+#: The service allows this many conditions per put or delete of a transaction's limit.
+CONDITIONS_PER_OPERATION = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """For all controllers together."""
+    """Limits of the state service, which all controllers share."""
 
+    #: Requests per second, watches and lease renewals included.
     requests_per_s: float
+    #: Puts and deletes per second, those of failed transactions included.
     changes_per_s: float
-    #: Puts and drops in one transaction.
+    #: Puts and deletes in one transaction.
     operations: int
+    #: Size of one value, counted as JSON text.
     value_bytes: int
 
     @property
     def conditions(self) -> int:
-        """Of one transaction."""
-        return self.operations * 4
+        """Number of conditions that one transaction may have."""
+        return self.operations * CONDITIONS_PER_OPERATION
 
     def fits(self, value: Any) -> bool:
+        """Return whether ``value`` is within the size limit of one value."""
         return json_size(value) <= self.value_bytes
 
     def stricter(self, other: Limits) -> Limits:
-        """The lower of each."""
+        """Return the lower limit of each kind."""
         return Limits(
             min(self.requests_per_s, other.requests_per_s),
             min(self.changes_per_s, other.changes_per_s),
@@ -40,13 +46,14 @@
         )
 
     def shrunk(self) -> Limits:
-        """After the service has called something too large that ought to fit.
+        """Return smaller size limits, after the service rejected what was within these.
 
-        Guards against a write that is refused for ever, should it count otherwise than we do.
+        Guards against a write that is rejected for ever, should the service count sizes otherwise
+        than we do.
         """
         return Limits(
             self.requests_per_s,
             self.changes_per_s,
-            max(self.operations - 1, LEAST_OPERATIONS),
-            max(self.value_bytes * 3 // 4, LEAST_BYTES),
+            max(self.operations - 1, MIN_OPERATIONS),
+            max(self.value_bytes * 3 // 4, MIN_VALUE_BYTES),
         )
--- /dev/null
+++ b/micadeal/state/rate_limiter.py
@@ -0,0 +1,73 @@
+"""Keeps one controller's requests to the state service below the rate limits all share."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+from enum import IntEnum
+
+from micadeal.clock import ZERO, monotonic
+from micadeal.state.budget import Budget
+from micadeal.state.errors import UnavailableError
+from micadeal.state.limits import Limits
+from micadeal.timeouts import sleep
+
+#: One controller's share of the limits.  The shares of all controllers add up to more than the
+#: whole: mostly the leader alone needs much, and a 429 corrects the rest.
+REQUESTS_SHARE = 0.6
+CHANGES_SHARE = 0.8
+#: Part of a bucket that a request leaves for more urgent ones, for each step down in urgency.
+RESERVE_PER_STEP = 0.08
+
+
+class Urgency(IntEnum):
+    """Order in which requests are served when the rate limits are scarce, most urgent first.
+
+    What is less urgent leaves a larger reserve in the bucket.  ``LEASE`` is never delayed.
+    """
+
+    LEASE = 0
+    USER = 1
+    #: Ends of jobs: users ask for them, and other jobs wait for them.
+    END = 2
+    PLACEMENT = 3
+    REST = 4
+
+
+class RateLimiter:
+    """One controller's share of the request and change limits of the state service.
+
+    The controllers can't see each other's use of the common limits.  Each takes what it needs up
+    to a large part of them, leaves a reserve for what is more urgent, and starts from an empty
+    bucket after a 429.
+    """
+
+    def __init__(self, limits: Limits, now: timedelta) -> None:
+        requests = limits.requests_per_s * REQUESTS_SHARE
+        changes = limits.changes_per_s * CHANGES_SHARE
+        self._requests = Budget(requests, requests, now)
+        self._changes = Budget(changes, changes, now)
+
+    async def acquire(self, changes: int, urgency: Urgency, deadline: timedelta) -> None:
+        """Wait until one request with so many changes may be sent.
+
+        Raises ``UnavailableError`` at once if that would be after ``deadline`` (``monotonic()``).
+        """
+        if urgency is Urgency.LEASE:
+            return
+        await self._take(self._requests, 1, urgency, deadline)
+        if changes:
+            await self._take(self._changes, changes, urgency, deadline)
+
+    @staticmethod
+    async def _take(budget: Budget, units: int, urgency: Urgency, deadline: timedelta) -> None:
+        reserve = budget.burst * RESERVE_PER_STEP * urgency
+        while (wait := budget.take(units, monotonic(), reserve)) != ZERO:
+            if monotonic() + wait > deadline:
+                raise UnavailableError("rate limit of this controller")
+            await sleep(wait)
+
+    def drain(self) -> None:
+        """Start again from empty buckets after the service answered 429."""
+        now = monotonic()
+        self._requests.drain(now)
+        self._changes.drain(now)
--- a/micadeal/state/read_coalescing.py
+++ b/micadeal/state/read_coalescing.py
@@ -1,9 +1,10 @@
-"""Whether keys are still at the version last read, asked for many at once.
+"""Coalesces checks whether keys still have the version last read into few requests.
 
 Users poll each job every few seconds.  With a read for each poll, some hundreds of jobs use up all
 requests that the state service takes, and the leader's own writes wait behind them: placements and
-ends for minutes, while those who poll are refused as well.  A transaction without changes compares
-many keys in one request, and what it says rests on a read that began after each of the questions.
+ends of jobs are delayed by minutes, while those who poll are refused as well.  A transaction
+without changes compares many keys in one request, and its result rests on a read that began after
+each of the checks was asked for.
 """
 
 from __future__ import annotations
@@ -12,66 +13,77 @@
 
 import curio
 
-from micadeal.state.service import RequestRejectedError, StateService, StateServiceError, Urgency
+from micadeal.state.errors import RequestRejectedError, StateServiceError
+from micadeal.state.service import StateService, Urgency
 from micadeal.timeouts import sleep
 from micadeal.wire.state import Condition
 
-#: Questions that come within this time share a request.
-GATHER = timedelta(milliseconds=60)
+#: Checks that are asked for within this time share a request.
+BATCH_INTERVAL = timedelta(milliseconds=60)
 
 
 class _VersionCheck:
-    __slots__ = ("answered", "holds", "key", "problem", "version")
+    """One caller's check, and its result once ``answered`` is set."""
+
+    __slots__ = ("answered", "error", "key", "unchanged", "version")
 
     def __init__(self, key: str, version: int) -> None:
-        self.key, self.version = key, version
+        self.key = key
+        self.version = version
         self.answered = curio.Event()
-        self.holds = False
-        self.problem: StateServiceError | None = None
+        self.unchanged = False
+        self.error: StateServiceError | None = None
 
 
 class VersionCheckCoalescer:
+    """Answers version checks of many callers with as few requests as the limits allow."""
+
     def __init__(self, state: StateService) -> None:
         self._state = state
         self._waiting: list[_VersionCheck] = []
-        self._gathering = False
+        self._batch_scheduled = False
 
     async def holds(self, key: str, version: int) -> bool:
-        """Raises ``StateServiceError`` if that can't be said now."""
-        question = _VersionCheck(key, version)
-        self._waiting.append(question)
-        if not self._gathering:
-            self._gathering = True
-            await curio.spawn(self._gather, daemon=True)
-        await question.answered.wait()
-        if question.problem is not None:
-            raise question.problem
-        return question.holds
-
-    async def _gather(self) -> None:
-        await sleep(GATHER)
-        self._gathering = False
+        """Return whether ``key`` still has ``version``; the read begins after this call.
+
+        False may also mean that the service did not compare it: read the key then.  Raises
+        ``StateServiceError`` if the service gave no usable answer.
+        """
+        check = _VersionCheck(key, version)
+        self._waiting.append(check)
+        if not self._batch_scheduled:
+            self._batch_scheduled = True
+            await curio.spawn(self._send_batches, daemon=True)
+        await check.answered.wait()
+        if check.error is not None:
+            raise check.error
+        return check.unchanged
+
+    async def _send_batches(self) -> None:
+        await sleep(BATCH_INTERVAL)
+        self._batch_scheduled = False
         waiting, self._waiting = self._waiting, []
-        most = self._state.limits.conditions
-        for start in range(0, len(waiting), most):
-            await curio.spawn(self._ask, waiting[start : start + most], daemon=True)
+        batch_size = self._state.limits.conditions
+        for start in range(0, len(waiting), batch_size):
+            await curio.spawn(self._compare, waiting[start : start + batch_size], daemon=True)
 
-    async def _ask(self, questions: list[_VersionCheck]) -> None:
-        versions = {question.key: question.version for question in questions}
+    async def _compare(self, checks: list[_VersionCheck]) -> None:
+        # Callers that know different versions of one key: the last is compared, the others get
+        # False and read the key by themselves.
+        versions = {check.key: check.version for check in checks}
+        conditions = [Condition(key, version) for key, version in versions.items()]
         try:
-            changed = await self._state.changed(
-                [Condition(key, version) for key, version in versions.items()], Urgency.USER
-            )
+            changed = await self._state.changed_keys(conditions, Urgency.USER)
         except RequestRejectedError:
             # Guards ``forgotten``: should the service take fewer conditions than it says, each key
             # is read by itself.
             pass
-        except StateServiceError as problem:
-            for question in questions:
-                question.problem = problem
+        except StateServiceError as error:
+            for check in checks:
+                check.error = error
         else:
-            for question in questions:
-                same = versions[question.key] == question.version
-                question.holds = same and question.key not in changed
-        for question in questions:
-            await question.answered.set()
+            for check in checks:
+                compared = versions[check.key] == check.version
+                check.unchanged = compared and check.key not in changed
+        for check in checks:
+            await check.answered.set()
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -1,20 +1,26 @@
-"""Client of the state service: reads, transactions, leases and watches."""
+"""Client of the state service: reads, compare-and-swap transactions, leases and watches."""
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Sequence
 from datetime import timedelta
-from enum import IntEnum
+from http import HTTPStatus
 from typing import TypeVar
 from urllib.parse import quote
 
-from micadeal.clock import ZERO, monotonic, seconds
-from micadeal.http.message import HttpError
+from micadeal.clock import monotonic, seconds
+from micadeal.http.message import ClientResponse, HttpError
 from micadeal.http.network import AnyClient, Network
-from micadeal.state.budget import Budget
+from micadeal.state.errors import (
+    ConflictError,
+    LeaseExpiredError,
+    RequestRejectedError,
+    RevisionCompactedError,
+    StateServiceError,
+    UnavailableError,
+)
 from micadeal.state.limits import Limits
-from micadeal.timeouts import sleep
+from micadeal.state.rate_limiter import RateLimiter, Urgency
 from micadeal.wire.codec import MessageFormatError, decode, encode
 from micadeal.wire.state import (
     Condition,
@@ -30,148 +36,91 @@
     WatchResponse,
 )
 
-log = logging.getLogger(__name__)
+__all__ = [
+    "ConflictError",
+    "LeaseExpiredError",
+    "RequestRejectedError",
+    "RevisionCompactedError",
+    "StateService",
+    "StateServiceError",
+    "UnavailableError",
+    "Urgency",
+    "lease_end",
+]
 
 T = TypeVar("T")
 
-REQUEST_TIME = timedelta(seconds=2)
-#: How long a user's request may wait for room in our share of the rate limits.
-USER_PATIENCE = timedelta(milliseconds=300)
-#: After a silence of this length the service can't be reached from here.
-SILENCE = timedelta(seconds=2.5)
-PAGE = 500
-
-
-class StateServiceError(Exception):
-    """The state service gave no usable answer; a change may or may not have happened."""
-
-
-class UnavailableError(StateServiceError):
-    """The request was certainly not executed (503 or 429)."""
-
-
-class ConflictError(Exception):
-    """A transaction's conditions did not hold."""
-
-
-class LeaseExpiredError(Exception):
-    """The lease has run out."""
-
-
-class RequestRejectedError(StateServiceError):
-    """400: certainly not executed.  A value or the transaction is too large for the service's
-    present limits, which may be lower than at the last write."""
-
-
-class RevisionCompactedError(Exception):
-    """The watch's revision is no longer kept: read the keys again."""
-
-
-class Urgency(IntEnum):
-    """Order under pressure: what is less urgent leaves a larger reserve in the budget."""
-
-    LEASE = 0
-    USER = 1
-    #: Ends of jobs: users ask for them, and other jobs wait for them.
-    END = 2
-    PLACEMENT = 3
-    REST = 4
+REQUEST_TIMEOUT = timedelta(seconds=2)
+#: How long a user's request may wait for our share of the rate limits.
+USER_TIMEOUT = timedelta(milliseconds=300)
+#: Without an answer for this long the service is taken to be unreachable from here.  It is longer
+#: than the watches wait, so that an idle but reachable service always answers within it.
+UNREACHABLE_AFTER = timedelta(seconds=2.5)
+#: Items per page of a range read.
+PAGE_SIZE = 500
+#: Idle connections kept open for ordinary requests.
+MAX_IDLE_CONNECTIONS = 6
+#: How much of a rejection's text goes into the error.
+MAX_REASON_CHARACTERS = 200
+#: Of a lease's time, the part that has not passed by our clock when it has by the service's: twice
+#: the drift of one clock, rounded up.
+LEASE_DRIFT_FACTOR = 0.999
+#: Subtracted from the end of a lease, for delays in our own process.
+LEASE_MARGIN = seconds(0.3)
 
 
 class StateService:
-    """One controller's access to the state service.
+    """One controller's access to the state service, a strongly consistent key-value store.
+
+    Every key has a version, the revision of its last change (0: the key does not exist).  Writes
+    are transactions that compare versions and swap values atomically.  Keys may be attached to a
+    lease, whose expiry removes them.
 
-    The controllers can't see each other's use of the common limits.  Each takes what it needs up
-    to a large part of them, leaves a reserve for what is more urgent, and starts from an empty
-    bucket after a 429.
+    Every method raises ``UnavailableError`` if the request was certainly not executed, and
+    ``StateServiceError`` if nobody can say: a transaction without an answer may have been applied,
+    or may still be applied later.
     """
 
     def __init__(self, address: str, present: Limits, limits: Limits, network: Network) -> None:
-        """``limits`` are those kept to; what fits into ``present`` alone may be tried."""
-        now = monotonic()
+        """Prepare access; nothing is sent yet.
+
+        Writes keep within ``limits``.  ``present`` are the service's limits now, which may be
+        higher than those it has announced: what fits into these alone may be tried.
+        """
         self.limits = limits
         self.present = present
         self._network = network
-        self._client = network.client(address, 6)
+        self._client = network.client(address, MAX_IDLE_CONNECTIONS)
         self._address = address
-        self._requests = Budget(limits.requests_per_s * 0.6, limits.requests_per_s * 0.6, now)
-        self._changes = Budget(limits.changes_per_s * 0.8, limits.changes_per_s * 0.8, now)
+        self._rate_limiter = RateLimiter(limits, monotonic())
         self._answered: timedelta | None = None
 
     @property
     def answered(self) -> timedelta | None:
-        """When the service last answered anything; None: never."""
+        """When the service last answered anything, on the monotonic clock; None: never."""
         return self._answered
 
-    async def _pay(self, changes: int, urgency: Urgency, deadline: timedelta) -> None:
-        for budget, units in ((self._requests, 1), (self._changes, changes)):
-            if not units or urgency is Urgency.LEASE:
-                continue
-            while True:
-                reserve = budget.burst * 0.08 * urgency
-                wait = budget.take(units, monotonic(), reserve)
-                if wait == ZERO:
-                    break
-                if monotonic() + wait > deadline:
-                    raise UnavailableError("rate limit of our own")
-                await sleep(wait)
-
-    async def _request(
-        self,
-        method: str,
-        target: str,
-        body: bytes = b"",
-        *,
-        urgency: Urgency,
-        changes: int = 0,
-        timeout: timedelta = REQUEST_TIME,
-        client: AnyClient | None = None,
-        spare: timedelta = ZERO,
-    ) -> tuple[int, bytes]:
-        # A user is told at once when to come back instead of being held.
-        patience = USER_PATIENCE if urgency is Urgency.USER else timeout
-        if urgency is Urgency.USER and self._silent():
-            timeout = min(timeout, USER_PATIENCE)
-        await self._pay(changes, urgency, monotonic() + patience)
-        try:
-            status, answer = await (client or self._client).request(
-                method, target, body, timeout=timeout + spare, repeatable=method == "GET"
-            )
-        except HttpError as problem:
-            raise StateServiceError(str(problem)) from None
-        if status == 429:
-            now = monotonic()
-            self._requests.drain(now)
-            self._changes.drain(now)
-            raise UnavailableError("429")
-        if status == 503:
-            raise UnavailableError("503")
-        if status >= 500:
-            raise StateServiceError(f"status {status}")
-        self._answered = monotonic()
-        return status, answer
-
-    def _silent(self) -> bool:
-        """Nothing was answered for longer than the watches hold: users had better go elsewhere."""
-        return self._answered is not None and monotonic() - self._answered > SILENCE
-
     async def get(self, key: str, urgency: Urgency = Urgency.USER) -> Item | None:
-        status, body = await self._request("GET", f"/keys/{quote(key)}", urgency=urgency)
-        if status == 404:
+        """Read one key; None if it does not exist."""
+        response = await self._request("GET", f"/keys/{quote(key)}", urgency=urgency)
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        return self._read(Item, status, body)
+        return _decode_ok(Item, response)
 
     async def range(self, prefix: str, urgency: Urgency = Urgency.USER) -> tuple[list[Item], int]:
-        """All items under ``prefix``, and a revision from which a watch misses nothing."""
+        """Read all keys under ``prefix``, in order of keys, and a revision to watch from.
+
+        A watch that begins after the returned revision misses no change.  It may repeat changes
+        that the returned items contain already.
+        """
         items: list[Item] = []
         revision: int | None = None
         after = ""
         while True:
-            target = f"/keys?starts={quote(prefix)}&most={PAGE}"
+            target = f"/keys?starts={quote(prefix)}&most={PAGE_SIZE}"
             if after:
                 target += f"&after={quote(after)}"
-            status, body = await self._request("GET", target, urgency=urgency)
-            page = self._read(Page, status, body)
+            page = _decode_ok(Page, await self._request("GET", target, urgency=urgency))
             # The first page's revision: what changes while later pages are read is seen again.
             revision = page.revision if revision is None else revision
             items += page.items
@@ -184,76 +133,170 @@
         conditions: Sequence[Condition],
         changes: Sequence[Put | Drop],
         urgency: Urgency,
-        timeout: timedelta = REQUEST_TIME,
+        timeout: timedelta = REQUEST_TIMEOUT,
     ) -> int:
-        """The revision of the changes; ``ConflictError`` if a condition did not hold."""
+        """Make all changes if all conditions hold, atomically, and return their revision.
+
+        Raises ``ConflictError`` if a condition did not hold, ``LeaseExpiredError`` if a put names a
+        lease that is gone, ``RequestRejectedError`` if the transaction is too large; nothing was
+        changed in these cases.
+        """
         body = encode(Transaction(list(conditions), list(changes)))
-        status, answer = await self._request(
+        response = await self._request(
             "POST", "/txn", body, urgency=urgency, changes=len(changes), timeout=timeout
         )
-        if status == 409:
-            raise ConflictError
-        if status == 400:
-            # The same status for a lease that is gone and for what is too large.
-            if b"no such lease" in answer:
-                raise LeaseExpiredError
-            raise RequestRejectedError(answer.decode(errors="replace")[:200])
-        return self._read(Revision, status, answer).revision
-
-    async def changed(self, conditions: Sequence[Condition], urgency: Urgency) -> set[str]:
-        """Of these keys, those that are not at the version given, by one read of all of them."""
+        if response.status == HTTPStatus.CONFLICT:
+            raise ConflictError(_failed_keys(response.body))
+        # The same status for a lease that is gone and for what is too large.
+        if response.status == HTTPStatus.BAD_REQUEST and b"no such lease" in response.body:
+            raise LeaseExpiredError(_only_lease(changes))
+        _raise_if_rejected(response)
+        return _decode_ok(Revision, response).revision
+
+    async def changed_keys(self, conditions: Sequence[Condition], urgency: Urgency) -> set[str]:
+        """Return the keys that do not have the version given, by one read of all of them."""
         body = encode(Transaction(list(conditions), []))
-        status, answer = await self._request("POST", "/txn", body, urgency=urgency)
-        if status == 409:
-            return set(self._read(Failed, 200, answer).failed)
-        if status == 400:
-            raise RequestRejectedError(answer.decode(errors="replace")[:200])
-        self._read(Revision, status, answer)
+        response = await self._request("POST", "/txn", body, urgency=urgency)
+        if response.status == HTTPStatus.CONFLICT:
+            return set(_decode(Failed, response.body).failed)
+        _raise_if_rejected(response)
+        _decode_ok(Revision, response)
         return set()
 
     async def new_lease(self, ttl: timedelta) -> int:
+        """Obtain a lease that expires ``ttl`` after its last renewal, and return its id."""
         body = encode(LeaseRequest(round(ttl.total_seconds() * 1000)))
-        status, answer = await self._request("POST", "/leases", body, urgency=Urgency.LEASE)
-        return self._read(LeaseAnswer, status, answer).lease
+        response = await self._request("POST", "/leases", body, urgency=Urgency.LEASE)
+        return _decode_ok(LeaseAnswer, response).lease
 
     async def renew(self, lease: int, timeout: timedelta) -> None:
-        status, _ = await self._request(
+        """Give a lease its full time again; ``LeaseExpiredError`` if it is gone.
+
+        The time counts from when the service executes the request: count it from before this call
+        (``lease_end``).
+        """
+        response = await self._request(
             "POST", f"/leases/{lease}/renew", urgency=Urgency.LEASE, timeout=timeout
         )
-        if status == 404:
-            raise LeaseExpiredError
-        if status != 200:
-            raise StateServiceError(f"status {status}")
+        if response.status == HTTPStatus.NOT_FOUND:
+            raise LeaseExpiredError(lease)
+        if response.status != HTTPStatus.OK:
+            raise _unexpected(response.status)
 
     async def end_lease(self, lease: int) -> None:
+        """Revoke a lease, which removes the keys attached to it; a lease that is gone is fine."""
         await self._request("DELETE", f"/leases/{lease}", urgency=Urgency.LEASE)
 
     async def changes(
         self, prefix: str, after: int, hold: timedelta, client: AnyClient
     ) -> WatchResponse:
-        """What changed under ``prefix``; waits up to ``hold``.  ``client`` is the watch's own."""
-        milliseconds = round(hold.total_seconds() * 1000)
-        target = f"/changes?starts={quote(prefix)}&after={after}&hold_ms={milliseconds}"
-        status, body = await self._request(
-            "GET", target, urgency=Urgency.LEASE, client=client, spare=hold
+        """Wait up to ``hold`` for changes under ``prefix`` after a revision, and return them.
+
+        ``client`` is the watch's own (``watch_client``), since the request occupies a connection
+        for that long.  Raises ``RevisionCompactedError`` if the service no longer keeps the changes
+        after that revision.
+        """
+        hold_ms = round(hold.total_seconds() * 1000)
+        target = f"/changes?starts={quote(prefix)}&after={after}&hold_ms={hold_ms}"
+        response = await self._request(
+            "GET", target, urgency=Urgency.LEASE, timeout=REQUEST_TIMEOUT + hold, client=client
         )
-        if status == 410:
-            raise RevisionCompactedError
-        return self._read(WatchResponse, status, body)
+        if response.status == HTTPStatus.GONE:
+            raise RevisionCompactedError(prefix, after)
+        return _decode_ok(WatchResponse, response)
 
     def watch_client(self) -> AnyClient:
+        """Return a client with a connection of its own, for one watch."""
         return self._network.client(self._address, 1)
 
-    @staticmethod
-    def _read(kind: type[T], status: int, body: bytes) -> T:
-        if status != 200:
-            raise StateServiceError(f"status {status}")
+    async def _request(
+        self,
+        method: str,
+        target: str,
+        body: bytes = b"",
+        *,
+        urgency: Urgency,
+        changes: int = 0,
+        timeout: timedelta = REQUEST_TIMEOUT,
+        client: AnyClient | None = None,
+    ) -> ClientResponse:
+        """Send one request within the rate limits.
+
+        Raises ``UnavailableError`` or ``StateServiceError`` for every status that says nothing
+        about the keys; all others are returned.
+        """
+        rate_limit_timeout = timeout
+        if urgency is Urgency.USER:
+            # A user is told at once when to come back instead of being kept waiting.
+            rate_limit_timeout = USER_TIMEOUT
+            if self._unreachable():
+                timeout = min(timeout, USER_TIMEOUT)
+        await self._rate_limiter.acquire(changes, urgency, monotonic() + rate_limit_timeout)
         try:
-            return decode(kind, body)
-        except MessageFormatError as problem:
-            raise StateServiceError(f"unreadable answer: {problem}") from None
+            status, answer = await (client or self._client).request(
+                method, target, body, timeout=timeout, repeatable=method == "GET"
+            )
+        except HttpError as error:
+            raise StateServiceError(str(error)) from None
+        if status == HTTPStatus.TOO_MANY_REQUESTS:
+            self._rate_limiter.drain()
+            raise UnavailableError("429", status)
+        if status == HTTPStatus.SERVICE_UNAVAILABLE:
+            raise UnavailableError("503", status)
+        if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+            raise _unexpected(status)
+        self._answered = monotonic()
+        return ClientResponse(status, answer)
+
+    def _unreachable(self) -> bool:
+        """Return whether users had better ask another controller.
+
+        Not before the service has answered once: the first requests have to find out.
+        """
+        return self._answered is not None and monotonic() - self._answered > UNREACHABLE_AFTER
+
+
+def lease_end(sent: timedelta, ttl: timedelta, margin: timedelta = LEASE_MARGIN) -> timedelta:
+    """Return until when a lease certainly holds, by our own clock.
+
+    ``sent`` is when the request that created or renewed it was sent.
+    """
+    return sent + ttl * LEASE_DRIFT_FACTOR - margin
+
+
+def _raise_if_rejected(response: ClientResponse) -> None:
+    if response.status == HTTPStatus.BAD_REQUEST:
+        reason = response.body.decode(errors="replace")[:MAX_REASON_CHARACTERS]
+        raise RequestRejectedError(reason, response.status)
+
+
+def _decode_ok(kind: type[T], response: ClientResponse) -> T:
+    """Decode the body of a 200; every other status is an error."""
+    if response.status != HTTPStatus.OK:
+        raise _unexpected(response.status)
+    return _decode(kind, response.body)
+
+
+def _decode(kind: type[T], body: bytes) -> T:
+    try:
+        return decode(kind, body)
+    except MessageFormatError as error:
+        raise StateServiceError(f"unreadable answer: {error}") from None
+
+
+def _unexpected(status: int) -> StateServiceError:
+    return StateServiceError(f"status {status}", status)
+
+
+def _failed_keys(body: bytes) -> Sequence[str]:
+    """Return the keys that a 409 names; none if it can't be read, since the conflict is certain."""
+    try:
+        return decode(Failed, body).failed
+    except MessageFormatError:
+        return ()
 
 
-def lease_end(sent: timedelta, ttl: timedelta, margin: timedelta = seconds(0.3)) -> timedelta:
-    """Until when a lease certainly holds, by our own clock, if renewed by a request sent then."""
-    return sent + ttl * 0.999 - margin
+def _only_lease(changes: Sequence[Put | Drop]) -> int | None:
+    """Return the lease that the puts are attached to, None if there are several."""
+    leases = {change.lease for change in changes if isinstance(change, Put)} - {None}
+    return leases.pop() if len(leases) == 1 else None
--- a/micadeal/timeouts.py
+++ b/micadeal/timeouts.py
@@ -1,4 +1,4 @@
-"""Waiting in curio, with the standard library's time types."""
+"""Sleeping and time limits in curio, with the standard library's time types."""
 
 from __future__ import annotations
 
@@ -10,15 +10,19 @@
 
 T = TypeVar("T")
 
+#: Shortest time limit, in seconds, in place of one that is zero or negative.
+MIN_TIMEOUT_S = 0.001
+
 
 async def sleep(duration: timedelta) -> None:
+    """Suspend the task; a duration of zero or less only lets other tasks run."""
     await curio.sleep(max(duration.total_seconds(), 0.0))
 
 
 async def with_timeout(limit: timedelta, work: Awaitable[T]) -> T:
     """Await ``work``; raises ``TimeoutError`` past the limit."""
     try:
-        result: T = await curio.timeout_after(max(limit.total_seconds(), 0.001), work)
+        result: T = await curio.timeout_after(max(limit.total_seconds(), MIN_TIMEOUT_S), work)
     except curio.TaskTimeout:
         raise TimeoutError from None
     return result
