--- a/micadeal/schema/__init__.py
+++ b/micadeal/schema/__init__.py
@@ -1,1 +1,1 @@
-"""What the state service holds of ours: names of keys, and reading values into records."""
+"""What we keep in the state service: the names of the keys, and decoding values into records."""
--- a/micadeal/schema/decoding.py
+++ b/micadeal/schema/decoding.py
@@ -1,6 +1,6 @@
-"""Values into records, once, where they come in.
+"""Decodes values of the state service into records, once, where they come in.
 
-What can't be read is logged and left where it is: nothing else suffers from it.
+A value that can't be decoded is logged and left where it is; everything else goes on without it.
 """
 
 from __future__ import annotations
@@ -21,32 +21,41 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedRecord(Generic[T]):
+    """A record with the key and the version under which it was read."""
+
     key: str
     version: int
-    #: None: it can't be read.
+    #: None: the value can't be decoded.
     record: T | None
 
 
 def read(items: Iterable[Item], kind: type[T]) -> list[VersionedRecord[T]]:
+    """Decode items that all hold records of one kind."""
     return [VersionedRecord(item.key, item.version, read_one(item, kind)) for item in items]
 
 
 def read_one(item: Item, kind: type[T]) -> T | None:
+    """Decode one item; None if its value is not such a record."""
     try:
         return convert(kind, item.value)
-    except MessageFormatError as problem:
-        log.error("unreadable record %s: %s", item.key, problem)
-        return None
+    except MessageFormatError as error:
+        reason = str(error)
+    log.error("unreadable record: key=%s reason=%s", item.key, reason)
+    return None
 
 
 def read_placed(items: Iterable[Item]) -> list[VersionedRecord[PlacedRecord]]:
-    """Records of placements in either layout."""
-    found: list[VersionedRecord[PlacedRecord]] = []
+    """Decode records of placements in either layout, by their keys."""
+    records: list[VersionedRecord[PlacedRecord]] = []
     for item in items:
-        if not item.key.startswith(OLD_PLACED):
-            found.append(VersionedRecord(item.key, item.version, read_one(item, PlacedRecord)))
-            continue
-        old = read_one(item, MachineRecord)
-        record = None if old is None else old.placed(item.key.removeprefix(OLD_PLACED))
-        found.append(VersionedRecord(item.key, item.version, record))
-    return found
+        if item.key.startswith(OLD_PLACED):
+            record = _read_old_placed(item)
+        else:
+            record = read_one(item, PlacedRecord)
+        records.append(VersionedRecord(item.key, item.version, record))
+    return records
+
+
+def _read_old_placed(item: Item) -> PlacedRecord | None:
+    record = read_one(item, MachineRecord)
+    return None if record is None else record.placed(item.key.removeprefix(OLD_PLACED))
--- a/micadeal/schema/job_records.py
+++ b/micadeal/schema/job_records.py
@@ -1,8 +1,8 @@
 """Descriptions of jobs as the state service holds them: in one value, or split over several.
 
-A description that one value holds is written as every version reads it.  A larger one, which only a
-service with lower limits than at first makes necessary, goes into ``job/<id>`` and ``part/<id>/…``
-in one transaction, as compressed text.
+A description that one value holds is stored in the layout that every version reads.  A larger one,
+which only a service with lower limits than at first makes necessary, goes into ``job/<id>`` and
+``part/<id>/<number>`` in one transaction, as compressed text.
 """
 
 from __future__ import annotations
@@ -18,56 +18,76 @@
 from micadeal.wire.codec import MessageFormatError, convert, decode, encode
 from micadeal.wire.state import Item, JobNeeds, JobRecord, PartRecord, Put, SplitRecord
 
-#: What a value has beside its text.
-FRAME = 64
-#: Larger than any submission: a bound on what a damaged record could unpack to.
-MOST_BYTES = 1 << 20
+#: Bytes that a stored value needs beside its text.
+TEXT_OVERHEAD_BYTES = 64
+#: Larger than any submission: a bound on what a damaged record could decompress to.
+MAX_DECOMPRESSED_BYTES = 1 << 20
+#: A bound on how many keys a damaged record makes us read.
+MAX_PARTS = 99
+BEST_COMPRESSION = 9
 
 
 def split(record: JobRecord, limits: Limits) -> list[Put] | None:
-    """Changes that store a large description; None if they do not fit into one transaction."""
-    text = base64.b64encode(zlib.compress(encode(record), 9)).decode()
-    size = limits.value_bytes - FRAME
+    """Return puts that store a large description; None if one transaction can't hold them."""
+    text = base64.b64encode(zlib.compress(encode(record), BEST_COMPRESSION)).decode()
+    size = limits.value_bytes - TEXT_OVERHEAD_BYTES
     texts = [text[start : start + size] for start in range(0, len(text), size)]
     if len(texts) > limits.operations:
         return None
     job_id = record.submission.job_id
     first = Put(JOBS + job_id, SplitRecord(len(texts) - 1, texts[0]))
-    return [first, *(Put(part_key(job_id, n), PartRecord(t)) for n, t in enumerate(texts) if n)]
+    rest = [
+        Put(part_key(job_id, number), PartRecord(text))
+        for number, text in enumerate(texts[1:], start=1)
+    ]
+    return [first, *rest]
 
 
 def part_key(job_id: str, number: int) -> str:
+    """Return the key of a part; parts are numbered from 1."""
     return f"{PARTS}{job_id}/{number}"
 
 
 def part_keys(value: Any, job_id: str) -> list[str]:
-    """Keys of the rest of a description; none if it is in one value."""
-    if not isinstance(value, Mapping) or "parts" not in value:
+    """Return the keys of the other parts of a description, none if ``value`` holds all of it.
+
+    Raises ``MessageFormatError`` if the value is damaged.
+    """
+    if not _is_split(value):
         return []
     parts = convert(SplitRecord, value).parts
-    if not 0 <= parts < 100:
+    if not 0 <= parts <= MAX_PARTS:
         raise MessageFormatError(f"{parts} parts")
     return [part_key(job_id, number) for number in range(1, parts + 1)]
 
 
 def join_parts(value: Any, parts: Sequence[Any]) -> JobRecord:
-    """Join a description from the values of its parts; ``MessageFormatError`` if damaged."""
-    if not isinstance(value, Mapping) or "parts" not in value:
+    """Join a description from the values of its parts.
+
+    Raises ``MessageFormatError`` if it is damaged.
+    """
+    if not _is_split(value):
         return convert(JobRecord, value)
     text = convert(SplitRecord, value).text
     text += "".join(convert(PartRecord, part).text for part in parts)
     try:
-        data = zlib.decompressobj().decompress(base64.b64decode(text), MOST_BYTES)
-    except (ValueError, zlib.error) as problem:
-        raise MessageFormatError(str(problem)) from None
+        compressed = base64.b64decode(text)
+        data = zlib.decompressobj().decompress(compressed, MAX_DECOMPRESSED_BYTES)
+    except (ValueError, zlib.error) as error:
+        raise MessageFormatError(str(error)) from None
     return decode(JobRecord, data)
 
 
+def _is_split(value: Any) -> bool:
+    return isinstance(value, Mapping) and "parts" in value
+
+
 async def read_job_record(state: StateService, item: Item, urgency: Urgency) -> JobRecord:
-    """A description, its parts read if it has any.
+    """Decode the description that ``item`` holds, after reading its other parts if it has any.
 
-    Raises ``MessageFormatError`` if one is missing: the job has
-    ended between two reads, or the record is damaged."""
+    Raises ``MessageFormatError`` if one is missing: the job has ended between two reads, or the
+    record is damaged.
+    """
     parts: list[Any] = []
     for key in part_keys(item.value, item.key.removeprefix(JOBS)):
         part = await state.get(key, urgency)
@@ -78,7 +98,7 @@
 
 
 def has_dependencies(value: Any) -> bool:
-    """Whether the job may name others; a quick look, since every poll asks."""
+    """Return whether the job may depend on others; a quick look, since every poll asks."""
     try:
         return bool(convert(JobNeeds, value).submission.prerequisites)
     except MessageFormatError:
--- a/micadeal/schema/keys.py
+++ b/micadeal/schema/keys.py
@@ -1,31 +1,46 @@
-"""Names of all keys that we keep.  docs/safety.md says what each holds, and who writes it."""
+"""Names of all keys that we keep.  docs/safety.md says what each holds, and who writes it.
+
+A name that ends in a slash is a prefix.
+"""
 
 from __future__ import annotations
 
-#: The seat: who leads, at which level, which processes serve (rollout/leader_lock.py).
-#: Nothing else may begin with ``leader``: versions before levels watch that prefix from the version
-#: of the key, and would ask again and again, as fast as they are answered.
+#: Who leads now or led last (``LeaderRecord``).  Nothing else may begin with ``leader``: versions
+#: before feature levels watch that prefix from the version of the key, and would ask again and
+#: again, as fast as they are answered.
 LEADER = "leader"
+#: The leader lock (rollout/leader_lock.py): everything that an election reads at once.
 LEADER_LOCK = "seat/"
+#: Who holds the lock, attached to the holder's lease (``LockHolderRecord``).
 LOCK_HOLDER = "seat/held"
+#: The feature level in force (``LevelRecord``).
 LEVEL = "seat/level"
+#: The process that runs of each controller, by name (``MemberRecord``).
 MEMBER = "seat/member/"
 
+#: Submitted jobs, by id (``JobRecord`` or ``SplitRecord``).
 JOBS = "job/"
-#: The rest of descriptions that are too large for one value.
+#: The rest of jobs that are too large for one value, by id and number (``PartRecord``).
 PARTS = "part/"
+#: Jobs that are done or cancelled, by id (``EndRecord``).
 ENDS = "end/"
-#: Finished sets in chunks that versions before ``finished/`` read, and in smaller ones.
+#: Finished tasks by job and chunk, in the chunks that versions before ``finished/`` read.
 DONE = "done/"
+#: Finished tasks by job and chunk, in smaller chunks (``FinishedRecord``).
 FINISHED = "finished/"
+#: Tasks that may be on machines, by token and number (``PlacedRecord``).
 PLACED = "placed/"
-#: Placements in the layout of the first versions: read at level 0, and replaced as they change.
+#: The same in the layout of the first versions, by machine (``MachineRecord``): read at feature
+#: level 0, and replaced as they change.
 OLD_PLACED = "machine/"
+#: Images that machines are likely to hold, by page (``ImagesRecord``).
 IMAGES = "images/"
+#: Machines that the cloud is asked to end, by token and number (``LeavingRecord``).
 LEAVING = "leaving/"
+#: The operators' script (``SettingsRecord``).
 SETTINGS = "settings"
 
 
 def job_of(key: str) -> str:
-    """The job that a key of a finished set belongs to."""
+    """Return the id of the job that a key under ``DONE`` or ``FINISHED`` belongs to."""
     return key.split("/")[1]
