--- a/micadeal/wire/codec.py
+++ b/micadeal/wire/codec.py
@@ -1,4 +1,4 @@
-"""MessagePack in and out, with one error type for everything that does not decode."""
+"""Encodes and decodes MessagePack, with one error type for everything that does not decode."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 T = TypeVar("T")
 
 _encoder = msgspec.msgpack.Encoder()
+#: Decoders are costly to build: one is kept for each type.
 _decoders: dict[Any, msgspec.msgpack.Decoder[Any]] = {}
 
 
 class MessageFormatError(ValueError):
-    """The bytes are not a message of the expected form."""
+    """The bytes or the value are not a message of the expected form."""
 
 
 def encode(message: Any) -> bytes:
+    """Encode a message, or any value of plain types, as MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(kind: type[T], data: bytes) -> T:
+    """Decode MessagePack as a message of type ``kind``; ``MessageFormatError`` if it is not one."""
     decoder = _decoders.get(kind)
     if decoder is None:
         decoder = _decoders[kind] = msgspec.msgpack.Decoder(kind)
@@ -37,7 +40,10 @@
 
 
 def convert(kind: type[T], value: Any) -> T:
-    """Read a value that was decoded without a type (state service data) as ``kind``."""
+    """Convert a value that was decoded without a type, such as the state service's, to ``kind``.
+
+    Raises ``MessageFormatError`` if it is not of that form.
+    """
     try:
         return msgspec.convert(value, kind)
     except (msgspec.ValidationError, RecursionError) as error:
@@ -45,6 +51,8 @@
 
 
 def json_size(value: Any) -> int:
-    """Bytes of a value as JSON, in which the platform counts its size limits; from above: with
-    spaces between fields and escapes for all that is not ASCII."""
+    """Return the bytes of a value as JSON, in which the platform counts its size limits.
+
+    It is an upper bound: with spaces between fields and escapes for all that is not ASCII.
+    """
     return len(json.dumps(msgspec.to_builtins(value)))
--- a/micadeal/wire/state.py
+++ b/micadeal/wire/state.py
@@ -1,4 +1,8 @@
-"""The state service's requests and answers, and the records that we keep in it."""
+"""Messages between a controller and the state service, and the records that we keep in it.
+
+The state service is a strongly consistent key-value store.  Its revision counts every change, and
+the version of a key is the revision of its last change.
+"""
 
 from __future__ import annotations
 
@@ -8,24 +12,35 @@
 
 from micadeal.wire.users import Status, Submission
 
+# -- messages of the state service -------------------------------------------------------------
+
 
 class Item(
     msgspec.Struct,
     rename={"key": "k", "value": "data", "version": "stamp", "lease": "permit"},
 ):
+    """A key with its value: the answer to ``GET /keys/<key>``, or one of a ``Page``."""
+
     key: str
     value: Any
     version: int
+    #: The lease whose expiry removes the key; None: it is attached to none.
     lease: int | None = None
 
 
 class Page(msgspec.Struct, rename={"more": "has_next", "revision": "ledger"}):
+    """The answer to ``GET /keys``: one page of the keys under a prefix, in order of keys."""
+
     items: list[Item]
+    #: Of the store when the page was read.
     revision: int
+    #: Whether another page follows.
     more: bool = False
 
 
 class Condition(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
+    """A condition of a ``Transaction``: the key has this version (0: it does not exist)."""
+
     key: str
     version: int
 
@@ -35,35 +50,52 @@
     rename={"key": "put", "value": "data", "lease": "permit"},
     omit_defaults=True,
 ):
+    """A change of a ``Transaction``: set a key, and attach it to ``lease`` or to none."""
+
     key: str
     value: Any
     lease: int | None = None
 
 
 class Drop(msgspec.Struct, rename={"key": "drop"}):
+    """A change of a ``Transaction``: delete a key."""
+
     key: str
 
 
 class Transaction(msgspec.Struct, rename={"conditions": "if", "changes": "then"}):
+    """A compare-and-swap, sent to ``POST /txn``.
+
+    All changes are made, with one revision, if all conditions hold; else none is.
+    """
+
     conditions: list[Condition]
     changes: list[Put | Drop] = []
 
 
 class Revision(msgspec.Struct, rename={"revision": "ledger"}):
+    """The answer, status 200, to a ``Transaction`` whose conditions held."""
+
     revision: int = 0
 
 
 class Failed(msgspec.Struct):
-    """With status 409: the keys that have another version."""
+    """The answer, status 409, to a ``Transaction``: the keys that have another version."""
 
     failed: list[str]
 
 
 class LeaseRequest(msgspec.Struct):
+    """What is sent to ``POST /leases`` for a new lease."""
+
+    #: It expires so long after its last renewal.
     ttl_ms: int
 
 
 class LeaseAnswer(msgspec.Struct, rename={"lease": "permit"}):
+    """The answer to a ``LeaseRequest``."""
+
+    #: Id of the new lease.
     lease: int
 
 
@@ -71,13 +103,20 @@
     msgspec.Struct,
     rename={"put": "put", "drop": "drop", "value": "data", "version": "stamp"},
 ):
+    """One change in a ``WatchResponse``: either ``put`` or ``drop`` names the key."""
+
+    #: The revision of the change.
     version: int
     put: str | None = None
     drop: str | None = None
+    #: The new value, with ``put``.
     value: Any = None
 
 
 class WatchResponse(msgspec.Struct, rename={"revision": "ledger", "events": "news"}):
+    """The answer to ``GET /changes``: all changes under a prefix after a revision."""
+
+    #: Watch from here next.
     revision: int
     events: list[Event]
 
@@ -90,12 +129,12 @@
 
     controller: str
     lease: int
-    # The term's token where it is not the record's version: the level has moved since.
+    #: The term's fencing token where it is not the record's version: the level has changed since.
     term: int = 0
 
 
 class LockHolderRecord(msgspec.Struct):
-    """Under ``seat/held``, attached to the lease it names: the seat is taken."""
+    """Under ``seat/held``, attached to the lease it names: the leader lock is taken."""
 
     controller: str
     lease: int
@@ -104,14 +143,14 @@
 class LevelRecord(msgspec.Struct, frozen=True):
     """Under ``seat/level``: what the controllers write and do (rollout/feature_level.py)."""
 
-    # Whoever leads or serves users must know this level.
+    #: Whoever leads or serves users must know this level.
     level: int = 0
-    # What is written and done; below ``level`` while the level is lowered.
+    #: What is written and done; below ``level`` while the level is lowered.
     writes: int = 0
-    # The oldest layout of which records may still be stored.
+    #: The oldest layout of which records may still be stored.
     oldest: int = 0
-    # How it came to be: when (time of day), by whom, in which term, and the process of every other
-    # controller that had shown the level by then.
+    #: When (Unix time) and by which controller the level was set, in which term, and the process
+    #: of every other controller that had shown by then that it knows the level.
     since: float = 0.0
     by: str = ""
     term: int = 0
@@ -123,8 +162,10 @@
 
     process: str
     build: str
+    #: The levels that it knows, from and to.
     lowest: int
     highest: int
+    #: Unix time.
     started_at: float
 
 
@@ -132,15 +173,18 @@
     """Under ``job/<id>`` as long as the job is neither done nor cancelled."""
 
     submission: Submission
+    #: Unix time.
     submitted_at: float
 
 
 class _Needs(msgspec.Struct, rename={"prerequisites": "waits_on"}):
+    """Of a ``Submission`` only which jobs it depends on."""
+
     prerequisites: list[str] | None = None
 
 
 class JobNeeds(msgspec.Struct):
-    """Of a ``JobRecord`` only which jobs it waits for."""
+    """Of a ``JobRecord`` only which jobs it depends on."""
 
     submission: _Needs
 
@@ -152,7 +196,9 @@
     versions before this layout can't read it and leave such a job alone.
     """
 
+    #: Number of the other parts.
     parts: int
+    #: The first part of the record's compressed encoding, as base64.
     text: str
 
 
@@ -163,11 +209,15 @@
 
 
 class EndRecord(msgspec.Struct, omit_defaults=True):
-    """Under ``end/<id>`` for ever: the final answer, and what one task took of a machine, since
-    tasks of a cancelled job count for its team until they are gone."""
+    """Under ``end/<id>`` for ever: how the job ended.
+
+    It also holds what one task takes of its machine, since tasks of a cancelled job count for its
+    team until they are gone.
+    """
 
     status: Status
     tasks: int = 0
+    #: Unix time.
     ended_at: float = 0.0
     team: str = ""
     cpus: float = 0.0
@@ -176,30 +226,36 @@
 
     @classmethod
     def of(cls, status: Status, spec: Submission, ended_at: float) -> EndRecord:
+        """Return the record of a job that has ended at ``ended_at`` (Unix time)."""
         return cls(status, spec.tasks, ended_at, spec.team, spec.cpus, spec.gpus, spec.memory_gb)
 
 
 class EndStatus(msgspec.Struct):
-    """Of an ``EndRecord`` only the final answer: what must be told though the rest is damaged."""
+    """Of an ``EndRecord`` only the status: users must be told it though the rest is damaged."""
 
     status: Status
 
 
 class FinishedRecord(msgspec.Struct):
-    """Under ``done/<id>/<chunk>`` or, in smaller chunks, ``finished/<id>/<chunk>``: a base64
-    bitmap of the finished tasks of one chunk."""
+    """Under ``finished/<id>/<chunk>``, or ``done/<id>/<chunk>`` with larger chunks.
 
+    Tells which tasks of one chunk are finished.
+    """
+
+    #: A bitmap as base64, the lowest task in the lowest bit of the first byte.
     bits: str
 
 
 class PlacedTask(msgspec.Struct, array_like=True, frozen=True):
+    """One attempt of a task in a ``PlacedMachine``; an array on the wire."""
+
     job_id: str
     index: int
     attempt: int
 
 
 class PlacedMachine(msgspec.Struct, array_like=True):
-    """A machine as a record of placements names it, with the tasks placed on it."""
+    """A machine in a ``PlacedRecord``, with the tasks placed on it; an array on the wire."""
 
     name: str
     address: str
@@ -231,46 +287,48 @@
     tasks: list[PlacedTask]
 
     def placed(self, name: str) -> PlacedRecord:
-        return PlacedRecord(
-            [
-                PlacedMachine(
-                    name,
-                    self.address,
-                    self.machine_type,
-                    self.zone,
-                    self.spot,
-                    self.incarnation,
-                    self.tasks,
-                )
-            ]
+        """Return the same in the present layout; ``name`` is the machine's, from the key."""
+        machine = PlacedMachine(
+            name,
+            self.address,
+            self.machine_type,
+            self.zone,
+            self.spot,
+            self.incarnation,
+            self.tasks,
         )
+        return PlacedRecord([machine])
 
 
 class ImagesRecord(msgspec.Struct):
-    """Under ``images/<page>``: images that machines are likely to hold, the last used first.
+    """Under ``images/<page>``: images that machines are likely to hold.
 
-    Only a help for placing; nothing depends on its being right.
+    Only a hint for placing; nothing depends on its being right.
     """
 
+    #: By machine, the image last used first.
     machines: dict[str, list[str]]
 
 
 class LeavingRecord(msgspec.Struct):
-    """Under ``leaving/<token>/<n>``: machines with tasks that the cloud is asked to end.
+    """Under ``leaving/<token>/<number>``: machines with tasks that the cloud is asked to end.
 
-    Only a help for the next leader, which asks at once again instead of waiting for word of them.
+    Only a hint for the next leader, which asks again at once instead of waiting until it hears of
+    them.
     """
 
+    #: Unix time of the request.
     at: float
     machines: list[str]
 
 
 class SettingsRecord(msgspec.Struct, omit_defaults=True):
-    """Under ``settings``: the operators' script and who may check what it evaluated to."""
+    """Under ``settings``: the operators' script and what it evaluated to."""
 
     script: str
+    #: Unix time.
     applied_at: float = 0.0
     values: dict[str, Any] = {}
-    # The highest level that the operators allow (docs/rollout.md); not among the values, of which
-    # versions before levels refuse what they do not know.
+    #: The highest level that the operators allow (docs/rollout.md); not among the values, of which
+    #: versions before levels refuse what they do not know.
     highest_level: int | None = None
--- a/micadeal/wire/users.py
+++ b/micadeal/wire/users.py
@@ -1,4 +1,4 @@
-"""What users send and receive."""
+"""Messages between users and controllers: submitting, querying and cancelling jobs."""
 
 from __future__ import annotations
 
@@ -8,12 +8,19 @@
 
 
 class Shape(Enum):
+    """How the tasks of a job belong together."""
+
+    #: Independent tasks; each runs to completion.
     ARRAY = "array"
+    #: All tasks run at the same time or none does.
     GANG = "gang"
+    #: Replicas that run until the job is cancelled.
     SERVICE = "daemon"
 
 
 class Priority(Enum):
+    """Priority of a job, highest first."""
+
     PRODUCTION = "production"
     HIGH = "high"
     STANDARD = "standard"
@@ -21,6 +28,9 @@
 
 
 class Status(Enum):
+    """State of a job as its user is told; the last two are final."""
+
+    #: No task runs.
     PENDING = "pending"
     RUNNING = "running"
     DONE = "done"
@@ -52,38 +62,56 @@
         "prerequisites": "waits_on",
     },
 ):
+    """A job's description: what a user sends to ``POST /work``, and part of a ``JobRecord``."""
+
+    #: Chosen by the user; a retry uses the same.
     job_id: str
+    #: Name of an objective in the platform's settings.
     job_class: str
     team: str
     shape: Shape
     priority: Priority
+    #: Number of tasks, numbered from 0.
     tasks: int
+    #: What each task takes of its machine.
     cpus: float
     gpus: float
     memory_gb: float
     image: str
     image_gb: float
+    #: All tasks must be in the same zone.
     one_zone: bool
+    #: At most half of the tasks, rounded up, may be in one zone.
     spread: bool
+    #: Whether it may use spot machines.
     spot_allowed: bool
+    #: The owner's estimate of a task's run time without the image fetch; 0 for services.
     estimate_s: float
+    #: Interval of progress after which a running task saves a checkpoint; 0: it never saves.
     checkpoint_s: float
+    #: Time that a task needs to save when it is stopped.
     save_s: float
+    #: Allowed machine types; None: any.
     machine_types: list[str] | None = None
+    #: The only allowed zone; None: any.
     zone: str | None = None
+    #: When the job should be complete, from its submission; None: no deadline.
     deadline_s: float | None = None
-    #: Jobs that must be done before any task of this one starts.
+    #: Ids of jobs that must be done before any task of this one starts.
     prerequisites: list[str] | None = None
 
 
 class JobName(msgspec.Struct, rename={"job_id": "name_id"}):
-    """Only the id of a submission."""
+    """Only the id of a ``Submission``: read where the rest is malformed."""
 
     job_id: str
 
 
 class JobAnswer(msgspec.Struct, rename={"job_id": "name_id"}, omit_defaults=True):
+    """A controller's answer to a user's submission, query or cancellation."""
+
     job_id: str
     status: Status
+    #: Tasks that are done and that run, for display; None: not known.
     done: int | None = None
     running: int | None = None
--- a/micadeal/wire/workers.py
+++ b/micadeal/wire/workers.py
@@ -1,4 +1,4 @@
-"""Reports of workers and the orders they get."""
+"""Messages between workers and controllers: heartbeats, and the commands that answer them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,19 @@
 
 import msgspec
 
-#: Sessions, sequences, tokens and attempts are counted from zero on.
+#: Incarnations, sequence numbers, tokens and attempts: integers from zero on.
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class TaskState(Enum):
+    """State of a task on a machine, as its worker reports it."""
+
+    #: Waits for its image.
     FETCHING = "pulling"
+    #: A task of a gang that waits for the others of its attempt.
     WAITING = "waiting"
     RUNNING = "running"
+    #: Was told to stop and saves its progress.
     SAVING = "flushing"
     EXITED = "exited"
 
@@ -24,11 +29,16 @@
     msgspec.Struct,
     rename={"task": "leg", "attempt": "try", "state": "status", "why": "cause"},
 ):
+    """One task in a worker's ``Heartbeat``."""
+
+    #: ``<job id>/<index>``.
     task: str
     attempt: Count
-    # Plain text, so that a state or cause unknown to us does not make the whole report unreadable.
+    #: A ``TaskState``'s value, and why an exited task has ended.  Plain text, so that a state or
+    #: cause unknown to us does not make the whole heartbeat unreadable.
     state: str
     why: str | None = None
+    #: Whether a task that was stopped has saved its progress.
     saved: bool | None = None
 
 
@@ -47,20 +57,34 @@
         "tasks": "legs",
     },
 ):
+    """A worker's report of its machine and all its tasks, sent to ``POST /checkin``.
+
+    Also the worker's answer to ``DirectCommands`` and to ``GET /inspect``.  Of two heartbeats of a
+    machine the one with the larger (``incarnation``, ``sequence``) is newer.
+    """
+
     machine: str
+    #: ``host:port`` for direct commands.
     address: str
     machine_type: str
     zone: str
     spot: bool
+    #: Starts at 1 and increases each time the worker's lease has expired and its tasks were killed.
     incarnation: Count
     sequence: Count
+    #: Highest fencing token that the worker has seen.
     token: Count
+    #: Seconds until the cloud takes the machine away; None: no notice.
     notice_s: float | None = None
+    #: All tasks on the machine, exited ones until they are forgotten by command.
     tasks: list[TaskStatus] = []
 
     def __post_init__(self) -> None:
-        """The one check of what a worker says, whichever way it comes; msgspec turns the error into
-        its own, so that such a report is refused as a whole and nothing follows from it."""
+        """Check what the types do not, whichever way a heartbeat comes in.
+
+        msgspec turns the error into its own, so that such a heartbeat is refused as a whole and
+        nothing follows from it.
+        """
         if not self.machine:
             raise ValueError("a report of no machine")
         if self.notice_s is not None and not math.isfinite(self.notice_s):
@@ -68,8 +92,11 @@
 
 
 class CommandKind(Enum):
+    """What a worker is told to do with one attempt of a task; each may be repeated."""
+
     START = "run"
     STOP = "halt"
+    #: Leave an exited task out of the heartbeats; a repeated start then starts it anew.
     FORGET = "reap"
 
 
@@ -78,24 +105,43 @@
     rename={"task": "leg", "attempt": "try", "grace_s": "wind_down_s"},
     omit_defaults=True,
 ):
+    """One command to a worker, in a ``HeartbeatResponse`` or ``DirectCommands``."""
+
     verb: CommandKind
+    #: ``<job id>/<index>``.
     task: str
     attempt: int
+    #: With ``STOP``: time to save; with less than the job needs the task exits at once.
     grace_s: float | None = None
 
 
 class HeartbeatResponse(msgspec.Struct, rename={"token": "baton", "commands": "orders"}):
+    """A controller's answer to a heartbeat, status 200; it renews the worker's lease.
+
+    A worker drops it, commands and all, if ``token`` is lower than the highest that it has seen.
+    """
+
     token: int
+    #: Executed in this order.
     commands: list[Command]
 
 
 class DirectCommands(
     msgspec.Struct, rename={"token": "baton", "incarnation": "shift", "commands": "orders"}
 ):
+    """What the leader sends to a worker's ``POST /commands``; it renews no lease.
+
+    The worker answers with a ``Heartbeat``: 200 after the commands, or 409, with nothing executed,
+    if the token is lower than the highest that it has seen or the incarnation is another one.
+    """
+
     token: int
     incarnation: int
     commands: list[Command]
 
 
 class Redirect(msgspec.Struct, rename={"controller": "dispatcher"}, omit_defaults=True):
+    """A controller's answer to a heartbeat, status 421: report to another controller."""
+
+    #: None: the worker tries the next one.
     controller: str | None = None
