--- a/micadeal/zones/__init__.py
+++ b/micadeal/zones/__init__.py
@@ -1,1 +1,4 @@
-"""What is known of each zone: reachable, in doubt, cut off, lost, coming back.  Pure."""
+"""The health of each zone: healthy, suspected, partitioned, failed or recovering.
+
+Pure: no input or output.
+"""
--- a/micadeal/zones/zone_health.py
+++ b/micadeal/zones/zone_health.py
@@ -1,8 +1,9 @@
-"""The state of each zone, from what a leader can see of it.
+"""The state of each zone, from what a leader can observe of it.
 
-No single sign tells a zone that is cut off from many machines that died in it: the workers' silence
-comes first, what its controller says or does not say tells the two apart, and only the cloud's
-answer to a return, or time, makes a loss certain.  Instants are steady time of the leader.
+No single signal tells a zone that is partitioned from many machines that died in it.  Missing
+heartbeats of the workers come first; the presence of the zone's controller tells the two apart; and
+only the cloud's confirmation that machines have ended, or time, makes a failure certain.  Instants
+are monotonic time of the leader.
 """
 
 from __future__ import annotations
@@ -14,128 +15,174 @@
 from micadeal.clock import ZERO, seconds
 from micadeal.rollout.membership import Presence
 
-#: Of fewer machines nothing is concluded: one or two fall silent by themselves.
-FEWEST = 3
-#: Above this share of silent machines a zone is in doubt; above the second it is judged; below the
-#: third, after that, it is coming back.  Apart, so that a share near one does not flicker.
-DOUBT, JUDGED, BACK = 0.5, 0.8, 0.2
-#: A zone in doubt is judged no sooner: reports of half a zone may be late together.
-JUDGE_AFTER = seconds(2)
-#: How long a zone that came back is watched before it counts as open again; twice as long for each
-#: time that it went within ``FORGET``, up to ``MOST_TRUST``.
-TRUST = seconds(10)
-MOST_TRUST = seconds(120)
-FORGET = seconds(300)
+#: Nothing is concluded from fewer machines: one or two become unreachable on their own.
+MIN_MACHINES = 3
+#: Shares of unreachable machines: above the first a zone is suspected; from the second on the
+#: suspicion is decided; below the third the zone recovers.  They are apart, so that a share near
+#: one of them does not make the state flap.
+SUSPECT_SHARE = 0.5
+DECIDE_SHARE = 0.8
+RECOVER_SHARE = 0.2
+#: A suspicion is decided no sooner: heartbeats of half a zone may be late together.
+MIN_SUSPICION = seconds(2)
+#: How long a zone that came back is watched before it counts as healthy again; twice as long for
+#: each time that it failed within ``FLAP_WINDOW``, up to ``MAX_PROBATION``.
+PROBATION = seconds(10)
+MAX_PROBATION = seconds(120)
+FLAP_WINDOW = seconds(300)
+#: Limits the exponent of the probation; far beyond what ``MAX_PROBATION`` allows.
+MAX_DOUBLINGS = 10
 
 
 class ZoneState(Enum):
-    OPEN = "open"
-    DOUBTFUL = "in doubt"
-    CUT_OFF = "cut off"
-    LOST = "lost"
-    RETURNING = "coming back"
+    """The states of a zone; the values are shown to operators."""
+
+    HEALTHY = "open"
+    SUSPECTED = "in doubt"
+    PARTITIONED = "cut off"
+    FAILED = "lost"
+    RECOVERING = "coming back"
 
 
 class Cause(Enum):
-    """What the signs fit best."""
+    """What the signals fit best; the values are shown to operators."""
 
     NONE = ""
-    CUT = "its machines and its controller are silent to all"
-    APART = "this leader can't reach it, another controller can"
-    MACHINES = "its machines are silent, its controller is not"
-    CONTROLLER = "only its controller is silent"
-    OURS = "this leader's own zone may be cut off: it hears nothing from outside"
+    ZONE_UNREACHABLE = "its machines and its controller are silent to all"
+    LEADER_CUT_OFF_FROM_ZONE = "this leader can't reach it, another controller can"
+    MACHINES_DOWN = "its machines are silent, its controller is not"
+    CONTROLLER_DOWN = "only its controller is silent"
+    OWN_ZONE_CUT_OFF = "this leader's own zone may be cut off: it hears nothing from outside"
+
+
+#: Causes for which the machines of a zone may still be running.
+PARTITION_CAUSES = frozenset(
+    {Cause.ZONE_UNREACHABLE, Cause.LEADER_CUT_OFF_FROM_ZONE, Cause.OWN_ZONE_CUT_OFF}
+)
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneSignals:
-    """Of one zone, at one instant."""
+    """What the leader observes of one zone, at one instant."""
 
-    #: Machines that have reported, or are recorded with tasks, and are not returned.
+    #: Machines that sent a heartbeat, or are recorded with tasks, and are not returned.
     machines: int
-    #: Of these, not heard of for longer than reports take.
-    silent: int
-    #: Its controller as seen by the leader; None: there is none, or it is the leader.
+    #: Of these, not heard of for longer than heartbeats take.
+    unreachable: int
+    #: The zone's controller as seen by the leader; None: there is none, or it is the leader.
     controller: Presence | None
-    #: It is the leader's own.
+    #: It is the leader's own zone.
     own: bool = False
-    #: Its machines were returned and the cloud has ended them, or their leases are over.
+    #: Machines that were returned and that the cloud has ended, or whose leases have expired.
     ended: int = 0
 
     @property
-    def share(self) -> float:
-        return self.silent / self.machines if self.machines else 0.0
+    def unreachable_share(self) -> float:
+        """The share of machines that are unreachable, from 0 to 1."""
+        return self.unreachable / self.machines if self.machines else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Zone:
+    """The state of one zone and how it came to be."""
+
     name: str
-    state: ZoneState = ZoneState.OPEN
+    state: ZoneState = ZoneState.HEALTHY
     cause: Cause = Cause.NONE
+    #: When the state began.
     since: timedelta = ZERO
     signals: ZoneSignals = ZoneSignals(0, 0, None)
-    #: How often it went, and when it last did.
-    went: int = 0
-    went_at: timedelta | None = None
+    #: How often it was partitioned or failed, and when it last was.
+    failures: int = 0
+    failed_at: timedelta | None = None
 
     @property
-    def trust(self) -> timedelta:
+    def probation(self) -> timedelta:
         """How long it is watched once it is back."""
-        times: int = 2 ** min(max(self.went - 1, 0), 10)
-        return min(TRUST * times, MOST_TRUST)
+        doublings = min(max(self.failures - 1, 0), MAX_DOUBLINGS)
+        factor: int = 2**doublings
+        return min(PROBATION * factor, MAX_PROBATION)
 
 
-def cause_of(signals: ZoneSignals, others_silent: bool) -> Cause:
-    """``others_silent``: all that is outside the leader's own zone is silent to it."""
-    if others_silent and not signals.own:
-        return Cause.OURS
-    gone = signals.controller in (Presence.SILENT, Presence.UNSEEN)
-    if signals.machines >= FEWEST and signals.share > DOUBT:
-        if signals.controller is Presence.SEEN_BY_OTHERS:
-            return Cause.APART
-        return Cause.CUT if gone else Cause.MACHINES
-    return Cause.CONTROLLER if gone else Cause.NONE
-
+def cause_of(signals: ZoneSignals, others_unreachable: bool) -> Cause:
+    """Return what the signals of a zone fit best.
 
-def observe(zone: Zone, signals: ZoneSignals, others_silent: bool, now: timedelta) -> Zone:
-    """The zone after these signs; ``others_silent`` as in ``cause_of``."""
-    cause = cause_of(signals, others_silent)
-    if zone.went_at is not None and now - zone.went_at > FORGET and zone.state is ZoneState.OPEN:
-        zone = replace(zone, went=0, went_at=None)
-    state = _next(zone, signals, cause, now)
+    ``others_unreachable``: all that is outside the leader's own zone is unreachable from it.
+    """
+    if others_unreachable and not signals.own:
+        return Cause.OWN_ZONE_CUT_OFF
+    controller_gone = signals.controller in (Presence.SILENT, Presence.UNSEEN)
+    if signals.machines >= MIN_MACHINES and signals.unreachable_share > SUSPECT_SHARE:
+        if signals.controller is Presence.SEEN_BY_OTHERS:
+            return Cause.LEADER_CUT_OFF_FROM_ZONE
+        return Cause.ZONE_UNREACHABLE if controller_gone else Cause.MACHINES_DOWN
+    return Cause.CONTROLLER_DOWN if controller_gone else Cause.NONE
+
+
+def observe(zone: Zone, signals: ZoneSignals, others_unreachable: bool, now: timedelta) -> Zone:
+    """Return the zone after these signals; ``others_unreachable`` as in ``cause_of``."""
+    cause = cause_of(signals, others_unreachable)
+    if (
+        zone.failed_at is not None
+        and now - zone.failed_at > FLAP_WINDOW
+        and zone.state is ZoneState.HEALTHY
+    ):
+        zone = replace(zone, failures=0, failed_at=None)
+    state = _next_state(zone, signals, cause, now)
     if state is zone.state:
         return replace(zone, signals=signals, cause=cause)
-    # What went and came back while it was still watched went once more.
-    goes = state in (ZoneState.CUT_OFF, ZoneState.LOST) and zone.state is ZoneState.DOUBTFUL
+    # A zone that goes again while it is still on probation has failed once more.
+    fails = state in (ZoneState.PARTITIONED, ZoneState.FAILED) and zone.state is ZoneState.SUSPECTED
     return replace(
         zone,
         state=state,
         cause=cause,
         since=now,
         signals=signals,
-        went=zone.went + goes,
-        went_at=now if goes else zone.went_at,
+        failures=zone.failures + fails,
+        failed_at=now if fails else zone.failed_at,
     )
 
 
-def _next(zone: Zone, signals: ZoneSignals, cause: Cause, now: timedelta) -> ZoneState:
-    share, known = signals.share, signals.machines >= FEWEST
+def _next_state(zone: Zone, signals: ZoneSignals, cause: Cause, now: timedelta) -> ZoneState:
+    """Return the state that follows; the current one if the signals change nothing."""
     match zone.state:
-        case ZoneState.OPEN | ZoneState.RETURNING if known and share > DOUBT:
-            return ZoneState.DOUBTFUL
-        case ZoneState.RETURNING if now - zone.since >= zone.trust:
-            return ZoneState.OPEN
-        case ZoneState.DOUBTFUL if share < BACK:
-            # It was never judged: nothing is to be regained.
-            return ZoneState.OPEN if zone.went_at is None else ZoneState.RETURNING
-        case ZoneState.DOUBTFUL if known and share >= JUDGED and now - zone.since >= JUDGE_AFTER:
-            if cause in (Cause.CUT, Cause.APART, Cause.OURS):
-                return ZoneState.CUT_OFF
-            return ZoneState.LOST if cause is Cause.MACHINES else zone.state
-        case ZoneState.CUT_OFF if signals.ended and signals.ended >= signals.machines:
-            return ZoneState.LOST
-        case ZoneState.CUT_OFF | ZoneState.LOST if (
-            share < BACK and signals.machines > signals.ended
-        ):
-            return ZoneState.RETURNING
+        case ZoneState.HEALTHY | ZoneState.RECOVERING:
+            return _after_reachable(zone, signals, now)
+        case ZoneState.SUSPECTED:
+            return _after_suspicion(zone, signals, cause, now)
+        case ZoneState.PARTITIONED | ZoneState.FAILED:
+            return _after_failure(zone, signals)
+
+
+def _after_reachable(zone: Zone, signals: ZoneSignals, now: timedelta) -> ZoneState:
+    if signals.machines >= MIN_MACHINES and signals.unreachable_share > SUSPECT_SHARE:
+        return ZoneState.SUSPECTED
+    if zone.state is ZoneState.RECOVERING and now - zone.since >= zone.probation:
+        return ZoneState.HEALTHY
+    return zone.state
+
+
+def _after_suspicion(zone: Zone, signals: ZoneSignals, cause: Cause, now: timedelta) -> ZoneState:
+    if signals.unreachable_share < RECOVER_SHARE:
+        # If it never failed, it has nothing to recover from.
+        return ZoneState.HEALTHY if zone.failed_at is None else ZoneState.RECOVERING
+    can_decide = (
+        signals.machines >= MIN_MACHINES
+        and signals.unreachable_share >= DECIDE_SHARE
+        and now - zone.since >= MIN_SUSPICION
+    )
+    if can_decide and cause in PARTITION_CAUSES:
+        return ZoneState.PARTITIONED
+    if can_decide and cause is Cause.MACHINES_DOWN:
+        return ZoneState.FAILED
+    return zone.state
+
+
+def _after_failure(zone: Zone, signals: ZoneSignals) -> ZoneState:
+    all_ended = signals.ended > 0 and signals.ended >= signals.machines
+    if zone.state is ZoneState.PARTITIONED and all_ended:
+        return ZoneState.FAILED
+    if signals.unreachable_share < RECOVER_SHARE and signals.machines > signals.ended:
+        return ZoneState.RECOVERING
     return zone.state
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,15 @@
 
 from micadeal.clock import seconds
 from micadeal.rollout.membership import Presence
-from micadeal.zones.zone_health import TRUST, Cause, Zone, ZoneSignals, ZoneState, cause_of, observe
+from micadeal.zones.zone_health import (
+    PROBATION,
+    Cause,
+    Zone,
+    ZoneSignals,
+    ZoneState,
+    cause_of,
+    observe,
+)
 from tests.fakes.world import ZONES, World
 
 HERE, GONE, ELSEWHERE = Presence.PRESENT, Presence.SILENT, Presence.SEEN_BY_OTHERS
@@ -22,53 +30,55 @@
 
 
 @pytest.mark.parametrize(
-    ("signals", "others_silent", "cause"),
+    ("signals", "others_unreachable", "cause"),
     [
-        (ZoneSignals(20, 20, GONE), False, Cause.CUT),
-        (ZoneSignals(20, 20, ELSEWHERE), False, Cause.APART),
-        (ZoneSignals(20, 20, HERE), False, Cause.MACHINES),
-        (ZoneSignals(20, 0, GONE), False, Cause.CONTROLLER),
-        (ZoneSignals(20, 20, GONE), True, Cause.OURS),
+        (ZoneSignals(20, 20, GONE), False, Cause.ZONE_UNREACHABLE),
+        (ZoneSignals(20, 20, ELSEWHERE), False, Cause.LEADER_CUT_OFF_FROM_ZONE),
+        (ZoneSignals(20, 20, HERE), False, Cause.MACHINES_DOWN),
+        (ZoneSignals(20, 0, GONE), False, Cause.CONTROLLER_DOWN),
+        (ZoneSignals(20, 20, GONE), True, Cause.OWN_ZONE_CUT_OFF),
         (ZoneSignals(20, 3, HERE), False, Cause.NONE),
         (ZoneSignals(2, 2, HERE), False, Cause.NONE),
     ],
 )
 def test_the_signs_tell_one_trouble_from_another(
-    signals: ZoneSignals, others_silent: bool, cause: Cause
+    signals: ZoneSignals, others_unreachable: bool, cause: Cause
 ) -> None:
-    assert cause_of(signals, others_silent) is cause
+    assert cause_of(signals, others_unreachable) is cause
 
 
 def test_a_zone_is_judged_after_a_doubt_and_watched_when_it_is_back() -> None:
     cut, back = ZoneSignals(20, 19, GONE), ZoneSignals(20, 1, HERE)
     zone = follow(Zone("a"), (0, back), (10, cut))
-    assert zone.state is ZoneState.DOUBTFUL
-    assert follow(zone, (11, cut)).state is ZoneState.DOUBTFUL
-    assert follow(zone, (11, ZoneSignals(20, 2, HERE))).state is ZoneState.OPEN  # reports were late
+    assert zone.state is ZoneState.SUSPECTED
+    assert follow(zone, (11, cut)).state is ZoneState.SUSPECTED
+    assert (
+        follow(zone, (11, ZoneSignals(20, 2, HERE))).state is ZoneState.HEALTHY
+    )  # reports were late
     # In between it neither goes nor comes back: no flicker near a bound.
-    assert follow(zone, (13, ZoneSignals(20, 12, GONE))).state is ZoneState.DOUBTFUL
+    assert follow(zone, (13, ZoneSignals(20, 12, GONE))).state is ZoneState.SUSPECTED
     zone = follow(zone, (12.5, cut))
-    assert zone.state is ZoneState.CUT_OFF and zone.went == 1
-    assert follow(zone, (14, ZoneSignals(20, 9, GONE))).state is ZoneState.CUT_OFF
-    assert follow(zone, (30, ZoneSignals(20, 20, GONE, ended=20))).state is ZoneState.LOST
+    assert zone.state is ZoneState.PARTITIONED and zone.failures == 1
+    assert follow(zone, (14, ZoneSignals(20, 9, GONE))).state is ZoneState.PARTITIONED
+    assert follow(zone, (30, ZoneSignals(20, 20, GONE, ended=20))).state is ZoneState.FAILED
     zone = follow(zone, (40, back))
-    assert zone.state is ZoneState.RETURNING
-    assert follow(zone, (41, back)).state is ZoneState.RETURNING
-    assert follow(zone, (51, back)).state is ZoneState.OPEN
+    assert zone.state is ZoneState.RECOVERING
+    assert follow(zone, (41, back)).state is ZoneState.RECOVERING
+    assert follow(zone, (51, back)).state is ZoneState.HEALTHY
 
 
 def test_trust_in_a_zone_that_flaps_comes_back_more_slowly_each_time() -> None:
     cut, back = ZoneSignals(20, 20, GONE), ZoneSignals(20, 0, HERE)
-    zone, now, trusts = Zone("a"), 0.0, []
+    zone, now, probations = Zone("a"), 0.0, []
     for _ in range(6):
         zone = follow(zone, (now, cut), (now + 3, cut), (now + 10, back))
-        assert zone.state is ZoneState.RETURNING
-        trusts.append(zone.trust)
+        assert zone.state is ZoneState.RECOVERING
+        probations.append(zone.probation)
         now += 20
-    assert trusts[0] == TRUST and trusts[1] == TRUST * 2
-    assert trusts == sorted(trusts) and trusts[-1] == seconds(120)
+    assert probations[0] == PROBATION and probations[1] == PROBATION * 2
+    assert probations == sorted(probations) and probations[-1] == seconds(120)
     open_again = follow(zone, (now + 200, back), (now + 600, back))
-    assert open_again.state is ZoneState.OPEN and open_again.went == 0
+    assert open_again.state is ZoneState.HEALTHY and open_again.failures == 0
 
 
 def cut_pairs(world: World, zone: str) -> list[tuple[str, str]]:
@@ -80,10 +90,14 @@
     return [(one, other) for one in sorted(inside) for other in sorted(outside - inside)]
 
 
-def said(caplog: pytest.LogCaptureFixture, zone: str) -> list[str]:
-    start = f"zone {zone} is "
+def logged_states(caplog: pytest.LogCaptureFixture, zone: str) -> list[str]:
+    start = f"zone state changed: zone={zone} state="
     messages = [record.getMessage() for record in caplog.records]
-    return [m.removeprefix(start).split(":")[0] for m in messages if m.startswith(start)]
+    return [
+        message.removeprefix(start).split(" unreachable=")[0]
+        for message in messages
+        if message.startswith(start)
+    ]
 
 
 @pytest.mark.parametrize("where", ["outside", "inside"])
@@ -104,14 +118,16 @@
         assert sum(w.zone == zone for w in world.fleet.workers.values()) >= 3
         for one, other in cuts:
             world.network.cut(one, other)
-        await world.until(lambda: "cut off" in said(caplog, zone), limit=15)
+        await world.until(lambda: "cut off" in logged_states(caplog, zone), limit=15)
         if where == "outside":
             found = await world.call(leader, "GET", "/overview")
             assert any(f"zone {zone} is cut off" in note for note in found[1]["notes"])
         for one, other in cuts:
             await world.network.heal(one, other)
         await curio.sleep(90)
-        assert not [s for s in said(caplog, ZONES[(number + 1) % 3]) if s != "open"]
+        assert not [
+            state for state in logged_states(caplog, ZONES[(number + 1) % 3]) if state != "open"
+        ]
         found = await world.call(world.leader() or 0, "GET", "/overview")
         assert not [note for note in found[1]["notes"] if note.startswith("zone ")]
 
