--- a/bench/model_follower_leases.py
+++ b/bench/model_follower_leases.py
@@ -44,11 +44,11 @@
 
 TIMING = RenewalTiming(
     lease_expiry=seconds(2),
-    cancel=seconds(5),
-    size=3,
-    abstain=seconds(2),
-    consent=seconds(2),
-    slack=seconds(0),
+    cancel_timeout=seconds(5),
+    cluster_size=3,
+    abstain_duration=seconds(2),
+    vote_duration=seconds(2),
+    clock_slack=seconds(0),
 )
 TOKEN = 1
 JOB = "req-1"
@@ -122,34 +122,34 @@
 
 
 def _pack(follower_leases: FollowerLeases) -> Controller:
-    memory = follower_leases._memory
-    bound = _recent(_back(memory.bound_until), -LEASE - 1)
+    memory = follower_leases._state
+    bound = _recent(_back(memory.committed_until), -LEASE - 1)
     views = []
     for view in follower_leases.views():
-        until = _recent(_back(view.consent_until), 0)
-        held = _recent(_back(view.bound_until), -LEASE - 1)
+        until = _recent(_back(view.vote_until), 0)
+        held = _recent(_back(view.committed_until), -LEASE - 1)
         views.append(
             (
-                _recent(_back(view.asked), -3),
-                _old(_back(view.speaks_since), -CANCEL - 1),
-                _recent(_back(view.quiet_until), 0),
-                _old(_back(view.born), -LEASE - 3),
-                view.consent if until is not None else 0,
+                _recent(_back(view.asked_at), -3),
+                _old(_back(view.reports_since), -CANCEL - 1),
+                _recent(_back(view.abstains_until), 0),
+                _old(_back(view.started_at), -LEASE - 3),
+                view.vote_token if until is not None else 0,
                 until,
-                view.bound_token if held is not None else 0,
+                view.committed_token if held is not None else 0,
                 held,
-                _old(_back(view.told), -CANCEL - 1),
-                _old(_back(view.listed), -CANCEL - 1),
+                _old(_back(view.synced_list_asked_at), -CANCEL - 1),
+                _old(_back(view.list_asked_at), -CANCEL - 1),
             )
         )
     return _number(
         (
-            _old(_back(memory.born), -CANCEL - 1),
+            _old(_back(memory.started_at), -CANCEL - 1),
             memory.token,
-            _old(_back(memory.led), -2),
-            memory.bound_token if bound is not None else 0,
+            _old(_back(memory.leader_heard_at), -2),
+            memory.committed_token if bound is not None else 0,
             bound,
-            JOB in follower_leases._told,
+            JOB in follower_leases._cancellations,
             tuple(views),
         )
     )
@@ -158,7 +158,7 @@
 def _unpack(node: Controller) -> FollowerLeases:
     born, token, led, bound_token, bound, listed, views = _nodes[node]
     follower_leases = FollowerLeases("12", TIMING, NOW)
-    follower_leases._memory = RenewalState(
+    follower_leases._state = RenewalState(
         NOW + seconds(born), token, _at(led), bound_token, _at(bound)
     )
     for name, view in zip("12", views, strict=True):
@@ -168,7 +168,7 @@
             _at(told), _at(last),
         )  # fmt: skip
     if listed:
-        follower_leases._told[JOB] = NOW
+        follower_leases._cancellations[JOB] = NOW
     return follower_leases
 
 
@@ -269,10 +269,10 @@
 ) -> tuple[Controller, Said]:
     follower_leases = _unpack(node)
     if forget_leader:
-        follower_leases._memory = replace(follower_leases._memory, led=None)
+        follower_leases._state = replace(follower_leases._state, leader_heard_at=None)
     ping = Ping("c0" if leading else "", False, leading, wants, True)
     word = follower_leases.word(ping, leading=False, state_reachable=False, now=NOW)
-    told = word.told is not None and JOB in word.told
+    told = word.cancellations is not None and JOB in word.cancellations
     return _pack(follower_leases), (
         round(word.age_ms / 1000), word.synced, word.consent, word.bound_token,
         round(word.bound_ms / 1000), told,
@@ -286,7 +286,7 @@
     word = RenewalPromise(
         age * 1000.0, join_parts, consent, under, held * 1000.0, {JOB: 0.0} if told else {}
     )
-    follower_leases.hear(peer, word, NOW + seconds(asked), NOW, leading)
+    follower_leases.on_ping_answer(peer, word, NOW + seconds(asked), NOW, leading)
     return _pack(follower_leases)
 
 
@@ -314,7 +314,7 @@
     follower_leases = _unpack(node)
     views = follower_leases.views()
     if ageless:
-        views = tuple(replace(view, born=_at(OLD)) for view in views)
+        views = tuple(replace(view, started_at=_at(OLD)) for view in views)
     instants = (
         follower_leases.cancellations_known_until(NOW),
         cancellations_listed_until(views, known),
@@ -323,7 +323,7 @@
         (instant for instant in instants if instant is not None), default=None
     )
     authority = term.authority(
-        NOW, [None], TIMING.lease_expiry, TIMING.cancel, cancellations_known_until
+        NOW, [None], TIMING.lease_expiry, TIMING.cancel_timeout, cancellations_known_until
     )
     return authority is Authority.RENEW_ONLY
 
--- a/bench/model_rollout.py
+++ b/bench/model_rollout.py
@@ -262,7 +262,7 @@
         return
     if not leader_lock.taken and leader_locks.refusal(leader_lock, name, _process(node)) is None:
         lease = state.leases + 1
-        sent = leader_locks.follower_leases(leader_lock, name, _process(node), lease)
+        sent = leader_locks.acquisition(leader_lock, name, lease)
         yield _send(state, _flight(i, node, *sent, wins=True), leases=lease)
 
 
@@ -306,7 +306,7 @@
             return
         names = [name for name in (f"c{i}", *observations) if name in leader_lock.members]
     lease = leader_lock.lease
-    sent = leader_locks.moving(leader_lock, found.move, f"c{i}", lease, node.token, names)
+    sent = leader_locks.level_change(leader_lock, found.move, f"c{i}", lease, node.token, names)
     yield _send(state, _flight(i, node, *sent))
 
 
@@ -386,7 +386,7 @@
     return len(seen), None
 
 
-_moving: Any = leader_locks.moving
+_moving: Any = leader_locks.level_change
 
 
 def _moving_unfenced(leader_lock: LeaderLock, to: Any, *args: Any) -> Any:
@@ -418,7 +418,7 @@
 Guard = tuple[dict[str, Any], dict[str, int]]
 GUARDS: dict[str, Guard] = {
     "a raise depends on every member record": (
-        {"micadeal.rollout.leader_lock.moving": _moving_alone},
+        {"micadeal.rollout.leader_lock.level_change": _moving_alone},
         {"ends": 1, "third": 2},
     ),
     "the process that was heard is the one recorded": (
@@ -433,7 +433,7 @@
         {"third": 1},
     ),
     "the leader's record never vanishes": (
-        {"micadeal.rollout.leader_lock.moving": _moving_leased},
+        {"micadeal.rollout.leader_lock.level_change": _moving_leased},
         {"ends": 1, "leases": 1, "third": 2},
     ),
     "who does not know the level neither stands nor serves": (
@@ -449,7 +449,7 @@
         {"writes": 1, "third": 2},
     ),
     "the fence moves with the level": (
-        {"micadeal.rollout.leader_lock.moving": _moving_unfenced},
+        {"micadeal.rollout.leader_lock.level_change": _moving_unfenced},
         {"writes": 1, "third": 2, "level": 1},
     ),
 }
--- a/micadeal/controller/feature_level_updater.py
+++ b/micadeal/controller/feature_level_updater.py
@@ -1,4 +1,4 @@
-"""What a leader does about the level while it leads: look, decide, move it, tell its actor."""
+"""Changes of the feature level by the leader, for the length of its term."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from micadeal.controller.messages import FeatureLevelChanged, GetMigrationBacklog, MigrationStatus
 from micadeal.leadership.election import read_leader_lock
 from micadeal.leadership.term import Term
-from micadeal.rollout.leader_lock import LeaderLock, moving
-from micadeal.rollout.migration import confirm
+from micadeal.rollout.leader_lock import LeaderLock, level_change
+from micadeal.rollout.migration import Plan, confirm
 from micadeal.schema.keys import LEVEL
 from micadeal.state.service import (
     ConflictError,
@@ -25,15 +25,19 @@
     Urgency,
 )
 from micadeal.timeouts import sleep
+from micadeal.wire.state import LevelRecord
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY = seconds(0.5)
-ASK_TIME = seconds(1)
+CHECK_INTERVAL = seconds(0.5)
+REQUEST_TIMEOUT = seconds(1)
 
 
 class FeatureLevelUpdater:
-    """One term's; ``ask`` and ``tell`` reach the leader's actor."""
+    """Plans and writes the changes of the level in one term.
+
+    ``ask`` and ``tell`` send a message to the leader's actor, with and without an answer.
+    """
 
     def __init__(
         self,
@@ -49,18 +53,20 @@
         self._ask = ask
         self._tell = tell
         self._fence = term.fence
-        #: What is recorded may be another than we know: the outcome of a move was not told.
-        self._unsure = False
+        #: The records may differ from what we know: the outcome of a change is unknown.
+        self._outcome_unknown = False
 
     def look_again(self) -> None:
-        self._unsure = True
+        """Read the records again before the next step."""
+        self._outcome_unknown = True
 
     async def run(self) -> None:
+        """Change the level step by step until cancelled."""
         while True:
-            await sleep(LOOK_EVERY)
+            await sleep(CHECK_INTERVAL)
             try:
-                if self._unsure:
-                    await self._look()
+                if self._outcome_unknown:
+                    await self._refresh()
                 else:
                     await self._step()
             except (
@@ -70,12 +76,12 @@
                 MailboxFullError,
                 TimeoutError,
             ) as problem:
-                log.debug("level: %s", problem)
+                log.debug("feature level step failed: reason=%s", problem)
 
-    async def _look(self) -> LeaderLock:
-        """Take up what is recorded, if we still lead by it."""
+    async def _refresh(self) -> LeaderLock:
+        """Read the records, and take them over if we still lead by them."""
         leader_lock = await read_leader_lock(self._state)
-        self._unsure = False
+        self._outcome_unknown = False
         if leader_lock.token == self._term.token:
             self._feature_levels.seen(leader_lock)
             if leader_lock.fence != self._fence:
@@ -86,49 +92,46 @@
         return leader_lock
 
     async def _step(self) -> None:
+        """Plan the next step of the level and write it, if there is one that can be made."""
         planned_on = self._feature_levels.record
-        told: MigrationStatus = await self._ask(GetMigrationBacklog(), ASK_TIME)
-        found = self._feature_levels.plan(told.ceiling, told.migration_backlog, monotonic())
-        if found.move is None:
+        status: MigrationStatus = await self._ask(GetMigrationBacklog(), REQUEST_TIMEOUT)
+        planned = self._feature_levels.plan(status.ceiling, status.migration_backlog, monotonic())
+        if planned.move is None:
             return
-        leader_lock = await self._look()
+        leader_lock = await self._refresh()
         if LEVEL in leader_lock.damaged:
-            # It may be a later version's: not to be written over by what we believe.
-            self._feature_levels.waiting_for([f"the record {LEVEL} can't be read"])
+            # It may be from a later version: not to be overwritten with what we assume.
+            self._feature_levels.set_waits([f"the record {LEVEL} can't be read"])
             return
         if leader_lock.token != self._term.token or leader_lock.level != planned_on:
-            # A move of ours was applied late: what was planned is of another level.
+            # A change of ours was applied late: the plan was made for another level.
             return
-        names: list[str] = []
-        if found.raises:
-            against = confirm(
-                found,
-                leader_lock,
-                self._feature_levels.name,
-                self._feature_levels.process,
-                self._feature_levels.observations,
-            )
-            if against:
-                self._feature_levels.waiting_for(against)
+        if planned.raises:
+            objections = self._objections(planned, leader_lock)
+            if objections:
+                self._feature_levels.set_waits(objections)
                 return
-            names = [self._feature_levels.name, *self._feature_levels.observations]
+        await self._write(planned.move, planned.raises, leader_lock)
+
+    def _objections(self, planned: Plan, leader_lock: LeaderLock) -> list[str]:
+        levels = self._feature_levels
+        return list(confirm(planned, leader_lock, levels.name, levels.process, levels.observations))
+
+    async def _write(
+        self, record: LevelRecord, needs_all_members: bool, leader_lock: LeaderLock
+    ) -> None:
+        """Write the new level, on condition that nothing it depends on has changed."""
+        name = self._feature_levels.name
+        depends_on = [name, *self._feature_levels.observations] if needs_all_members else []
         record = msgspec.structs.replace(
-            found.move,
-            since=utc_now().timestamp(),
-            by=self._feature_levels.name,
-            term=self._term.token,
+            record, since=utc_now().timestamp(), by=name, term=self._term.token
         )
-        conditions, changes = moving(
-            leader_lock,
-            record,
-            self._feature_levels.name,
-            self._term.lease,
-            self._term.token,
-            names,
+        conditions, changes = level_change(
+            leader_lock, record, name, self._term.lease, self._term.token, depends_on
         )
         try:
             await self._state.commit(conditions, changes, Urgency.LEASE)
         finally:
-            # Whatever came of it is read, also where the answer was lost.
-            self._unsure = True
-        await self._look()
+            # Whatever the outcome is, it is read back, also if the response was lost.
+            self._outcome_unknown = True
+        await self._refresh()
--- a/micadeal/controller/feature_levels.py
+++ b/micadeal/controller/feature_levels.py
@@ -1,7 +1,7 @@
-"""One controller's part in levels: its own process, what it knows of the others, the level it acts
-by.
+"""One controller's knowledge of feature levels: its own process, its peers, the level it acts by.
 
-No I/O; the decisions are those of ``rollout/``.  Owned by the node, like ``FollowerLeases``.
+No input or output; the decisions are those of ``rollout/``.  Owned by the controller, like
+``FollowerLeases``: it outlives terms.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import math
 import secrets
 from collections.abc import Iterable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from datetime import timedelta
 
 from micadeal import __version__
@@ -28,112 +28,140 @@
 
 log = logging.getLogger(__name__)
 
+#: How builds of versions without levels are shown.
+UNLEVELLED_BUILD = "before levels"
+#: Longer durations in a peer's answer are cut to this many seconds.
+MAX_AGE_S = 1e9
+
+
+@dataclass(frozen=True, slots=True)
+class _LeaderLevel:
+    """The level that the leader of a term acts by, as it said in a ping."""
+
+    token: int
+    level: int
+
 
 class FeatureLevels:
+    """What a controller knows of levels, from the records and from its peers."""
+
     def __init__(
         self, name: str, peers: Iterable[str], now: timedelta, build: Build | None = None
     ) -> None:
-        """``peers``: all other controllers that the settings name."""
+        """Create the knowledge of a process that starts ``now``.
+
+        ``peers`` are all other controllers that the settings name.
+        """
         self.name = name
         self.process = Process(secrets.token_hex(8), build or Build(__version__))
-        self.born = now
+        self._started_at = now
         self._observations = {peer: PeerObservation() for peer in peers}
-        #: What was read last of all that is recorded; None: nothing yet.
+        #: The records as last read; None: not read yet.
         self._leader_lock: LeaderLock | None = None
-        #: The highest token whose leader has told us its level, and that level.
-        self._told: tuple[int, int] | None = None
-        self._refused: str | None = None
+        #: From the ping with the highest token so far.
+        self._leader_level: _LeaderLevel | None = None
+        self._refusal: str | None = None
         self._waits: tuple[str, ...] = ()
 
     @property
     def observations(self) -> dict[str, PeerObservation]:
+        """What is known of each peer, by name."""
         return dict(self._observations)
 
     @property
     def record(self) -> LevelRecord:
-        """The level as last read."""
+        """The level record as last read."""
         return LevelRecord() if self._leader_lock is None else self._leader_lock.level
 
     # -- records ---------------------------------------------------------------------------
 
     def seen(self, leader_lock: LeaderLock) -> None:
-        """All that is recorded, as just read."""
+        """Take over the records as just read, unless newer ones are known."""
         if self._leader_lock is not None and leader_lock.revision < self._leader_lock.revision:
             return
         if LEVEL in leader_lock.damaged and self._leader_lock is not None:
-            # What was read before still holds for whoever leads by it; nobody else will.
+            # What was read before still holds for a leader by it; no other controller will lead.
             leader_lock = replace(leader_lock, level=self.record)
-        before, self._leader_lock = self.record, leader_lock
-        if leader_lock.level != before:
+        previous, self._leader_lock = self.record, leader_lock
+        if leader_lock.level != previous:
             log.info(
-                "level %d is in force, %d is written, nothing is older than %d",
+                "feature level changed: level=%d writes=%d oldest=%d",
                 leader_lock.level.level,
                 leader_lock.level.writes,
                 leader_lock.level.oldest,
             )
-        refused = leader_locks.refusal(leader_lock, self.name, self.process)
-        if refused is not None and refused != self._refused:
-            # Once, not at every look.
-            log.error("this controller neither leads nor serves users: %s", refused)
-        self._refused = refused
+        refusal = leader_locks.refusal(leader_lock, self.name, self.process)
+        if refusal is not None and refusal != self._refusal:
+            # Logged once, not at every read.
+            log.error("neither leading nor serving users: reason=%s", refusal)
+        self._refusal = refusal
 
     @property
     def refusal(self) -> str | None:
         """Why we may neither lead nor serve users; None: we may."""
         if self._leader_lock is None:
             return "the level in force is not known yet"
-        return self._refused
+        return self._refusal
 
     @property
     def misfit(self) -> str | None:
-        """The same, where it will not pass by itself."""
-        return None if self._leader_lock is None else self._refused
+        """The same as ``refusal``, but None where the reason will pass by itself."""
+        return None if self._leader_lock is None else self._refusal
 
     # -- between controllers ---------------------------------------------------------------
 
     def introduction(self, now: timedelta) -> peers.Process:
+        """Return what we say of our own process in pings and answers."""
         build = self.process.build
-        age = (now - self.born).total_seconds() * 1000
+        age_ms = (now - self._started_at).total_seconds() * 1000
         return peers.Process(
-            self.process.id, build.name, build.lowest, build.highest, age, self.acts_at
+            self.process.id, build.name, build.lowest, build.highest, age_ms, self.acts_at
         )
 
     def told(self, token: int, process: peers.Process | None) -> None:
-        """A leader has spoken to us.  One of a version that knows of no levels acts by the
-        first."""
-        if token and (self._told is None or token >= self._told[0]):
-            self._told = (token, int(FeatureLevel.FIRST) if process is None else process.level)
-
-    def hear(self, name: str, pong: peers.Pong, asked: timedelta, now: timedelta) -> None:
-        """A peer's answer to our ping.  Raises ``MessageFormatError`` for what makes no sense."""
-        found, process, age = pong.process, None, None
-        if found is not None:
-            if not (math.isfinite(found.age_ms) and 0 <= found.lowest <= found.highest):
-                raise MessageFormatError("a process that makes no sense")
-            process = Process(found.id, Build(found.build, found.lowest, found.highest))
-            age = seconds(min(max(found.age_ms / 1000, 0.0), 1e9))
-        touch = None if pong.state_age_ms is None else seconds(min(pong.state_age_ms / 1000, 1e9))
-        before = self._observations[name]
-        observation = before.hear(process, asked, now, age, touch, pong.reaches)
+        """Take over the level that the leader of a term acts by, from its ping.
+
+        ``process`` is None for a version that knows no levels: it acts by the first.
+        """
+        if token and (self._leader_level is None or token >= self._leader_level.token):
+            level = int(FeatureLevel.FIRST) if process is None else process.level
+            self._leader_level = _LeaderLevel(token, level)
+
+    def on_ping_answer(
+        self, name: str, pong: peers.Pong, asked_at: timedelta, now: timedelta
+    ) -> None:
+        """Take over what a peer says of its process in answer to our ping.
+
+        Raises ``MessageFormatError`` for values out of range.
+        """
+        process = age = state_age = None
+        if pong.process is not None:
+            process = _decode_process(pong.process)
+            age = seconds(min(max(pong.process.age_ms / 1000, 0.0), MAX_AGE_S))
+        if pong.state_age_ms is not None:
+            state_age = seconds(min(pong.state_age_ms / 1000, MAX_AGE_S))
+        previous = self._observations[name]
+        observation = previous.with_answer(process, asked_at, now, age, state_age, pong.reaches)
         self._observations[name] = observation
-        if observation.restarts > before.restarts:
-            build = "a version before levels" if process is None else process.build.name
-            log.info("%s is another process now, of %s", name, build)
+        if observation.restarts > previous.restarts:
+            build = UNLEVELLED_BUILD if process is None else process.build.name
+            log.info("controller restarted: controller=%s build=%s", name, build)
 
     @property
     def acts_at(self) -> int:
-        """The level that we write and act by: never ahead of the leader whose word we have."""
+        """The level that we write and act by: never ahead of the leader that contacted us."""
         recorded = self.record.writes
-        if self._told is None:
+        leader = self._leader_level
+        if leader is None:
             return recorded
-        token, level = self._told
         if self._leader_lock is None:
-            return level
-        return min(recorded, level) if token >= self._leader_lock.token else recorded
+            return leader.level
+        return min(recorded, leader.level) if leader.token >= self._leader_lock.token else recorded
 
     def election_delay(self, now: timedelta) -> timedelta:
+        """Return how long to leave a free leader lock to other controllers."""
         return election_delay(
-            self.process, self.born, self._observations.values(), STATE_CONTACT_TIMEOUT, now
+            self.process, self._started_at, self._observations.values(), STATE_CONTACT_TIMEOUT, now
         )
 
     # -- as leader -------------------------------------------------------------------------
@@ -141,37 +169,52 @@
     def plan(
         self, ceiling: int | None, migration_backlog: MigrationBacklog, now: timedelta
     ) -> Plan:
-        found = plan(self.record, self.process, self._observations, ceiling, migration_backlog, now)
-        self.waiting_for(found.waits)
-        return found
+        """Return the next step of the level; see ``rollout.migration.plan``."""
+        planned = plan(
+            self.record, self.process, self._observations, ceiling, migration_backlog, now
+        )
+        self.set_waits(planned.waits)
+        return planned
 
-    def waiting_for(self, waits: Iterable[str]) -> None:
+    def set_waits(self, waits: Iterable[str]) -> None:
+        """Remember what the next step of the level waits for, to be shown to operators."""
         waits = tuple(waits)
         for wait in waits:
             if wait not in self._waits:
-                log.debug("the level waits: %s", wait)
+                log.debug("feature level change waits: reason=%s", wait)
         self._waits = waits
 
     def line(self, now: timedelta) -> peers.LevelLine:
+        """Return the level and all members as the overview shows them."""
         record = self.record
-        own = self.process.build
-        members = [peers.MemberLine(self.name, "leads", own.name, own.lowest, own.highest)]
-        for name, observation in self._observations.items():
-            seen = presence(name, self._observations, now).value
-            if observation.process is None:
-                members.append(peers.MemberLine(name, seen, "before levels", 0, 0))
-                continue
-            build = observation.process.build
-            misfit = build.refusal(record)
-            seen = seen if misfit is None else f"{seen}, serves nobody: {misfit}"
-            members.append(peers.MemberLine(name, seen, build.name, build.lowest, build.highest))
-        since = max(utc_now().timestamp() - record.since, 0.0) if record.since else 0.0
+        age_s = max(utc_now().timestamp() - record.since, 0.0) if record.since else 0.0
         return peers.LevelLine(
             record.level,
             record.writes,
             record.oldest,
-            since,
+            age_s,
             record.by,
-            members,
+            self._member_lines(now),
             list(self._waits),
         )
+
+    def _member_lines(self, now: timedelta) -> list[peers.MemberLine]:
+        own = self.process.build
+        members = [peers.MemberLine(self.name, "leads", own.name, own.lowest, own.highest)]
+        for name, observation in self._observations.items():
+            status = presence(name, self._observations, now).value
+            if observation.process is None:
+                members.append(peers.MemberLine(name, status, UNLEVELLED_BUILD, 0, 0))
+                continue
+            build = observation.process.build
+            refusal = build.refusal(self.record)
+            if refusal is not None:
+                status = f"{status}, serves nobody: {refusal}"
+            members.append(peers.MemberLine(name, status, build.name, build.lowest, build.highest))
+        return members
+
+
+def _decode_process(process: peers.Process) -> Process:
+    if not (math.isfinite(process.age_ms) and 0 <= process.lowest <= process.highest):
+        raise MessageFormatError("a process that makes no sense")
+    return Process(process.id, Build(process.build, process.lowest, process.highest))
--- a/micadeal/controller/follower_leases.py
+++ b/micadeal/controller/follower_leases.py
@@ -1,7 +1,7 @@
-"""One controller's part in standing in for a leader: what it promises, remembers and answers.
+"""One controller's part in renewing leases as a follower: its promises, its state, its answers.
 
-Owns the node's memory, its views of the others and the list of cancellations.  No I/O; the
-decisions are those of ``leadership/follower_leases.py``.
+Owns the controller's renewal state, its views of the peers and the list of cancellations.  No input
+or output; the decisions are those of ``leadership/follower_leases.py``.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from micadeal.jobs.validate import JOB_ID
 from micadeal.leadership.follower_leases import (
     PeerRenewalView,
-    RenewalPromise,
+    PeerReport,
     RenewalState,
     RenewalTiming,
     cancellations_known_until,
-    may_consent,
+    is_synced,
     may_renew_leases,
+    may_vote,
     stop_commands,
-    synced,
 )
 from micadeal.wire import peers
 from micadeal.wire.codec import MessageFormatError
@@ -30,167 +30,198 @@
 
 log = logging.getLogger(__name__)
 
-#: Without an answer of the state service for this long a controller takes it for out of reach.
-#: Idle ones hear from it every two seconds, when a watch comes back.
+#: After so long without a response a controller treats the state service as unreachable.  Idle
+#: controllers hear from it every two seconds, when a watch returns.
 STATE_CONTACT_TIMEOUT = seconds(3)
-#: Cancellations on the list at most: of more than a day could bring within ``settled``.
-MOST_TOLD = 1500
+#: Maximum length of the list of cancellations: more than a day could bring within
+#: ``cancellation_retention``.
+MAX_CANCELLATIONS = 1500
+#: Durations in messages beyond this many milliseconds are refused.
+MAX_DURATION_MS = 1e12
 
 
 class FollowerLeases:
+    """The renewal state of one controller, which outlives its terms as a leader."""
+
     def __init__(self, peers: Iterable[str], timing: RenewalTiming, now: timedelta) -> None:
+        """Create the state of a process that starts ``now``; ``peers``: all other controllers."""
         self.timing = timing
-        self._memory = RenewalState(now)
+        self._state = RenewalState(now)
         self._views = {name: PeerRenewalView() for name in peers}
-        #: Jobs that a user was, or may be, told to be cancelled: when we learned of it.
-        self._told: dict[str, timedelta] = {}
-        #: When the list last lost an entry too early.
-        self._overflow: timedelta | None = None
-        self._standing_in = False
-        self._backwards: set[str] = set()
+        #: Jobs that a user was, or may be, told to be cancelled, and when we learned of it.
+        self._cancellations: dict[str, timedelta] = {}
+        #: When the list last lost an entry that still mattered.
+        self._overflowed_at: timedelta | None = None
+        self._renewing = False
+        #: Controllers that last sent the token of a past term.
+        self._stale_leaders: set[str] = set()
 
     # -- cancellations ---------------------------------------------------------------------
 
     def note(self, job_id: str, now: timedelta, age: timedelta = ZERO) -> bool:
-        """Put a cancellation on the list; whether it is news."""
-        if job_id in self._told or not JOB_ID.match(job_id):
+        """Add a cancellation to the list; return whether it was not on it yet."""
+        if job_id in self._cancellations or not JOB_ID.match(job_id):
             return False
-        for name in [n for n, at in self._told.items() if now - at > self.timing.settled * 2]:
-            del self._told[name]
-        if len(self._told) >= MOST_TOLD:
-            del self._told[min(self._told, key=self._told.__getitem__)]
-            self._overflow = now
-        self._told[job_id] = now - max(age, ZERO)
+        self._drop_old_cancellations(now)
+        if len(self._cancellations) >= MAX_CANCELLATIONS:
+            del self._cancellations[min(self._cancellations, key=self._cancellations.__getitem__)]
+            self._overflowed_at = now
+        self._cancellations[job_id] = now - max(age, ZERO)
         return True
 
+    def _drop_old_cancellations(self, now: timedelta) -> None:
+        max_age = self.timing.cancellation_retention * 2
+        old = [job_id for job_id, at in self._cancellations.items() if now - at > max_age]
+        for job_id in old:
+            del self._cancellations[job_id]
+
     def told(self) -> tuple[str, ...]:
-        """All that is on the list."""
-        return tuple(self._told)
+        """Return the ids of all jobs on the list of cancellations."""
+        return tuple(self._cancellations)
+
+    def cancellations_known_until(self, now: timedelta) -> timedelta | None:
+        """Return up to which instant we know of every confirmed cancellation; None: unknown."""
+        if not self._is_synced(now):
+            return None
+        return cancellations_known_until(self._views.values(), now, self.timing)
 
-    def _synced(self, now: timedelta) -> bool:
-        if self._overflow is not None and now - self._overflow < self.timing.settled:
+    def _is_synced(self, now: timedelta) -> bool:
+        if (
+            self._overflowed_at is not None
+            and now - self._overflowed_at < self.timing.cancellation_retention
+        ):
             return False
-        return synced(self._memory, self._views.values(), now, self.timing)
+        return is_synced(self._state, self._views.values(), now, self.timing)
 
     # -- between controllers ---------------------------------------------------------------
 
-    def ping(
-        self, message: peers.Ping, leading: int, state_reachable: bool, now: timedelta
-    ) -> peers.Ping:
-        """Add what we ask of a peer."""
-        message.leading_token = leading
-        message.wants_told = not state_reachable or not self._synced(now)
-        if not leading and not state_reachable:
-            message.wants_consent = self._memory.token
-        return message
+    def prepare_ping(
+        self, message: peers.Ping, leading_token: int, state_reachable: bool, now: timedelta
+    ) -> None:
+        """Add to a ping what we ask of a peer.
+
+        ``leading_token`` is that of the term that we lead; 0: we do not lead.
+        """
+        message.leading_token = leading_token
+        message.wants_cancellations = not state_reachable or not self._is_synced(now)
+        if not leading_token and not state_reachable:
+            message.wants_consent = self._state.token
 
     def word(
         self, ping: peers.Ping, leading: bool, state_reachable: bool, now: timedelta
     ) -> peers.RenewalPromise:
-        """Our word in answer to a ping: a leader is promised that we keep quiet for a while, others
-        may get our consent."""
+        """Return our part of the answer to a ping.
+
+        A leader gets our promise to abstain for a while; a follower may get our vote.
+        """
         if ping.leading_token > 0:
-            self._hear_leader(ping.controller, ping.leading_token, now)
-        join_parts = self._synced(now)
-        consent = 0
+            self._on_leader_contact(ping.controller, ping.leading_token, now)
+        is_list_synced = self._is_synced(now)
+        vote_token = 0
         if (
             ping.wants_consent
-            and ping.wants_told
+            and ping.wants_cancellations
             and not leading
-            # Else one of us can be elected, which serves workers better.
+            # Otherwise one of us can be elected, which serves workers better.
             and not state_reachable
-            and may_consent(self._memory, ping.wants_consent, join_parts, now, self.timing)
+            and may_vote(self._state, ping.wants_consent, is_list_synced, now, self.timing)
         ):
-            consent = ping.wants_consent
-            self._memory = self._memory.bind(consent, now + self.timing.consent)
-        memory = self._memory
-        bound = ZERO if memory.bound_until is None else memory.bound_until - now
-        told = None
-        if ping.wants_told:
-            told = {n: (now - at).total_seconds() * 1000 for n, at in self._told.items()}
+            vote_token = ping.wants_consent
+            self._state = self._state.with_commitment(vote_token, now + self.timing.vote_duration)
+        state = self._state
+        committed_for = ZERO if state.committed_until is None else state.committed_until - now
+        cancellations = None
+        if ping.wants_cancellations:
+            cancellations = {
+                job_id: _milliseconds(now - at) for job_id, at in self._cancellations.items()
+            }
         return peers.RenewalPromise(
-            (now - memory.born).total_seconds() * 1000,
-            join_parts,
-            consent,
-            memory.bound_token,
-            bound.total_seconds() * 1000,
-            told,
+            age_ms=_milliseconds(now - state.started_at),
+            synced=is_list_synced,
+            consent=vote_token,
+            bound_token=state.committed_token,
+            bound_ms=_milliseconds(committed_for),
+            cancellations=cancellations,
         )
 
-    def _hear_leader(self, name: str, token: int, now: timedelta) -> None:
-        if token < self._memory.token:
-            # Held by the network, or of a leader that does not know that it is none any more.
-            if name not in self._backwards:
-                self._backwards.add(name)
-                log.warning("%s speaks of the past term %d; refused", name, token)
+    def _on_leader_contact(self, name: str, token: int, now: timedelta) -> None:
+        if token < self._state.token:
+            # Delayed by the network, or from a leader that does not know that its term is over.
+            if name not in self._stale_leaders:
+                self._stale_leaders.add(name)
+                log.warning("ping of a past term refused: controller=%s token=%d", name, token)
             return
-        self._backwards.discard(name)
-        self._memory = self._memory.hear_leader(token, now)
+        self._stale_leaders.discard(name)
+        self._state = self._state.with_leader_contact(token, now)
 
-    def hear(
+    def on_ping_answer(
         self,
         name: str,
-        found: peers.RenewalPromise | None,
-        asked: timedelta,
+        promise: peers.RenewalPromise | None,
+        asked_at: timedelta,
         now: timedelta,
-        leading: int,
+        leading_token: int,
     ) -> list[str]:
-        """Take in a peer's answer to a ping; the cancellations that are news.
+        """Merge a peer's answer to our ping; return the cancellations that are new to us.
 
-        Raises ``MessageFormatError`` for numbers that make no sense: such an answer counts for
-        nothing.
+        Raises ``MessageFormatError`` for durations out of range: such an answer counts for nothing.
         """
-        word = None
-        if found is not None:
-            word = RenewalPromise(
-                _span(found.age_ms),
-                found.synced,
-                found.consent,
-                found.bound_token,
-                _span(found.bound_ms),
-                found.told is not None,
-            )
+        report = None if promise is None else _report(promise)
         view = self._views[name]
-        self._views[name] = view.hear(word, asked, now, leading, self.timing)
-        told = found.told if found is not None else None
-        return [job for job, age in (told or {}).items() if self.note(job, now, _span(age))]
+        self._views[name] = view.with_answer(report, asked_at, now, leading_token, self.timing)
+        if promise is None or promise.cancellations is None:
+            return []
+        return [
+            job_id
+            for job_id, age_ms in promise.cancellations.items()
+            if self.note(job_id, now, _duration(age_ms))
+        ]
 
     def views(self) -> tuple[PeerRenewalView, ...]:
+        """Return what we know of each peer."""
         return tuple(self._views.values())
 
-    def cancellations_known_until(self, now: timedelta) -> timedelta | None:
-        if not self._synced(now):
-            return None
-        return cancellations_known_until(self._views.values(), now, self.timing)
-
     # -- workers ---------------------------------------------------------------------------
 
     def answer(
         self, heartbeat: Heartbeat, state_reachable: bool, now: timedelta
     ) -> HeartbeatResponse | None:
-        """What a worker is answered in the leader's place; None: that is not for us to do."""
-        memory = self._memory
-        if not memory.token:
+        """Return the response to a worker in place of the leader; None: we must not give one."""
+        state = self._state
+        if not state.token:
             return None
-        stands = not state_reachable and may_renew_leases(
-            memory, self._views.values(), self._synced(now), now, self.timing
+        may_renew = not state_reachable and may_renew_leases(
+            state, self._views.values(), self._is_synced(now), now, self.timing
         )
-        if stands is not self._standing_in:
-            self._standing_in = stands
-            log.info(
-                "%s in for the leader of term %d", "stands" if stands else "no longer stands",
-                memory.token,
-            )  # fmt: skip
-        if not stands or heartbeat.token > memory.token:
-            # A higher token is that of a leader that we have not heard of: its word counts.
+        if may_renew is not self._renewing:
+            self._renewing = may_renew
+            change = "started" if may_renew else "stopped"
+            log.info("renewing leases as follower %s: token=%d", change, state.token)
+        if not may_renew or heartbeat.token > state.token:
+            # A higher token is that of a leader that has not contacted us: it decides.
             return None
-        self._memory = memory.bind(memory.token, now)
-        # Guards ``ran_cancelled``: what was cancelled is stopped whoever answers.
-        return HeartbeatResponse(memory.token, stop_commands(heartbeat, self._told))
+        self._state = state.with_commitment(state.token, now)
+        # Guards ``ran_cancelled``: what was cancelled is stopped by whoever answers.
+        return HeartbeatResponse(state.token, stop_commands(heartbeat, self._cancellations))
+
+
+def _report(promise: peers.RenewalPromise) -> PeerReport:
+    return PeerReport(
+        age=_duration(promise.age_ms),
+        synced=promise.synced,
+        vote_token=promise.consent,
+        committed_token=promise.bound_token,
+        committed_for=_duration(promise.bound_ms),
+        has_list=promise.cancellations is not None,
+    )
+
+
+def _milliseconds(duration: timedelta) -> float:
+    return duration.total_seconds() * 1000
 
 
-def _span(milliseconds: float) -> timedelta:
-    """A span of a peer's message."""
-    if not math.isfinite(milliseconds) or abs(milliseconds) > 1e12:
+def _duration(milliseconds: float) -> timedelta:
+    """Convert a duration of a peer's message; raise ``MessageFormatError`` if out of range."""
+    if not math.isfinite(milliseconds) or abs(milliseconds) > MAX_DURATION_MS:
         raise MessageFormatError(f"not a span of time: {milliseconds}")
     return seconds(milliseconds / 1000)
--- a/micadeal/controller/peer_links.py
+++ b/micadeal/controller/peer_links.py
@@ -1,4 +1,4 @@
-"""The other controllers: who is there, who has touch with the state service, relaying."""
+"""Links to the other controllers: pings, relayed heartbeats and cancellation notices."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 from datetime import timedelta
+from http import HTTPStatus
 from typing import Any, TypeVar
 
 import curio
@@ -17,7 +18,7 @@
 from micadeal.http.network import AnyClient, Network
 from micadeal.leadership.term import PeerContact
 from micadeal.operator.platform import Peer
-from micadeal.rollout.membership import FRESH
+from micadeal.rollout.membership import PRESENCE_TIMEOUT
 from micadeal.timeouts import sleep
 from micadeal.wire.codec import MessageFormatError, decode, encode
 from micadeal.wire.peers import CancellationNotice, Ping, Pong, Relay, Relayed
@@ -27,32 +28,52 @@
 
 T = TypeVar("T")
 
-PING_EVERY = timedelta(seconds=1)
-PING_TIME = timedelta(milliseconds=900)
-#: Direct, and over a third controller: together well within a worker's 4 s.
-RELAY_TIME = timedelta(seconds=1.4)
-NOTICE_TIME = timedelta(seconds=1)
+PING_INTERVAL = timedelta(seconds=1)
+PING_TIMEOUT = timedelta(milliseconds=900)
+#: Direct, and through a third controller: together well within a worker's 4 s.
+RELAY_TIMEOUT = timedelta(seconds=1.4)
+INDIRECT_RELAY_TIMEOUT = RELAY_TIMEOUT * 1.5
+NOTICE_TIMEOUT = timedelta(seconds=1)
+#: Idle connections kept open to each peer, for pings and for everything else.
+PING_CONNECTIONS = 1
+REQUEST_CONNECTIONS = 4
 
 
-#: A peer's name, its answer, and jobs that it says are cancelled and of which we did not know.
+#: Called with a peer's name, its answer, and jobs that it says are cancelled and that are new.
 PeerStatusListener = Callable[[str, Pong, list[str]], Awaitable[None]]
 
 
 @dataclass(slots=True)
 class _Link:
+    """The connections to one peer and its last answer to a ping."""
+
     peer: Peer
     client: AnyClient
-    pings: AnyClient
-    heard: timedelta | None = None
+    #: Separate, so that other requests don't delay pings.
+    ping_client: AnyClient
+    heard_at: timedelta | None = None
     pong: Pong | None = None
-    reachability: PeerContact | None = None
-    state_contact: timedelta | None = None
-    #: As leader: cancellations told before then have reached all jobs after them.
-    cascaded: timedelta | None = None
+    contact: PeerContact | None = None
+    #: When the peer last had a response of the state service.
+    state_contact_at: timedelta | None = None
+    #: As leader: cancellations confirmed before then have reached all jobs that depend on them.
+    cascaded_until: timedelta | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class _NoticeAnswer:
+    """A peer's answer to a cancellation notice."""
+
+    peer: str
+    #: The peer leads, and a task of the job may still start; None: it gave no answer.
+    may_start: bool | None
 
 
 class PeerLinks:
-    """Owns the links to the peers; ``news`` is told after every answer to a ping."""
+    """Owns the links to the peers.
+
+    ``leader`` and ``leading_token`` are kept up to date by the controller.
+    """
 
     def __init__(
         self,
@@ -62,105 +83,136 @@
         follower_leases: FollowerLeases | None,
         feature_levels: FeatureLevels,
         state_reachable: Callable[[], bool],
-        reading: Callable[[], bool],
+        loading: Callable[[], bool],
     ) -> None:
-        """``standing``: None where standing in is switched off; ``state_reachable``: with the state
-        service; ``reading``: as leader, before the records have come."""
+        """Create the links without connecting yet.
+
+        ``follower_leases`` is None where renewal by followers is switched off.
+        ``state_reachable`` says whether we reach the state service, ``loading`` whether we lead and
+        have not read the records yet.
+        """
         self._name = name
         self._follower_leases = follower_leases
         self._feature_levels = feature_levels
         self._state_reachable = state_reachable
-        self._reading = reading
+        self._loading = loading
         self._links = {
-            peer.name: _Link(peer, network.client(peer.address, 4), network.client(peer.address, 1))
+            peer.name: _Link(
+                peer,
+                network.client(peer.address, REQUEST_CONNECTIONS),
+                network.client(peer.address, PING_CONNECTIONS),
+            )
             for peer in peers
         }
+        #: The name of the current leader; None: it is not known.
         self.leader: str | None = None
-        #: The token of the term that we lead; 0: we don't.
+        #: The token of the term that we lead; 0: we do not lead.
         self.leading_token = 0
 
-    async def run(self, news: PeerStatusListener) -> None:
+    # -- pings -----------------------------------------------------------------------------
+
+    async def run(self, listener: PeerStatusListener) -> None:
+        """Ping all peers until cancelled; ``listener`` is awaited after every answer."""
         async with curio.TaskGroup() as group:
             for link in self._links.values():
-                await group.spawn(self._ping, link, news)
+                await group.spawn(self._ping_forever, link, listener)
 
-    async def _ping(self, link: _Link, news: PeerStatusListener) -> None:
+    async def _ping_forever(self, link: _Link, listener: PeerStatusListener) -> None:
         while True:
-            asked = monotonic()
+            asked_at = monotonic()
             try:
-                leading = self.leading_token
-                message = Ping(self._name, wants_counts=self.leader == link.peer.name)
-                message.leading_token = leading
-                message.reading = self._reading()
-                message.process = self._feature_levels.introduction(asked)
-                if self._follower_leases is not None:
-                    self._follower_leases.ping(message, leading, self._state_reachable(), asked)
-                status, body = await link.pings.request(
-                    "POST", "/ping", encode(message), timeout=PING_TIME
-                )
-                if status == 200:
-                    await self._heard(link, decode(Pong, body), asked, leading, news)
+                await self._ping(link, asked_at, listener)
             except (HttpError, MessageFormatError) as problem:
-                log.debug("ping of %s: %s", link.peer.name, problem)
+                log.debug("ping failed: controller=%s reason=%s", link.peer.name, problem)
             except Exception:
-                log.exception("news of %s could not be passed on", link.peer.name)
-            await sleep(asked + PING_EVERY - monotonic())
+                # The listener runs code of the whole controller.  A fault in there must not end
+                # the pings, by which peers and workers find the leader.
+                log.exception("handling of a ping answer failed: controller=%s", link.peer.name)
+            await sleep(asked_at + PING_INTERVAL - monotonic())
 
-    async def _heard(
-        self,
-        link: _Link,
-        pong: Pong,
-        asked: timedelta,
-        leading: int,
-        news: PeerStatusListener,
-    ) -> None:
+    async def _ping(self, link: _Link, asked_at: timedelta, listener: PeerStatusListener) -> None:
+        leading_token = self.leading_token
+        message = Ping(self._name, wants_counts=self.leader == link.peer.name)
+        message.leading_token = leading_token
+        message.reading = self._loading()
+        message.process = self._feature_levels.introduction(asked_at)
+        if self._follower_leases is not None:
+            self._follower_leases.prepare_ping(
+                message, leading_token, self._state_reachable(), asked_at
+            )
+        status, body = await link.ping_client.request(
+            "POST", "/ping", encode(message), timeout=PING_TIMEOUT
+        )
+        if status != HTTPStatus.OK:
+            return
+        pong = decode(Pong, body)
+        cancelled = self._on_pong(link, pong, asked_at, leading_token)
+        await listener(link.peer.name, pong, cancelled)
+
+    def _on_pong(
+        self, link: _Link, pong: Pong, asked_at: timedelta, leading_token: int
+    ) -> list[str]:
+        """Take over the answer to a ping; return the cancelled jobs that are new to us."""
         now = monotonic()
         cancelled: list[str] = []
-        self._feature_levels.hear(link.peer.name, pong, asked, now)
+        self._feature_levels.on_ping_answer(link.peer.name, pong, asked_at, now)
         if self._follower_leases is not None:
-            cancelled = self._follower_leases.hear(link.peer.name, pong.word, asked, now, leading)
-        link.heard, link.pong = now, pong
+            cancelled = self._follower_leases.on_ping_answer(
+                link.peer.name, pong.renewal_promise, asked_at, now, leading_token
+            )
+        link.heard_at, link.pong = now, pong
         if pong.state_age_ms is not None:
-            link.state_contact = now - seconds(pong.state_age_ms / 1000)
-        link.reachability = PeerContact(asked, now - seconds(pong.cancel_age_ms / 1000))
+            link.state_contact_at = now - _milliseconds(pong.state_age_ms)
+        link.contact = PeerContact(asked_at, now - _milliseconds(pong.cancel_age_ms))
         if pong.cascade_age_ms is not None:
-            # Counted from when it was asked: an answer that was under way for long says less.
-            link.cascaded = asked - seconds(pong.cascade_age_ms / 1000)
-        await news(link.peer.name, pong, cancelled)
+            # Counted from the question: an answer that was under way for long proves less.
+            link.cascaded_until = asked_at - _milliseconds(pong.cascade_age_ms)
+        return cancelled
+
+    # -- what the peers say ----------------------------------------------------------------
 
     def cascaded(self, leader: str) -> timedelta | None:
+        """Return up to when ``leader`` has cancelled all jobs that depend on cancelled ones."""
         link = self._links.get(leader)
-        return None if link is None else link.cascaded
+        return None if link is None else link.cascaded_until
 
     def contacts(self) -> tuple[PeerContact | None, ...]:
-        return tuple(link.reachability for link in self._links.values())
+        """Return the last contact with each peer; None: there was none."""
+        return tuple(link.contact for link in self._links.values())
 
     def reaches(self) -> list[str]:
+        """Return the peers that answered lately."""
         now = monotonic()
         return [
             name
             for name, link in self._links.items()
-            if link.heard is not None and now - link.heard < FRESH
+            if link.heard_at is not None and now - link.heard_at < PRESENCE_TIMEOUT
         ]
 
     def latest_state_contact(self) -> timedelta | None:
-        """The latest contact with the state service that a reachable peer speaks of."""
-        fresh = self.reaches()
+        """Return the latest contact of a reachable peer with the state service."""
+        reachable = self.reaches()
         contacts = [
-            link.state_contact
+            link.state_contact_at
             for name, link in self._links.items()
-            if name in fresh and link.state_contact is not None
+            if name in reachable and link.state_contact_at is not None
         ]
         return max(contacts, default=None)
 
+    # -- requests --------------------------------------------------------------------------
+
     async def send(
         self, name: str, path: str, message: Any, kind: type[T], timeout: timedelta
     ) -> T:
+        """Send ``message`` to a peer and return its answer, decoded as ``kind``.
+
+        Raises ``HttpError`` where there is no usable answer.
+        """
         link = self._links.get(name)
         if link is None:
             raise HttpError(f"no controller {name}")
         status, body = await link.client.request("POST", path, encode(message), timeout=timeout)
-        if status != 200:
+        if status != HTTPStatus.OK:
             raise HttpError(f"{name}: status {status}")
         try:
             return decode(kind, body)
@@ -168,10 +220,14 @@
             raise HttpError(f"{name}: {problem}") from None
 
     async def relay(self, heartbeat: Heartbeat, leader: str, hops: int = 1) -> Relayed:
-        """A worker's report to the leader, over a third controller if need be."""
+        """Pass a worker's heartbeat to the leader, through a third controller if need be.
+
+        ``hops`` 0 allows the direct way only.  Raises ``HttpError`` where there is no answer.
+        """
+        message = Relay(heartbeat, 0)
         if leader in self.reaches() or hops == 0:
             try:
-                return await self.send(leader, "/relay", Relay(heartbeat, 0), Relayed, RELAY_TIME)
+                return await self.send(leader, "/relay", message, Relayed, RELAY_TIMEOUT)
             except HttpError:
                 if hops == 0:
                     raise
@@ -179,37 +235,38 @@
             if name == leader or link.pong is None or leader not in link.pong.reaches:
                 continue
             if name in self.reaches():
-                return await self.send(
-                    name, "/relay", Relay(heartbeat, 0), Relayed, RELAY_TIME * 1.5
-                )
+                return await self.send(name, "/relay", message, Relayed, INDIRECT_RELAY_TIMEOUT)
         raise HttpError(f"no way to {leader}")
 
     async def notify_cancel(self, job_id: str, needed: int) -> dict[str, bool]:
-        """Tell all peers of a cancellation.  Those that have put it on their list, and whether they
-        lead and a task of the job may still start.
+        """Notify all peers of a cancellation.
 
-        Returns when all that were heard of lately, and ``needed`` if so many can be had, have
-        answered; the rest are told all the same.
+        Returns the peers that have put it on their lists, and for each whether it leads and a task
+        of the job may still start.  Waits until all peers that were heard of lately have answered,
+        and ``needed`` of them if so many answer at all; the others are notified all the same.
         """
         answers: curio.Queue = curio.Queue()
-
-        async def tell(name: str) -> None:
-            held: bool | None = None
-            try:
-                held = not await self.send(
-                    name, "/notice", CancellationNotice(job_id), bool, NOTICE_TIME
-                )
-            except HttpError as problem:
-                log.debug("notice to %s: %s", name, problem)
-            await answers.put((name, held))
-
-        waiting, fresh = set(self._links), set(self.reaches())
+        waiting, reachable = set(self._links), set(self.reaches())
         for name in waiting:
-            await curio.spawn(tell, name, daemon=True)
+            await curio.spawn(self._notify_peer, name, job_id, answers, daemon=True)
         listed: dict[str, bool] = {}
-        while waiting & fresh or (waiting and len(listed) < needed):
-            name, held = await answers.get()
-            waiting.discard(name)
-            if held is not None:
-                listed[name] = held
+        while waiting & reachable or (waiting and len(listed) < needed):
+            answer: _NoticeAnswer = await answers.get()
+            waiting.discard(answer.peer)
+            if answer.may_start is not None:
+                listed[answer.peer] = answer.may_start
         return listed
+
+    async def _notify_peer(self, name: str, job_id: str, answers: curio.Queue) -> None:
+        may_start: bool | None = None
+        try:
+            may_start = not await self.send(
+                name, "/notice", CancellationNotice(job_id), bool, NOTICE_TIMEOUT
+            )
+        except HttpError as problem:
+            log.debug("cancellation notice failed: controller=%s reason=%s", name, problem)
+        await answers.put(_NoticeAnswer(name, may_start))
+
+
+def _milliseconds(value: float) -> timedelta:
+    return seconds(value / 1000)
--- a/micadeal/leadership/__init__.py
+++ b/micadeal/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Election under a lease of the state service, and the rules for standing down."""
+"""Leader election, the authority of a term, and lease renewal by followers."""
--- a/micadeal/leadership/election.py
+++ b/micadeal/leadership/election.py
@@ -1,4 +1,4 @@
-"""Who leads: one seat in the state service, held by a lease that the leader keeps alive."""
+"""Leader election through a leased lock in the state service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from micadeal.clock import ZERO, monotonic, seconds
+from micadeal.clock import ZERO, monotonic
 from micadeal.leadership.term import Term
 from micadeal.rollout import leader_lock as leader_locks
 from micadeal.rollout.leader_lock import LeaderLock
@@ -27,63 +27,79 @@
 
 log = logging.getLogger(__name__)
 
-#: Default: short, since no task is started while it runs out after a crash; several renewals
-#: still fit into it, so that one slow answer of the state service costs nothing.
-LEASE_TIME = timedelta(seconds=3)
-RENEW_EVERY = timedelta(milliseconds=700)
-#: How long the transaction that takes the seat may go without an answer before the seat is read.
-STAND_TIME = timedelta(milliseconds=900)
-#: How soon a leader that is told to stand down does so.
-RESIGN_LOOK = timedelta(milliseconds=100)
-WATCH_HOLD = timedelta(seconds=2)
+#: Kept short, since no task is started while the lease of a crashed leader runs out.  Several
+#: renewals still fit into it, so that one slow response of the state service costs nothing.
+LEASE_DURATION = timedelta(seconds=3)
+RENEW_INTERVAL = timedelta(milliseconds=700)
+RENEW_TIMEOUT = timedelta(milliseconds=900)
+#: Pause before a failed renewal is repeated.
+RENEW_RETRY_DELAY = timedelta(milliseconds=200)
+#: How long the transaction that takes the lock may go unanswered before the lock is read back.
+ACQUIRE_TIMEOUT = timedelta(milliseconds=900)
+#: How often a leader checks whether it was asked to resign.
+RESIGN_POLL_INTERVAL = timedelta(milliseconds=100)
+WATCH_TIMEOUT = timedelta(seconds=2)
+#: Pause after a round that failed.
+RETRY_DELAY = timedelta(milliseconds=300)
+#: Pause after ending the lease of our own previous term.
+RELEASE_DELAY = timedelta(milliseconds=20)
 
 
 @dataclass(frozen=True, slots=True)
 class Elected:
+    """This controller won an election."""
+
     term: Term
-    #: All that was recorded when we stood; the level is as it was then.
+    #: The records as read before the election; its level is the one read then.
     leader_lock: LeaderLock
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderLeaseRenewed:
+    """The lease of the current term was renewed."""
+
     token: int
     valid_until: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipLost:
+    """The term with this token is over for this controller."""
+
     token: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderObserved:
+    """Another controller holds the lock."""
+
     controller: str | None
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderLockRead:
+    """The lock, the feature level and the member records were read."""
+
     leader_lock: LeaderLock
 
 
-Listener = Callable[
-    [Elected | LeaderLeaseRenewed | LeadershipLost | LeaderObserved | LeaderLockRead],
-    Awaitable[None],
-]
+ElectionEvent = Elected | LeaderLeaseRenewed | LeadershipLost | LeaderObserved | LeaderLockRead
+ElectionListener = Callable[[ElectionEvent], Awaitable[None]]
 
 
 async def read_leader_lock(state: StateService) -> LeaderLock:
+    """Read the lock, the feature level and the member records from the state service."""
     items, revision = await state.range(LEADER_LOCK, Urgency.LEASE)
     leader = await state.get(LEADER, Urgency.LEASE)
     return leader_locks.read(items if leader is None else [leader, *items], revision)
 
 
 class Election:
-    """Takes part in elections and tells ``listener`` how they go.
+    """Takes part in elections and reports every event to its listener.
 
-    Owns the lease.  ``resign`` is the only thing others may ask of it.
+    Owns the lease.  Other components only call ``resign`` and ``retire``.
     """
 
     def __init__(
@@ -92,10 +108,14 @@
         process: Process,
         started_at: float,
         state: StateService,
-        listener: Listener,
+        listener: ElectionListener,
         election_delay: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
-        """``started_at``: time of day; ``deference``: how long to leave an empty seat to others."""
+        """Create a candidate that does nothing before ``run``.
+
+        ``started_at`` is the time of day at which the process started, in seconds since the epoch.
+        ``election_delay`` says how long to leave a free lock to other candidates.
+        """
         self._name = name
         self._process = process
         self._started_at = started_at
@@ -103,56 +123,58 @@
         self._listener = listener
         self._election_delay = election_delay
         self._watch = state.watch_client()
-        self._resigned: str | None = None
-        self._follower_leases = True
+        #: Why the current term is to end; None: it is not.
+        self._resign_reason: str | None = None
+        self._is_candidate = True
         self._registered = False
 
-    def resign(self, why: str = "a higher token was seen") -> None:
-        """Another leads, or shall lead, and not we."""
-        self._resigned = why
+    def resign(self, reason: str = "a higher token was seen") -> None:
+        """Give up the current term; the controller stays a candidate for later ones."""
+        self._resign_reason = reason
 
     def retire(self) -> None:
-        """This process is about to end: hand over, and stand no more."""
-        self._follower_leases = False
+        """Hand over the leadership, if held, and take part in no further election."""
+        self._is_candidate = False
         self.resign("this process ends")
 
     async def run(self) -> None:
+        """Take part in elections until cancelled."""
         while True:
             try:
-                await self._round()
+                await self._run_round()
             except (
                 StateServiceError,
                 LeaseExpiredError,
                 ConflictError,
                 MessageFormatError,
             ) as problem:
-                log.debug("election: %s", problem)
-                await sleep(timedelta(milliseconds=300))
+                log.debug("election round failed: reason=%s", problem)
+                await sleep(RETRY_DELAY)
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         leader_lock = await read_leader_lock(self._state)
         if not self._registered or MEMBER + self._name not in leader_lock.versions:
-            # Never again otherwise: two processes under one name would go on replacing each other.
+            # Not in any other case: two processes under one name would keep replacing each other.
             leader_lock = await self._register(leader_lock)
         await self._listener(LeaderLockRead(leader_lock))
         if leader_lock.taken and leader_lock.leader is not None:
             if leader_lock.leader.controller == self._name:
-                # Our own earlier process, or a transaction of ours that was applied without an
-                # answer: that term is over either way, and nobody need wait for its lease.
+                # Held by our previous process, or by a transaction of ours that was applied
+                # without a response: that term is over, and no one need wait for its lease.
                 await self._state.end_lease(leader_lock.lease)
-                await sleep(timedelta(milliseconds=20))
+                await sleep(RELEASE_DELAY)
                 return
             await self._listener(LeaderObserved(leader_lock.leader.controller, leader_lock.token))
-        elif (
-            self._follower_leases
-            and leader_locks.refusal(leader_lock, self._name, self._process) is None
-        ):
-            await self._stand(leader_lock)
+        elif self._is_candidate and self._is_eligible(leader_lock):
+            await self._campaign(leader_lock)
             return
         await self._await_change(leader_lock)
 
+    def _is_eligible(self, leader_lock: LeaderLock) -> bool:
+        return leader_locks.refusal(leader_lock, self._name, self._process) is None
+
     async def _register(self, leader_lock: LeaderLock) -> LeaderLock:
-        """Write the record of our process, before it takes part in anything."""
+        """Write the member record of this process, before it takes part in anything."""
         if not leader_locks.registered(leader_lock, self._name, self._process):
             conditions, changes = leader_locks.registration(
                 leader_lock, self._name, self._process, self._started_at
@@ -163,78 +185,85 @@
         return leader_lock
 
     async def _await_change(self, leader_lock: LeaderLock) -> None:
-        # What ends a term changes there.
+        """Return when the lock may have changed, at the latest after an idle watch timed out."""
+        # The key that changes when a term ends has this prefix.
         prefix = LEADER_LOCK if leader_lock.fenced else LEADER
         after = leader_lock.revision
         while True:
             try:
-                found = await self._state.changes(prefix, after, WATCH_HOLD, self._watch)
+                changes = await self._state.changes(prefix, after, WATCH_TIMEOUT, self._watch)
             except RevisionCompactedError:
                 return
-            if any(event.version > leader_lock.revision for event in found.events):
+            if any(event.version > leader_lock.revision for event in changes.events):
                 return
-            after = max(after, found.revision)
-            if not found.events:
-                # A watch that was opened on a connection since cut would never tell: look again.
+            after = max(after, changes.revision)
+            if not changes.events:
+                # A watch on a connection that was cut meanwhile would never report: read again.
                 return
 
-    async def _stand(self, leader_lock: LeaderLock) -> None:
-        wait = self._election_delay()
-        if wait:
-            await sleep(wait)
+    async def _campaign(self, leader_lock: LeaderLock) -> None:
+        """Try to take the free lock; if that succeeds, lead until the term is over."""
+        delay = self._election_delay()
+        if delay:
+            await sleep(delay)
             leader_lock = await read_leader_lock(self._state)
-            if (
-                leader_lock.taken
-                or leader_locks.refusal(leader_lock, self._name, self._process) is not None
-            ):
+            if leader_lock.taken or not self._is_eligible(leader_lock):
                 return
-        sent = monotonic()
-        lease = await self._state.new_lease(LEASE_TIME)
-        conditions, changes = leader_locks.follower_leases(
-            leader_lock, self._name, self._process, lease
-        )
+        sent_at = monotonic()
+        lease = await self._state.new_lease(LEASE_DURATION)
+        token = await self._acquire(leader_lock, lease)
+        if token is None:
+            return
+        if self._is_candidate:
+            self._resign_reason = None
+        term = Term(token, lease, lease_end(sent_at, LEASE_DURATION), None, token)
+        log.info("elected as leader: token=%d", token)
+        await self._listener(Elected(term, leader_lock))
+        reason = await self._keep_lease(term, sent_at)
+        log.info("term ended: token=%d reason=%s", token, reason)
+        await self._listener(LeadershipLost(token, reason))
+
+    async def _acquire(self, leader_lock: LeaderLock, lease: int) -> int | None:
+        """Take the lock with ``lease``; the token of the term, or None if another was faster."""
+        conditions, changes = leader_locks.acquisition(leader_lock, self._name, lease)
         try:
-            token = await self._state.commit(conditions, changes, Urgency.LEASE, STAND_TIME)
+            return await self._state.commit(conditions, changes, Urgency.LEASE, ACQUIRE_TIMEOUT)
         except ConflictError:
             await self._state.end_lease(lease)
-            return
+            return None
         except StateServiceError as problem:
-            # Guards against seconds without a leader where answers are lost: nobody else knows
-            # this lease, so a seat that is held by it is ours, and the term has begun.
-            log.debug("standing: %s", problem)
-            found = await read_leader_lock(self._state)
-            if not found.taken or found.lease != lease:
+            # Guards against seconds without a leader where responses are lost: no one else knows
+            # this lease, so a lock that is held with it is ours, and the term has begun.
+            log.debug("outcome of the election unknown: reason=%s", problem)
+            current = await read_leader_lock(self._state)
+            if not current.taken or current.lease != lease:
                 raise
-            token = found.token
-        self._resigned = None if self._follower_leases else self._resigned
-        term = Term(token, lease, lease_end(sent, LEASE_TIME), None, token)
-        log.info("elected with token %d", token)
-        await self._listener(Elected(term, leader_lock))
-        why = await self._keep(term, sent)
-        log.info("term %d is over: %s", token, why)
-        await self._listener(LeadershipLost(token, why))
-
-    async def _keep(self, term: Term, sent: timedelta) -> str:
-        """Renew until the lease is gone; an outage alone does not end the term.  ``sent``: when the
-        lease was asked for."""
-        due = sent + RENEW_EVERY
+            return current.token
+
+    async def _keep_lease(self, term: Term, sent_at: timedelta) -> str:
+        """Renew the lease until it is gone or given up; return the reason for the end.
+
+        An outage of the state service alone does not end the term.  ``sent_at`` is when the lease
+        was requested.
+        """
+        due = sent_at + RENEW_INTERVAL
         while True:
-            while self._resigned is None and monotonic() < due:
-                await sleep(min(due - monotonic(), RESIGN_LOOK))
-            if self._resigned is not None:
+            while self._resign_reason is None and monotonic() < due:
+                await sleep(min(due - monotonic(), RESIGN_POLL_INTERVAL))
+            if self._resign_reason is not None:
                 try:
                     await self._state.end_lease(term.lease)
                 except StateServiceError:
-                    log.debug("the lease of token %d is left to run out", term.token)
-                return self._resigned
-            sent = monotonic()
-            due = sent + RENEW_EVERY
+                    log.debug("lease not released, it will expire: token=%d", term.token)
+                return self._resign_reason
+            sent_at = monotonic()
+            due = sent_at + RENEW_INTERVAL
             try:
-                await self._state.renew(term.lease, timeout=seconds(0.9))
+                await self._state.renew(term.lease, timeout=RENEW_TIMEOUT)
             except LeaseExpiredError:
                 return "the lease has run out"
             except StateServiceError as problem:
-                log.debug("renewal: %s", problem)
-                due = monotonic() + seconds(0.2)
+                log.debug("lease renewal failed: token=%d reason=%s", term.token, problem)
+                due = monotonic() + RENEW_RETRY_DELAY
                 continue
-            await self._listener(LeaderLeaseRenewed(term.token, lease_end(sent, LEASE_TIME)))
+            await self._listener(LeaderLeaseRenewed(term.token, lease_end(sent_at, LEASE_DURATION)))
--- a/micadeal/leadership/follower_leases.py
+++ b/micadeal/leadership/follower_leases.py
@@ -1,23 +1,28 @@
-"""Who may keep workers' leases alive while nobody can lead, and what that forbids others.  Pure.
+"""Rules for renewing workers' leases as a follower while no leader can act.
 
-A worker takes an answer with the token that it knows from any controller.  So a follower that was
-told the present token can *stand in* for a leader that is gone while the state service is away.
-Two things must never happen beside it: the leader, which may only be out of its reach, counts a
-lease as over that the follower has renewed (``ran_twice``); and a user is told "cancelled" by a
-controller whose word the follower has not got (``ran_cancelled``).
+A worker accepts a response with the token that it knows from any controller.  So a follower that
+was told the current token can renew leases in place of a leader that is gone while the state
+service is out of reach.  Two things must never happen at the same time: the leader, which may only
+be unreachable from the follower, treats a lease as expired that the follower has renewed
+(``ran_twice``); and a user is told "cancelled" by a controller whose cancellation the follower does
+not know (``ran_cancelled``).
 
 Both are excluded by majorities, of which any two share a controller (docs/safety.md):
 
-- a follower stands in only with the *consent* of so many others that it makes a majority with
-  them;
-- a leader counts a lease as over only with the *word* of so many others, that they neither stand in
-  nor consent, that it makes a majority with them.  Whoever answers a leader's ping gives that word
-  for ``abstain`` from then on, and consents to nothing so long;
-- "cancelled" is told only once a majority, the teller among it, has the job on its list of
-  cancellations; whoever stands in stops what is on its own list and on those of the consenting.
+- A follower renews leases only with the *votes* of so many other controllers that they make a
+  majority together with it.
+- A leader treats a lease as expired only with the *promises* of so many others that they make a
+  majority together with it.  Whoever answers a leader's ping promises neither to renew leases nor
+  to vote for ``abstain_duration`` from then on.
+- "Cancelled" is told to a user only once a majority, which includes the controller that tells it,
+  has the job on its list of cancellations.  A follower that renews leases stops what is on its own
+  list and on those of its voters.
 
-Instants are steady time of the controller that reasons; what another one says is dated by the
-question that it answers, so nothing that was held by the network is taken for news.
+Messages between controllers call a vote ``consent`` (wire/peers.py).
+
+Pure: no input or output, and the caller passes the time.  Instants are monotonic time of the
+controller that decides.  What a peer says is dated by the question that it answers, so a response
+that the network delayed does not count as recent.
 """
 
 from __future__ import annotations
@@ -29,186 +34,239 @@
 from micadeal.clock import DRIFT, seconds
 from micadeal.wire.workers import Command, CommandKind, Heartbeat, TaskState
 
-#: How long the word given with an answer to a leader's ping holds.  Leaders ping every second.
-ABSTAIN = seconds(4)
-#: How long a consent holds: a controller that crashes is back and may consent anew meanwhile.
-CONSENT = seconds(12)
-#: For the drift of two clocks over such spans.
-SLACK = seconds(0.1)
+#: How long the promise given with the answer to a leader's ping holds.  Leaders ping every second.
+ABSTAIN_DURATION = seconds(4)
+#: How long a vote holds.  A controller that crashes is back within that time and can vote again.
+VOTE_DURATION = seconds(12)
+#: For the drift between two clocks over such durations.
+CLOCK_SLACK = seconds(0.1)
+#: With fewer controllers there is no majority without the leader.
+MIN_CLUSTER_SIZE = 3
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalTiming:
-    #: After a silence of this length a worker's lease has certainly run out.
+    """The durations and the cluster size that the rules depend on."""
+
+    #: A worker that was not heard of for so long has certainly lost its lease.
     lease_expiry: timedelta
     #: A task must be gone so long after its user was told "cancelled".
-    cancel: timedelta
-    #: How many controllers there are.
-    size: int
-    abstain: timedelta = ABSTAIN
-    consent: timedelta = CONSENT
-    slack: timedelta = SLACK
+    cancel_timeout: timedelta
+    #: The number of controllers.
+    cluster_size: int
+    abstain_duration: timedelta = ABSTAIN_DURATION
+    vote_duration: timedelta = VOTE_DURATION
+    clock_slack: timedelta = CLOCK_SLACK
 
     @property
     def majority(self) -> int:
-        return self.size // 2 + 1
+        """The number of controllers that make a majority."""
+        return self.cluster_size // 2 + 1
 
     @property
     def possible(self) -> bool:
-        """Whether standing in can be safe and of use here: a cancellation that a consenting
-        controller learned of reaches the one that stands in before its consent is over, or the
-        workers' leases have run out in time; and there is a majority without the leader."""
-        return self.size >= 3 and self.consent + self.lease_expiry <= self.cancel
+        """Whether renewal by followers can be safe and useful with these durations.
+
+        There must be a majority without the leader.  And a cancellation that a voter learned of
+        must reach the follower before the vote is over, or the workers' leases must have expired
+        in time.
+        """
+        return (
+            self.cluster_size >= MIN_CLUSTER_SIZE
+            and self.vote_duration + self.lease_expiry <= self.cancel_timeout
+        )
 
     @property
-    def settled(self) -> timedelta:
-        """After this nothing told before is of any concern: the tasks have to be gone."""
-        return self.cancel * (1 + 2 * DRIFT) + self.slack
+    def cancellation_retention(self) -> timedelta:
+        """How long a cancellation matters: after that its tasks have to be gone."""
+        return self.cancel_timeout * (1 + 2 * DRIFT) + self.clock_slack
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalState:
-    """What a controller remembers of itself.  A restart forgets it: ``born`` stands for that."""
+    """What a controller remembers of itself.  A restart loses it: ``started_at`` dates that."""
 
-    born: timedelta
-    #: Highest token whose leader has spoken to us, and when it last did.
+    started_at: timedelta
+    #: Highest token whose leader has contacted us, and when it last did.
     token: int = 0
-    led: timedelta | None = None
-    #: The last token under which we stood in or consented, and until when that holds.
-    bound_token: int = 0
-    bound_until: timedelta | None = None
+    leader_heard_at: timedelta | None = None
+    #: The last token under which we renewed leases or voted, and until when that commits us.
+    committed_token: int = 0
+    committed_until: timedelta | None = None
 
-    def hear_leader(self, token: int, now: timedelta) -> RenewalState:
-        """The leader of a term has spoken: we keep quiet for it from now on."""
+    def with_leader_contact(self, token: int, now: timedelta) -> RenewalState:
+        """Return the state after the leader of a term has contacted us.
+
+        From then on we abstain for it.  A past term changes nothing.
+        """
         if token < self.token:
             return self
-        return replace(self, token=token, led=now)
+        return replace(self, token=token, leader_heard_at=now)
 
-    def bind(self, token: int, until: timedelta) -> RenewalState:
-        if token < self.bound_token:
+    def with_commitment(self, token: int, until: timedelta) -> RenewalState:
+        """Return the state after a vote or a renewal under ``token`` that holds ``until``."""
+        if token < self.committed_token:
             return self
-        if token == self.bound_token and self.bound_until is not None:
-            until = max(until, self.bound_until)
-        return replace(self, bound_token=token, bound_until=until)
+        if token == self.committed_token and self.committed_until is not None:
+            until = max(until, self.committed_until)
+        return replace(self, committed_token=token, committed_until=until)
 
 
 @dataclass(frozen=True, slots=True)
-class RenewalPromise:
-    """What a controller says of itself in answer to a ping; spans count from the answer."""
+class PeerReport:
+    """What a peer says of itself in answer to a ping; durations count from the answer."""
 
     age: timedelta
-    #: Its list of cancellations lacks nothing that its earlier process may have known.
+    #: Its list of cancellations lacks nothing that its previous process may have known.
     synced: bool
-    #: The token of the consent given with this answer; 0: none.
-    consent: int = 0
-    bound_token: int = 0
-    #: How long it is still bound; negative: so long it has not been.
-    bound: timedelta = timedelta(0)
-    #: It came with its list of cancellations.
-    told: bool = False
+    #: The token of the vote given with this answer; 0: none.
+    vote_token: int = 0
+    committed_token: int = 0
+    #: How long it is still committed; negative: how long it has not been.
+    committed_for: timedelta = timedelta(0)
+    #: The answer came with the peer's list of cancellations.
+    has_list: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRenewalView:
     """What we know of one other controller."""
 
-    #: When we asked what it answered last; None: it never did, or by a version without words.
-    asked: timedelta | None = None
-    #: Since when all its answers came with words.
-    speaks_since: timedelta | None = None
-    #: Until when it neither stands in nor consents, as it has promised us.
-    quiet_until: timedelta | None = None
-    #: The latest instant at which its present process can have been started.
-    born: timedelta | None = None
-    consent: int = 0
-    consent_until: timedelta | None = None
-    bound_token: int = 0
-    bound_until: timedelta | None = None
-    #: When we asked for the last list of cancellations that it gave us while it was synced.
-    told: timedelta | None = None
-    #: The same for the last list at all: it lacks at most what an earlier process of its told.
-    listed: timedelta | None = None
-
-    def hear(
+    #: When we sent the ping that it answered last; None: it never answered.
+    asked_at: timedelta | None = None
+    #: Since when all its answers came with a report; None: its version sends none.
+    reports_since: timedelta | None = None
+    #: Until when it neither renews leases nor votes, as it has promised us.
+    abstains_until: timedelta | None = None
+    #: The latest instant at which its current process can have started.
+    started_at: timedelta | None = None
+    vote_token: int = 0
+    vote_until: timedelta | None = None
+    committed_token: int = 0
+    committed_until: timedelta | None = None
+    #: When we asked for the last list of cancellations that it sent while it was synced.
+    synced_list_asked_at: timedelta | None = None
+    #: The same for its last list of any kind, which may lack what its previous process knew.
+    list_asked_at: timedelta | None = None
+
+    def with_answer(
         self,
-        word: RenewalPromise | None,
-        asked: timedelta,
+        report: PeerReport | None,
+        asked_at: timedelta,
         now: timedelta,
         token: int,
         timing: RenewalTiming,
     ) -> PeerRenewalView:
-        """Its answer to our ping; ``token`` is that of the term we led when we asked, else 0."""
-        if self.asked is not None and asked < self.asked:
+        """Return the view after the peer's answer to our ping.
+
+        ``token`` is that of the term we led when we asked, else 0.  ``report`` is None if the
+        peer's version sends none, or renewal by followers is switched off there.
+        """
+        if self.asked_at is not None and asked_at < self.asked_at:
             return self
-        quiet = asked + timing.abstain - timing.slack if token else self.quiet_until
-        if word is None:
-            # The version before: it never stands in, consents or counts lists.
-            return PeerRenewalView(asked=asked, quiet_until=quiet)
-        # A consent says nothing without the list that goes with it.
-        consent = word.consent if word.told else 0
-        born = now - word.age
-        # A process speaks with words from its start on or never: who was started a moment ago
-        # itself need not hear an old one for long to know that.
-        since = min(asked, born) if self.speaks_since is None else self.speaks_since
+        abstains_until = self.abstains_until
+        if token:
+            abstains_until = asked_at + timing.abstain_duration - timing.clock_slack
+        if report is None:
+            # An earlier version: it never renews, votes or keeps a list.
+            return PeerRenewalView(asked_at=asked_at, abstains_until=abstains_until)
+        return self._with_report(report, asked_at, now, abstains_until, timing)
+
+    def _with_report(
+        self,
+        report: PeerReport,
+        asked_at: timedelta,
+        now: timedelta,
+        abstains_until: timedelta | None,
+        timing: RenewalTiming,
+    ) -> PeerRenewalView:
+        # A vote does not count without the list that goes with it.
+        vote_token = report.vote_token if report.has_list else 0
+        started_at = now - report.age
+        # A process sends reports from its start on or never.  So a controller that has itself just
+        # started need not listen to an old process for long to know that.
+        reports_since = self.reports_since
+        if reports_since is None:
+            reports_since = min(asked_at, started_at)
         return PeerRenewalView(
-            asked=asked,
-            speaks_since=since,
-            quiet_until=quiet,
-            born=born,
-            consent=consent,
-            consent_until=asked + timing.consent - timing.slack if consent else None,
-            bound_token=word.bound_token,
-            bound_until=now + word.bound if word.bound_token else None,
-            told=asked if word.told and word.synced else self.told,
-            listed=asked if word.told else self.listed,
+            asked_at=asked_at,
+            reports_since=reports_since,
+            abstains_until=abstains_until,
+            started_at=started_at,
+            vote_token=vote_token,
+            vote_until=asked_at + timing.vote_duration - timing.clock_slack if vote_token else None,
+            committed_token=report.committed_token,
+            committed_until=now + report.committed_for if report.committed_token else None,
+            synced_list_asked_at=(
+                asked_at if report.has_list and report.synced else self.synced_list_asked_at
+            ),
+            list_asked_at=asked_at if report.has_list else self.list_asked_at,
         )
 
     def keeps_list(self, now: timedelta, timing: RenewalTiming) -> bool:
-        """Whether it has kept a list of cancellations for so long that nothing told by a version
-        without lists, which tells "cancelled" by itself, is of any concern."""
-        return self.speaks_since is not None and now - self.speaks_since >= timing.settled
+        """Return whether the peer has kept a list of cancellations for long enough.
 
+        A version without lists confirms cancellations on its own; none of these may matter still.
+        """
+        return (
+            self.reports_since is not None
+            and now - self.reports_since >= timing.cancellation_retention
+        )
 
-def synced(
-    memory: RenewalState, views: Iterable[PeerRenewalView], now: timedelta, timing: RenewalTiming
+
+def is_synced(
+    state: RenewalState, views: Iterable[PeerRenewalView], now: timedelta, timing: RenewalTiming
 ) -> bool:
-    """Whether our list of cancellations lacks nothing: what an earlier process of ours had on it
-    is over by now, or was given to us by *all* others, whose lists lack nothing."""
-    if now - memory.born >= timing.settled:
+    """Return whether our list of cancellations lacks nothing.
+
+    What our previous process had on its list must not matter any more, or must have been sent to us
+    by *all* others, whose lists lack nothing.
+    """
+    if now - state.started_at >= timing.cancellation_retention:
         return True
-    return all(view.told is not None and view.told >= memory.born for view in views)
+    return all(
+        view.synced_list_asked_at is not None and view.synced_list_asked_at >= state.started_at
+        for view in views
+    )
 
 
-def may_consent(
-    memory: RenewalState, token: int, synced: bool, now: timedelta, timing: RenewalTiming
+def may_vote(
+    state: RenewalState, token: int, synced: bool, now: timedelta, timing: RenewalTiming
 ) -> bool:
-    """Whether another controller may be allowed to stand in under ``token``.
+    """Return whether another controller may get our vote to renew leases under ``token``.
 
-    Not while our word to that leader, or one that an earlier process of ours gave, still holds.
+    Guards ``ran_twice``: not while our promise to that leader, or one that our previous process
+    gave, still holds.
     """
-    since = memory.born if memory.led is None else max(memory.born, memory.led)
-    return synced and 0 < token >= memory.token and now - since >= timing.abstain + timing.slack
+    since = state.started_at
+    if state.leader_heard_at is not None:
+        since = max(since, state.leader_heard_at)
+    return (
+        synced
+        and 0 < token >= state.token
+        and now - since >= timing.abstain_duration + timing.clock_slack
+    )
 
 
 def may_renew_leases(
-    memory: RenewalState,
+    state: RenewalState,
     views: Iterable[PeerRenewalView],
     synced: bool,
     now: timedelta,
     timing: RenewalTiming,
 ) -> bool:
-    """Whether to answer workers under the token that we were told, with no starts."""
-    if not timing.possible or not memory.token:
+    """Return whether to answer workers under the token that we were told, with no starts."""
+    if not timing.possible or not state.token:
         return False
-    if not may_consent(memory, memory.token, synced, now, timing):
+    if not may_vote(state, state.token, synced, now, timing):
         return False
-    consents = 0
+    votes = 0
     for view in views:
         if not view.keeps_list(now, timing):
             return False
-        if view.consent == memory.token and view.consent_until is not None:
-            consents += now < view.consent_until
-    return consents >= timing.majority - 1
+        if view.vote_token == state.token and view.vote_until is not None:
+            votes += now < view.vote_until
+    return votes >= timing.majority - 1
 
 
 def may_expire_leases(
@@ -218,27 +276,31 @@
     now: timedelta,
     timing: RenewalTiming,
 ) -> bool:
-    """Whether a leader may take the leases of workers that are silent to it for run out: nobody
-    else can have renewed one in the last ``lease_expiry``.
+    """Return whether a leader may treat the leases of workers that it does not hear as expired.
 
-    A term's token is unknown to all before it began, so only what came after that counts.
+    Guards ``ran_twice``: no other controller can have renewed one in the last ``lease_expiry``.
+    ``began`` is the start of the term.  Nobody knew its token before, so only what came after that
+    counts.
     """
-    words = 0
+    promises = 0
     for view in views:
-        if view.quiet_until is None or now >= view.quiet_until:
+        if view.abstains_until is None or now >= view.abstains_until:
             continue
-        bound = began - timing.lease_expiry
-        if view.born is not None and view.born > began:
-            # What its earlier process consented to it does not know.
-            bound = view.born + timing.consent + timing.slack
-        if view.bound_token >= token and view.bound_until is not None:
-            bound = max(bound, view.bound_until)
-        words += now - bound > timing.lease_expiry
-    return words >= timing.majority - 1
+        last_renewal = began - timing.lease_expiry
+        if view.started_at is not None and view.started_at > began:
+            # It does not know what its previous process voted for.
+            last_renewal = view.started_at + timing.vote_duration + timing.clock_slack
+        if view.committed_token >= token and view.committed_until is not None:
+            last_renewal = max(last_renewal, view.committed_until)
+        promises += now - last_renewal > timing.lease_expiry
+    return promises >= timing.majority - 1
 
 
 def stop_commands(heartbeat: Heartbeat, cancelled: Container[str]) -> list[Command]:
-    """What to stop of what a worker shows, by whoever answers it without a picture of the jobs."""
+    """Return the stops for tasks of cancelled jobs that a worker reports.
+
+    For controllers that answer a worker without having read the records of the jobs.
+    """
     commands: list[Command] = []
     for task in heartbeat.tasks:
         job_id, _, _ = task.task.rpartition("/")
@@ -250,32 +312,38 @@
 def cancellations_known_until(
     views: Iterable[PeerRenewalView], now: timedelta, timing: RenewalTiming
 ) -> timedelta | None:
-    """Up to which instant a controller, itself synced, knows of every cancellation told, if it has
-    taken in all lists that it was given; None if it can't say."""
-    told: list[timedelta] = []
+    """Return up to which instant a synced controller knows of every confirmed cancellation.
+
+    It must have merged all lists that it was sent.  None if there is no such instant.
+    """
+    asked_at: list[timedelta] = []
     for view in views:
         if not view.keeps_list(now, timing):
             return None
-        if view.told is not None:
-            told.append(view.told)
-    told.sort(reverse=True)
-    others = timing.majority - 1
-    return told[others - 1] if 0 < others <= len(told) else None
+        if view.synced_list_asked_at is not None:
+            asked_at.append(view.synced_list_asked_at)
+    asked_at.sort(reverse=True)
+    needed = timing.majority - 1
+    return asked_at[needed - 1] if 0 < needed <= len(asked_at) else None
 
 
 def cancellations_listed_until(
     views: Iterable[PeerRenewalView], informed: timedelta | None
 ) -> timedelta | None:
-    """Up to which instant a leader knows of every cancellation told, if it has taken in all lists
-    that it was given, whole or not; None if it can't say.
+    """Return up to which instant a leader knows of every cancellation from lists of any kind.
 
-    ``informed``: up to then the records said so.  Guards work where all controllers were started a
-    moment ago: what an earlier process of another has told is in no list, but was recorded before
-    the present one was started, so the leader has read it if that was before ``informed``.
+    It must have merged all lists that it was sent, synced or not.  None if there is no such
+    instant.  ``informed`` is up to when the records that it has read say so.
+
+    Guards work where all controllers have just started: what the previous process of a peer
+    confirmed is on no list, but was recorded before the current process started, so the leader has
+    read it if that was before ``informed``.
     """
-    listed: list[timedelta] = []
+    asked_at: list[timedelta] = []
     for view in views:
-        if informed is None or view.listed is None or view.born is None or view.born > informed:
+        if informed is None or view.list_asked_at is None:
+            return None
+        if view.started_at is None or view.started_at > informed:
             return None
-        listed.append(view.listed)
-    return min(listed, default=None)
+        asked_at.append(view.list_asked_at)
+    return min(asked_at, default=None)
--- a/micadeal/rollout/__init__.py
+++ b/micadeal/rollout/__init__.py
@@ -1,1 +1,4 @@
-"""Which versions serve, at which level they do so together, and how that level moves.  Pure."""
+"""Feature levels: which versions may serve together, and how the level in force changes.
+
+Pure: no input or output.
+"""
--- a/micadeal/rollout/feature_level.py
+++ b/micadeal/rollout/feature_level.py
@@ -1,4 +1,4 @@
-"""Levels: what all controllers of a deployment write and do together.
+"""Feature levels: what all controllers of a deployment write and do together.
 
 A level is a number that stands for layouts of records and for behaviours.  It is never renumbered
 or given another meaning.  Which one is in force is recorded (``LevelRecord``); a build says from
@@ -12,12 +12,17 @@
 
 from micadeal.wire.state import LevelRecord
 
+#: A record with a higher level is damaged.
+MAX_LEVEL = 999
+
 
 class FeatureLevel(IntEnum):
-    #: As the versions that know of no levels write and behave; in force where no record says more.
+    """All levels that this version knows."""
+
+    #: What the versions without levels write and do; in force where no record says otherwise.
     FIRST = 0
-    #: ``leader`` never vanishes, so those versions can't be elected; finished sets are in small
-    #: chunks only, and placements in shared records only; followers may stand in for a leader.
+    #: ``leader`` is never deleted, so those versions can't be elected; finished sets are in small
+    #: chunks only, and placements in shared records only; followers may renew workers' leases.
     FENCED = 1
 
 
@@ -33,7 +38,7 @@
     highest: int = int(FeatureLevel.FENCED)
 
     def refusal(self, record: LevelRecord) -> str | None:
-        """Why a process of this build may neither lead nor serve users; None: it may."""
+        """Return why a process of this build may neither lead nor serve users; None: it may."""
         if record.level > self.highest:
             return (
                 f"level {record.level} is in force, and build {self.name} knows levels up to "
@@ -47,5 +52,6 @@
         return None
 
 
-def sensible(record: LevelRecord) -> bool:
-    return 0 <= record.oldest <= record.writes <= record.level < 1000
+def is_valid(record: LevelRecord) -> bool:
+    """Return whether the numbers of a level record are consistent."""
+    return 0 <= record.oldest <= record.writes <= record.level <= MAX_LEVEL
--- a/micadeal/rollout/membership.py
+++ b/micadeal/rollout/membership.py
@@ -1,7 +1,7 @@
-"""Who is present, of which process and level, how surely and since when.
+"""Which controllers are present, with which process and build, and since when.
 
-Instants are steady time of the controller that reasons.  What a peer says is dated by the question
-that it answers, so nothing that the network held is taken for news.
+Instants are monotonic time of the controller that observes.  What a peer says is dated by the
+question that it answers, so a response that the network delayed does not count as recent.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from micadeal.clock import seconds
 from micadeal.rollout.feature_level import Build
 
-#: A peer that answered a question asked within this time is present.  They are asked every second.
-FRESH = seconds(2.5)
-#: Processes started within this time of each other count as equally old, and one that is older than
-#: ``ROLL`` is no sign of a roll.
-ALIKE = seconds(8)
-ROLL = seconds(300)
-#: How long a process that will probably be ended soon leaves an empty seat to others.
+#: A peer that answered a ping sent within this time is present.  Pings are sent every second.
+PRESENCE_TIMEOUT = seconds(2.5)
+#: Processes started within this time of each other count as equally old.
+SAME_AGE_TOLERANCE = seconds(8)
+#: A process that is older than this is no sign of a rollout in progress.
+ROLLOUT_WINDOW = seconds(300)
+#: How long a process that will probably be replaced soon leaves a free lock to others.
 ELECTION_DELAY = seconds(0.4)
 
 
@@ -33,96 +33,111 @@
 
 
 class Presence(Enum):
+    """How well a peer can be reached, best first; the values are shown to operators."""
+
     PRESENT = "present"
-    #: It has not answered us lately, but a peer that is present says that it answers there: a cut
-    #: between the two of us, or refused connections.
+    #: It has not answered us lately, but a peer that is present says that it answers there: the
+    #: network between us is partitioned, or it refuses our connections.
     SEEN_BY_OTHERS = "seen by others only"
-    #: Nobody present hears it: it is down, stands still, or is cut off.
+    #: No controller that is present reaches it: it is down, stalled or cut off.
     SILENT = "silent"
     UNSEEN = "never seen"
 
 
 @dataclass(frozen=True, slots=True)
 class PeerObservation:
-    """What we know of one other controller from its answers to our questions."""
+    """What we know of one other controller from its answers to our pings."""
 
-    #: None: it never answered, or is of a version that knows of no levels.
+    #: None: it never answered, or its version knows no levels.
     process: Process | None = None
-    #: When the first question was asked that its present process has answered.
-    since: timedelta | None = None
-    #: When the last question was asked that it has answered.
-    heard: timedelta | None = None
-    #: The latest instant at which its present process can have been started.
-    born: timedelta | None = None
-    #: It had an answer of the state service no longer ago than this.
+    #: When the first ping was sent that its current process has answered.
+    first_asked_at: timedelta | None = None
+    #: When the last ping was sent that it has answered.
+    last_asked_at: timedelta | None = None
+    #: The latest instant at which its current process can have started.
+    started_at: timedelta | None = None
+    #: It had a response of the state service no longer ago than this.
     state_age: timedelta | None = None
-    #: Whom it hears.
+    #: The controllers that it reaches.
     reaches: frozenset[str] = frozenset()
-    #: How often its process was found to be another one.
+    #: How often its process was found to be a different one.
     restarts: int = 0
 
-    def hear(
+    def with_answer(
         self,
         process: Process | None,
-        asked: timedelta,
+        asked_at: timedelta,
         now: timedelta,
         age: timedelta | None = None,
         state_age: timedelta | None = None,
         reaches: Iterable[str] = (),
     ) -> PeerObservation:
-        if self.heard is not None and asked < self.heard:
+        """Return the observation after the answer to a ping that was sent at ``asked_at``.
+
+        ``age`` is that of the process, None if its version does not tell it.
+        """
+        if self.last_asked_at is not None and asked_at < self.last_asked_at:
             return self
-        same = self.heard is not None and process == self.process
+        answered_before = self.last_asked_at is not None
+        same_process = answered_before and process == self.process
         return PeerObservation(
             process,
-            self.since if same else asked,
-            asked,
+            self.first_asked_at if same_process else asked_at,
+            asked_at,
             None if age is None else now - age,
             state_age,
             frozenset(reaches),
-            self.restarts + (self.heard is not None and not same),
+            self.restarts + (answered_before and not same_process),
         )
 
     def present(self, now: timedelta) -> bool:
-        return self.heard is not None and now - self.heard < FRESH
+        """Return whether the peer answered a recent ping of ours."""
+        return self.last_asked_at is not None and now - self.last_asked_at < PRESENCE_TIMEOUT
 
-    def shown(self, now: timedelta) -> timedelta:
-        """For how long the present process has answered without another one in between."""
-        if self.since is None or self.heard is None or not self.present(now):
+    def present_for(self, now: timedelta) -> timedelta:
+        """Return for how long the current process has answered; zero if it does not now."""
+        if self.first_asked_at is None or self.last_asked_at is None or not self.present(now):
             return timedelta(0)
-        return self.heard - self.since
+        return self.last_asked_at - self.first_asked_at
 
 
 def presence(name: str, observations: Mapping[str, PeerObservation], now: timedelta) -> Presence:
+    """Return the presence of controller ``name``, also by what the other peers reach."""
     observation = observations[name]
     if observation.present(now):
         return Presence.PRESENT
     others = (other for peer, other in observations.items() if peer != name)
     if any(other.present(now) and name in other.reaches for other in others):
         return Presence.SEEN_BY_OTHERS
-    return Presence.SILENT if observation.heard is not None else Presence.UNSEEN
+    return Presence.SILENT if observation.last_asked_at is not None else Presence.UNSEEN
 
 
 def election_delay(
     own: Process,
-    born: timedelta,
+    started_at: timedelta,
     observations: Iterable[PeerObservation],
-    state_reachable: timedelta,
+    max_state_age: timedelta,
     now: timedelta,
 ) -> timedelta:
-    """How long to leave an empty seat to others before standing for it.
+    """Return how long to leave a free lock to others before campaigning for it.
 
-    Guards against needless elections in a roll: a process that was not replaced yet, while others
-    were a moment ago, will be ended again soon.  Only a help: whoever is not there to stand costs
-    this wait, and nothing else.
+    Guards against needless elections in a rollout: a process that was not replaced yet, while
+    others were a moment ago, will be ended again soon.  This is an optimization only: if none of
+    the others campaigns, only this delay is lost.  ``started_at`` is that of our own process.
+    Peers without a response of the state service for ``max_state_age`` don't count.
     """
     for observation in observations:
-        if observation.process is None or observation.born is None or not observation.present(now):
+        peer = observation.process
+        peer_started_at = observation.started_at
+        if peer is None or peer_started_at is None or not observation.present(now):
             continue
-        if observation.state_age is None or observation.state_age > state_reachable:
+        if observation.state_age is None or observation.state_age > max_state_age:
             continue
-        later = observation.process.build.highest > own.build.highest
-        younger = observation.born - born > ALIKE and now - observation.born < ROLL
-        if later or younger:
+        later_build = peer.build.highest > own.build.highest
+        just_replaced = (
+            peer_started_at - started_at > SAME_AGE_TOLERANCE
+            and now - peer_started_at < ROLLOUT_WINDOW
+        )
+        if later_build or just_replaced:
             return ELECTION_DELAY
     return timedelta(0)
--- a/micadeal/rollout/migration.py
+++ b/micadeal/rollout/migration.py
@@ -1,4 +1,4 @@
-"""The next step of the level, decided by the leader from what it sees and what is stored."""
+"""The next step of the feature level, decided by the leader from peers and stored records."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from micadeal.schema.keys import MEMBER
 from micadeal.wire.state import LevelRecord
 
-#: All must have shown the level in one process for so long before it is raised: a process that dies
-#: at once after its start would only come back.
-SETTLE = seconds(2)
+#: All controllers must have been present with one process for so long before the level is raised:
+#: a process that crashes right after its start would only come back.
+MIN_PRESENCE = seconds(2)
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """``move``: the record to be written now; None: nothing can be done yet, or nothing is to
-    be."""
+    """The next step of the level, and what further steps wait for."""
 
+    #: The record to be written now; None: nothing can be done yet, or nothing is to be done.
     move: LevelRecord | None = None
-    #: The move needs every controller's consent by its member record.
+    #: The step needs the agreement of every controller by its member record.
     raises: bool = False
-    #: What is waited for, in plain words.
+    #: What is waited for, as shown to operators.
     waits: tuple[str, ...] = ()
 
 
@@ -49,20 +49,23 @@
     migration_backlog: MigrationBacklog,
     now: timedelta,
 ) -> Plan:
-    """``sights``: of every other controller that the settings name; ``ceiling``: the highest level
-    that the operators allow, None: any."""
-    top = own.build.highest if ceiling is None else min(own.build.highest, ceiling)
-    if top < record.writes:
-        return _lower(record, own, observations, top)
+    """Return the next step from the level ``record`` that is in force.
+
+    ``observations`` has an entry for every other controller that the settings name.  ``ceiling`` is
+    the highest level that the operators allow, None: any.
+    """
+    highest = own.build.highest if ceiling is None else min(own.build.highest, ceiling)
+    if highest < record.writes:
+        return _plan_lowering(record, own, observations, highest)
     waits: tuple[str, ...] = ()
-    if top > record.writes and top >= record.level:
-        raising = _raise(record, own, observations, top, now)
+    if highest > record.writes and highest >= record.level:
+        raising = _plan_raise(record, observations, highest, now)
         if raising.move is not None:
             return raising
         # What is under way at the level in force goes on meanwhile.
         waits = raising.waits
     if record.level > record.writes:
-        return _write_back(record, migration_backlog, waits)
+        return _plan_write_back(record, migration_backlog, waits)
     if record.oldest < record.writes:
         if not migration_backlog.older:
             return Plan(_with(record, oldest=record.writes), waits=waits)
@@ -76,96 +79,117 @@
     return msgspec.structs.replace(record, **changes)
 
 
-def _raise(
+def _plan_raise(
     record: LevelRecord,
-    own: Process,
     observations: Mapping[str, PeerObservation],
-    top: int,
+    highest: int,
     now: timedelta,
 ) -> Plan:
-    """To the highest level that all know; several at a time where all know them."""
+    """Plan a raise to the highest level that all controllers know, several at once if they do."""
     waits: list[str] = []
-    target = top
+    target = highest
     for name, observation in observations.items():
-        seen = presence(name, observations, now)
-        if seen is not Presence.PRESENT:
-            waits.append(f"{name} is {seen.value}")
-        elif observation.process is None:
-            waits.append(f"{name} is of a version that knows of no levels")
-        elif observation.process.build.highest <= record.writes:
-            build = observation.process.build
-            waits.append(f"{name} (build {build.name}) knows levels up to {build.highest}")
-        elif observation.shown(now) < SETTLE:
-            waits.append(f"{name} was started a moment ago")
-        else:
+        obstacle = _obstacle_to_raise(record, name, observations, now)
+        if obstacle is not None:
+            waits.append(obstacle)
+        elif observation.process is not None:
             target = min(target, observation.process.build.highest)
     if waits or target < record.level:
-        return Plan(waits=tuple(f"level {top}: {wait}" for wait in waits))
+        return Plan(waits=tuple(f"level {highest}: {wait}" for wait in waits))
     members = {
         name: observation.process.id
         for name, observation in observations.items()
         if observation.process
     }
-    return Plan(
-        LevelRecord(target, target, record.oldest, members=members),
-        raises=True,
-    )
+    return Plan(LevelRecord(target, target, record.oldest, members=members), raises=True)
 
 
-def _lower(
-    record: LevelRecord, own: Process, observations: Mapping[str, PeerObservation], top: int
+def _obstacle_to_raise(
+    record: LevelRecord,
+    name: str,
+    observations: Mapping[str, PeerObservation],
+    now: timedelta,
+) -> str | None:
+    """Return why the level can't be raised beyond ``record`` because of one peer, if so."""
+    observation = observations[name]
+    found = presence(name, observations, now)
+    if found is not Presence.PRESENT:
+        return f"{name} is {found.value}"
+    if observation.process is None:
+        return f"{name} is of a version that knows of no levels"
+    build = observation.process.build
+    if build.highest <= record.writes:
+        return f"{name} (build {build.name}) knows levels up to {build.highest}"
+    if observation.present_for(now) < MIN_PRESENCE:
+        return f"{name} was started a moment ago"
+    return None
+
+
+def _plan_lowering(
+    record: LevelRecord,
+    own: Process,
+    observations: Mapping[str, PeerObservation],
+    highest: int,
 ) -> Plan:
-    """First nothing new is written at the level that is left; all still read it."""
-    waits = [
-        f"{name} (build {process.build.name}) writes no level below {process.build.lowest}"
-        for name, process in [("this leader", own)]
-        + [(n, s.process) for n, s in observations.items() if s.process is not None]
-        if process.build.lowest > top
-    ]
+    """Plan the first step down: stop writing at the level that is left; all still read it."""
+    processes = [("this leader", own)]
+    for name, observation in observations.items():
+        if observation.process is not None:
+            processes.append((name, observation.process))
+    waits = tuple(
+        f"can't go back to level {highest}: {name} (build {process.build.name}) "
+        f"writes no level below {process.build.lowest}"
+        for name, process in processes
+        if process.build.lowest > highest
+    )
     if waits:
-        return Plan(waits=tuple(f"can't go back to level {top}: {wait}" for wait in waits))
-    return Plan(_with(record, writes=top, oldest=min(record.oldest, top)))
+        return Plan(waits=waits)
+    return Plan(_with(record, writes=highest, oldest=min(record.oldest, highest)))
 
 
-def _write_back(
+def _plan_write_back(
     record: LevelRecord, migration_backlog: MigrationBacklog, waits: tuple[str, ...]
 ) -> Plan:
+    """Plan the last step down, once no record of the level that is left is stored."""
     if not migration_backlog.newer:
         return Plan(_with(record, level=record.writes))
-    going = f"going back to level {record.writes}: "
     if migration_backlog.stuck:
-        text = (
+        reason = (
             f"{migration_backlog.stuck} records can't be written back within the state service's "
-            "limits; "
-            "they go with the jobs that they belong to"
+            "limits; they go with the jobs that they belong to"
         )
     else:
-        text = f"{migration_backlog.newer} records are still written back"
-    return Plan(waits=(*waits, going + text))
+        reason = f"{migration_backlog.newer} records are still written back"
+    return Plan(waits=(*waits, f"going back to level {record.writes}: {reason}"))
 
 
 def confirm(
-    found: Plan,
+    planned: Plan,
     leader_lock: LeaderLock,
     name: str,
     own: Process,
     observations: Mapping[str, PeerObservation],
 ) -> Sequence[str]:
-    """What the member records say against a raise; nothing: it may be tried, on condition that they
-    are still the same.
+    """Return the objections of the member records to a raise.
+
+    If there are none, the raise may be tried, on condition that the records are unchanged.
 
-    Guards against a level that somebody can't read: the process that was heard must be the one
-    that is recorded, so one that was started since makes the transaction fail.
+    Guards against a level that some controller can't read: the process that was observed must be
+    the one that is recorded, so a process started since then makes the transaction fail.
     """
-    assert found.move is not None
-    against: list[str] = []
-    heard = {name: own, **{peer: observation.process for peer, observation in observations.items()}}
-    for who, process in heard.items():
-        member = leader_lock.members.get(who)
-        if MEMBER + who in leader_lock.damaged:
-            against.append(f"the record {MEMBER + who} can't be read: restart {who} to mend it")
+    assert planned.move is not None
+    objections: list[str] = []
+    observed = {
+        name: own,
+        **{peer: observation.process for peer, observation in observations.items()},
+    }
+    for controller, process in observed.items():
+        member = leader_lock.members.get(controller)
+        key = MEMBER + controller
+        if key in leader_lock.damaged:
+            objections.append(f"the record {key} can't be read: restart {controller} to mend it")
         elif member is None or process is None or member != process:
-            against.append(f"{who}'s recorded process is not the one that answers")
-        elif (refused := process.build.refusal(found.move)) is not None:
-            against.append(f"{who}: {refused}")
-    return against
+            objections.append(f"{controller}'s recorded process is not the one that answers")
+        elif (refused := process.build.refusal(planned.move)) is not None:
+            objections.append(f"{controller}: {refused}")
+    return objections
--- a/micadeal/wire/peers.py
+++ b/micadeal/wire/peers.py
@@ -30,7 +30,7 @@
     level: int
 
 
-class Ping(msgspec.Struct):
+class Ping(msgspec.Struct, rename={"wants_cancellations": "wants_told"}):
     """What every controller asks every other about once a second (``/ping``)."""
 
     #: Name of the sender.
@@ -42,15 +42,15 @@
     leading_token: int = 0
     #: Asks for consent to renew leases in place of the leader of this term; 0: no.
     wants_consent: int = 0
-    #: Asks for the list of cancellations (``RenewalPromise.told``).
-    wants_told: bool = False
+    #: Asks for the list of cancellations (``RenewalPromise.cancellations``).
+    wants_cancellations: bool = False
     #: None: the sender is of a version that knows of no feature levels.
     process: Process | None = None
     #: The sender leads, has not read its records yet, and answers few workers until then.
     reading: bool = False
 
 
-class RenewalPromise(msgspec.Struct):
+class RenewalPromise(msgspec.Struct, rename={"cancellations": "told"}):
     """What a controller promises in a ``Pong`` on renewing leases (leadership/follower_leases.py).
 
     With it the receiver may count on a majority: to renew workers' leases in place of the leader,
@@ -69,7 +69,7 @@
     bound_ms: float = 0.0
     #: Jobs of which users were told, or are about to be told, that they are cancelled, and how many
     #: milliseconds ago it learned of that; None: not asked.
-    told: dict[str, float] | None = None
+    cancellations: dict[str, float] | None = None
 
 
 class Counts(msgspec.Struct, array_like=True):
@@ -80,7 +80,7 @@
     running: int
 
 
-class Pong(msgspec.Struct):
+class Pong(msgspec.Struct, rename={"renewal_promise": "word"}):
     """A controller's answer to a ``Ping``."""
 
     #: Name of the answering controller.
@@ -101,7 +101,7 @@
     #: recorded cancelled.  None: it can't tell, or is of a version without dependencies.
     cascade_age_ms: float | None = None
     #: None: it is of a version in which no follower renews leases, or that is switched off.
-    word: RenewalPromise | None = None
+    renewal_promise: RenewalPromise | None = None
     #: None: it is of a version that knows of no feature levels.
     process: Process | None = None
     #: From a leader: jobs of which each task that is not done runs.
--- a/tests/fakes/previous_versions.py
+++ b/tests/fakes/previous_versions.py
@@ -15,10 +15,10 @@
 from micadeal.http.message import Answer, Request
 from micadeal.leadership.election import (
     Elected,
+    ElectionListener,
     LeaderLeaseRenewed,
     LeaderObserved,
     LeadershipLost,
-    Listener,
 )
 from micadeal.leadership.term import Term
 from micadeal.rollout.leader_lock import LeaderLock
@@ -126,7 +126,7 @@
     """How the versions before levels stand: for a key that does not exist, with their lease on
     it."""
 
-    def __init__(self, name: str, state: StateService, listener: Listener) -> None:
+    def __init__(self, name: str, state: StateService, listener: ElectionListener) -> None:
         self._name, self._state, self._listener = name, state, listener
         self._resigned = False
         self._watch = state.watch_client()
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -11,7 +11,7 @@
 from bench.model_follower_leases import GUARDS, explore
 from micadeal.actor import MailboxFullError
 from micadeal.clock import seconds
-from micadeal.controller.follower_leases import MOST_TOLD, FollowerLeases
+from micadeal.controller.follower_leases import MAX_CANCELLATIONS, FollowerLeases
 from micadeal.controller.messages import JobCancelled
 from micadeal.http.message import Request
 from micadeal.leadership.follower_leases import RenewalTiming
@@ -304,12 +304,14 @@
     follower_leases.word(peers.Ping("c1", leading_token=9), False, False, seconds(100))
     for second in range(101, 110):
         follower_leases.word(peers.Ping("c2", leading_token=4), False, False, seconds(second))
-    assert [r.message for r in caplog.records] == ["c2 speaks of the past term 4; refused"]
+    assert [r.message for r in caplog.records] == [
+        "ping of a past term refused: controller=c2 token=4"
+    ]
     # It has not kept us quiet: nobody but the leader of the present term can.
-    asks = peers.Ping("c1", wants_consent=9, wants_told=True)
+    asks = peers.Ping("c1", wants_consent=9, wants_cancellations=True)
     assert follower_leases.word(asks, False, False, seconds(110)).consent == 9
     for unknown in (4, -1):
-        asks = peers.Ping("c1", wants_consent=unknown, wants_told=True)
+        asks = peers.Ping("c1", wants_consent=unknown, wants_cancellations=True)
         assert follower_leases.word(asks, False, False, seconds(110)).consent == 0
 
 
@@ -317,13 +319,13 @@
     follower_leases = _follower_leases()
     for age, bound in ((float("nan"), 0.0), (0.0, float("inf")), (1e300, 0.0)):
         with pytest.raises(MessageFormatError):
-            follower_leases.hear(
+            follower_leases.on_ping_answer(
                 "c1", peers.RenewalPromise(age, True, 0, 1, bound), seconds(1), seconds(1), 5
             )
-    assert all(view.asked is None for view in follower_leases.views())
+    assert all(view.asked_at is None for view in follower_leases.views())
     told = {"../../etc": 0.0, "req-1": 5000.0}
-    news = follower_leases.hear(
-        "c1", peers.RenewalPromise(1e6, True, told=told), seconds(1), seconds(1), 0
+    news = follower_leases.on_ping_answer(
+        "c1", peers.RenewalPromise(1e6, True, cancellations=told), seconds(1), seconds(1), 0
     )
     assert news == ["req-1"]
 
@@ -361,8 +363,8 @@
     """Guards ``ran_cancelled``: what fell off the list could be kept alive."""
     follower_leases = _follower_leases()
     at = seconds(1000)
-    asks = peers.Ping("c1", wants_consent=3, wants_told=True)
-    for number in range(MOST_TOLD):
+    asks = peers.Ping("c1", wants_consent=3, wants_cancellations=True)
+    for number in range(MAX_CANCELLATIONS):
         assert follower_leases.note(f"req-{number}", at)
     assert follower_leases.word(asks, False, False, at).consent == 3
     follower_leases.note("req-999999", at)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -25,7 +25,7 @@
     election_delay,
     presence,
 )
-from micadeal.rollout.migration import SETTLE, MigrationBacklog, plan
+from micadeal.rollout.migration import MIN_PRESENCE, MigrationBacklog, plan
 from micadeal.wire.state import Item, LeaderRecord, LevelRecord
 from tests.fakes.kernel import run_stepped
 from tests.fakes.network import HOLD
@@ -536,31 +536,35 @@
 
 def test_presence_is_dated_by_questions_and_tells_a_cut_from_an_end() -> None:
     one, two = Process("1", Build("b")), Process("2", Build("b"))
-    observation = PeerObservation().hear(one, seconds(10), seconds(10.1), seconds(5), ZERO, ["z"])
-    assert observation.since == seconds(10) and observation.born == seconds(5.1)
+    observation = PeerObservation().with_answer(
+        one, seconds(10), seconds(10.1), seconds(5), ZERO, ["z"]
+    )
+    assert observation.first_asked_at == seconds(10) and observation.started_at == seconds(5.1)
     # An answer to an earlier question says nothing new, whatever it says.
-    assert observation.hear(two, seconds(9), seconds(12)) is observation
-    assert observation.hear(one, seconds(12), seconds(12.1)).shown(seconds(12.5)) == seconds(2)
-    again = observation.hear(two, seconds(13), seconds(13.1))
-    assert again.restarts == 1 and again.shown(seconds(13.2)) == ZERO
+    assert observation.with_answer(two, seconds(9), seconds(12)) is observation
+    assert observation.with_answer(one, seconds(12), seconds(12.1)).present_for(
+        seconds(12.5)
+    ) == seconds(2)
+    again = observation.with_answer(two, seconds(13), seconds(13.1))
+    assert again.restarts == 1 and again.present_for(seconds(13.2)) == ZERO
     observations = {
         "x": observation,
-        "y": observation.hear(one, seconds(19), seconds(19)),
+        "y": observation.with_answer(one, seconds(19), seconds(19)),
         "z": PeerObservation(),
     }
     found = {name: presence(name, observations, seconds(20)) for name in observations}
     assert found == {"x": Presence.SILENT, "y": Presence.PRESENT, "z": Presence.UNSEEN}
-    reaching = observations["y"].hear(one, seconds(20), seconds(20), reaches=["x"])
+    reaching = observations["y"].with_answer(one, seconds(20), seconds(20), reaches=["x"])
     assert presence("x", {**observations, "y": reaching}, seconds(20)) is Presence.SEEN_BY_OTHERS
 
 
 def test_an_empty_seat_is_left_to_those_that_were_replaced() -> None:
     old, fresh = NOW - seconds(500), NOW - seconds(30)
 
-    def wait(own_born: Any, **fields: Any) -> Any:
-        values = {"born": fresh, "state_age": ZERO, **fields}
+    def wait(own_started_at: Any, **fields: Any) -> Any:
+        values = {"started_at": fresh, "state_age": ZERO, **fields}
         observation = seen(Process("2", fields.pop("build", Build("b", 0, 2))), 20, **values)
-        return election_delay(OWN, own_born, [observation], seconds(3), NOW)
+        return election_delay(OWN, own_started_at, [observation], seconds(3), NOW)
 
     assert wait(old) == ELECTION_DELAY
     assert wait(fresh) == ZERO
@@ -570,7 +574,7 @@
 
 def test_the_level_moves_up_only_where_all_have_shown_it_and_down_step_by_step() -> None:
     peer = Process("p", Build("b", 0, 2))
-    late = SETTLE.total_seconds() + 1
+    late = MIN_PRESENCE.total_seconds() + 1
 
     def step(
         record: LevelRecord,
@@ -639,7 +643,9 @@
         async def read_moved(_: Any) -> leader_locks.LeaderLock:
             return moved
 
-        monkeypatch.setattr("micadeal.controller.feature_level_updater.read_leader_lock", read_moved)
+        monkeypatch.setattr(
+            "micadeal.controller.feature_level_updater.read_leader_lock", read_moved
+        )
         state: Any = State()
         term = Term(4, 1, NOW, NOW, 4)
         await FeatureLevelUpdater(feature_levels, state, term, ask, tell)._step()
