--- a/tests/fakes/previous_versions.py
+++ b/tests/fakes/previous_versions.py
@@ -1,7 +1,7 @@
-"""Earlier versions, as far as they matter to later ones: what they read, and how they stand.
+"""Earlier versions, as far as they matter to later ones: what they read, how they are elected.
 
-Each keeps nothing of the fields below, wherever it reads or writes them, and does not look at the
-keys.  A controller behind such a network is as good as the earlier one as far as data goes.
+Each drops the fields below wherever it reads or writes them, and does not read the keys below.  So
+a controller behind such a network handles data like the earlier version.
 """
 
 from __future__ import annotations
@@ -35,19 +35,19 @@
 from micadeal.wire.state import Condition, Put
 from tests.fakes.network import FakeClient, FakeServer, Handler, HostNetwork
 
-#: Fields that came with pipelines, and with controllers that stand in for a leader.
-UNKNOWN_FIELDS = {"waits_on", "cascade_age_ms", "leading_token", "wants_consent", "wants_told"}
-UNKNOWN_FIELDS |= {"word"}
-#: Fields that came with levels.
-LEVEL_FIELDS = {"process", "level", "term", "highest_level"}
-#: And after them.
-LEVEL_FIELDS |= {"reading", "all_started"}
-#: Where the earlier version neither reads nor writes.
+#: Fields that came with dependent jobs.
+DEPENDENCY_FIELDS = {"waits_on", "cascade_age_ms"}
+#: Fields that came with lease renewal by followers.
+RENEWAL_FIELDS = {"leading_token", "wants_consent", "wants_told", "word"}
+#: Fields that came with levels, and after them.
+LEVEL_FIELDS = {"process", "level", "term", "highest_level", "reading", "all_started"}
+ALL_FIELDS = DEPENDENCY_FIELDS | RENEWAL_FIELDS | LEVEL_FIELDS
+#: Keys that the earlier version neither reads nor writes.
 UNKNOWN_KEYS = ("finished/", "part/", "leaving/")
 
 
-def forget(value: Any, fields: set[str] = UNKNOWN_FIELDS | LEVEL_FIELDS) -> Any:
-    """A message or record after the earlier version has read it and written it again."""
+def forget(value: Any, fields: set[str] = ALL_FIELDS) -> Any:
+    """Return a message or record after the earlier version has decoded and encoded it."""
     if isinstance(value, dict):
         return {k: forget(v, fields) for k, v in value.items() if k not in fields}
     if isinstance(value, list):
@@ -56,9 +56,9 @@
 
 
 class EarlierNetwork(HostNetwork):
-    """As 52e15ab reads it."""
+    """The network as commit 52e15ab uses it, the version before dependent jobs."""
 
-    fields = UNKNOWN_FIELDS | LEVEL_FIELDS
+    fields = ALL_FIELDS
     keys: tuple[str, ...] = UNKNOWN_KEYS
 
     def client(self, address: str, keep: int) -> FakeClient:
@@ -72,14 +72,14 @@
     def server(self, address: tuple[str, int], handler: Handler, most: int) -> FakeServer:
         async def read_as_before(request: Request) -> Answer:
             body = self.forget(request.body)
-            found = await handler(Request(request.method, request.path, request.query, body))
-            return Answer(found.status, self.forget(found.body), found.retry_after)
+            answer = await handler(Request(request.method, request.path, request.query, body))
+            return Answer(answer.status, self.forget(answer.body), answer.retry_after)
 
         return super().server(address, read_as_before, most)
 
 
 class UnlevelledNetwork(EarlierNetwork):
-    """As the version right before levels reads it."""
+    """The network as the version right before levels uses it."""
 
     fields = LEVEL_FIELDS
     keys = ()
@@ -106,9 +106,9 @@
 
 
 class _NoLevels(FeatureLevels):
-    """Of a process that knows of none: it serves whatever is in force."""
+    """Levels of a process that knows none: it serves at any level."""
 
-    stands_in = False
+    renews_leases = False
 
     def seen(self, leader_lock: LeaderLock) -> None:
         pass
@@ -119,32 +119,31 @@
 
     @property
     def acts_at(self) -> int:
-        return int(self.stands_in)
+        return int(self.renews_leases)
 
 
 class EarlierElection:
-    """How the versions before levels stand: for a key that does not exist, with their lease on
-    it."""
+    """The election of versions before levels: they create ``leader``, attached to their lease."""
 
     def __init__(self, name: str, state: StateService, listener: ElectionListener) -> None:
         self._name, self._state, self._listener = name, state, listener
         self._resigned = False
         self._watch = state.watch_client()
 
-    def resign(self, why: str = "") -> None:
+    def resign(self, reason: str = "") -> None:
         self._resigned = True
 
     async def run(self) -> None:
         while True:
             try:
-                await self._round()
+                await self._run_round()
             except (StateServiceError, LeaseExpiredError, ConflictError):
                 await sleep(seconds(0.3))
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         item = await self._state.get("leader", Urgency.LEASE)
         if item is None:
-            await self._stand()
+            await self._campaign()
         elif item.value["controller"] == self._name:
             await self._state.end_lease(item.value["lease"])
         else:
@@ -154,47 +153,50 @@
     async def _await_change(self, version: int) -> None:
         after = version
         while True:
-            found = await self._state.changes("leader", after, seconds(2), self._watch)
-            if not found.events or any(event.version > version for event in found.events):
+            changes = await self._state.changes("leader", after, seconds(2), self._watch)
+            if not changes.events or any(event.version > version for event in changes.events):
                 return
-            after = max(after, found.revision)
+            after = max(after, changes.revision)
 
-    async def _stand(self) -> None:
-        sent, ttl = monotonic(), seconds(3)
+    async def _campaign(self) -> None:
+        sent_at, ttl = monotonic(), seconds(3)
         lease = await self._state.new_lease(ttl)
         record = {"controller": self._name, "lease": lease}
         token = await self._state.commit(
             [Condition("leader", 0)], [Put("leader", record, lease)], Urgency.LEASE
         )
         self._resigned = False
-        term = Term(token, lease, lease_end(sent, ttl), sent, token)
+        term = Term(token, lease, lease_end(sent_at, ttl), sent_at, token)
         await self._listener(Elected(term, LeaderLock(token)))
-        await self._keep(token, lease)
-        await self._listener(LeadershipLost(token, "its time is over"))
+        await self._keep_lease(token, lease)
+        await self._listener(LeadershipLost(token, "the lease has run out"))
 
-    async def _keep(self, token: int, lease: int) -> None:
+    async def _keep_lease(self, token: int, lease: int) -> None:
         while not self._resigned:
             await sleep(seconds(0.7))
-            sent = monotonic()
+            sent_at = monotonic()
             try:
                 await self._state.renew(lease, timeout=seconds(0.9))
             except LeaseExpiredError:
                 return
             except StateServiceError:
                 continue
-            await self._listener(LeaderLeaseRenewed(token, lease_end(sent, seconds(3))))
+            await self._listener(LeaderLeaseRenewed(token, lease_end(sent_at, seconds(3))))
         await self._state.end_lease(lease)
 
 
 class EarlierNode(Controller):
-    """A process of a version before levels.  ``stands_in``: of the last one before them."""
+    """A process of a version before levels.
+
+    ``stands_in``: it is of the last one before them, which renews leases as a follower.
+    """
 
     def __init__(self, *args: Any, stands_in: bool = False, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
         feature_levels = _NoLevels(
             self._platform.name, [p.name for p in self._platform.peers], monotonic()
         )
-        feature_levels.stands_in = stands_in
+        feature_levels.renews_leases = stands_in
         self._feature_levels = self._peer_links._feature_levels = feature_levels
         election: Any = EarlierElection(self._platform.name, self._state, self._on_election)
         self._election = election
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -1,4 +1,4 @@
-"""Stories of followers that keep workers' leases alive while nobody can lead."""
+"""Followers renew workers' leases while no controller can lead."""
 
 from __future__ import annotations
 
@@ -20,134 +20,140 @@
 from tests.fakes.world import CANCEL_S, LEASE_S, SETTLED, World, leader_of
 
 
-async def _services(world: World, tasks: int = 3) -> str:
-    """A settled deployment with a service of some tasks, spread over zones."""
+async def _start_service(world: World, tasks: int = 3) -> str:
+    """Start a service of some tasks, spread over zones, and wait until nothing changes any more."""
     service = await world.run_job("daemon", tasks, scatter=True, rank="production")
     await world.until(lambda: world.running(service) == tasks)
     await curio.sleep(SETTLED)
     return service
 
 
-def _all_once(world: World, service: str) -> bool:
+def _followers(leader: int) -> list[int]:
+    return [(leader + 1) % 3, (leader + 2) % 3]
+
+
+def _all_started_once(world: World, service: str) -> bool:
     tasks = [task for task in world.starts if task.startswith(f"{service}/")]
     return bool(tasks) and all(world.starts[task] == 1 for task in tasks)
 
 
-@pytest.mark.parametrize("back", [True, False])
-def test_a_long_outage_with_the_leaders_crash_costs_no_task(
-    monkeypatch: pytest.MonkeyPatch, back: bool
+@pytest.mark.parametrize("restarts", [True, False])
+def test_no_task_is_lost_if_leader_crashes_in_long_outage(
+    monkeypatch: pytest.MonkeyPatch, restarts: bool
 ) -> None:
-    async def story(world: World) -> None:
-        service = await _services(world)
+    async def scenario(world: World) -> None:
+        service = await _start_service(world)
         leader = leader_of(world)
         world.state.outage = True
         await curio.sleep(10)
         world.crash(leader)
         await curio.sleep(6)
-        if back:
+        if restarts:
             await world.start(leader)
         await curio.sleep(60)
         assert world.running(service) == 3
         world.state.outage = False
         await world.until_done(await world.run_job("array", 1, run_s=5.0))
-        assert _all_once(world, service)
+        assert _all_started_once(world, service)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_each_controller_crashes_once_in_one_outage(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The one that was told the token goes last: until then nothing is lost.  After it nobody knows
-    the token, and the tasks end with their leases: once, and nothing is begun twice."""
+def test_tasks_survive_until_last_controller_with_token_crashes(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The last one that was told the token crashes last: no task is lost before.  After that no
+    controller knows the token, and the tasks end with their leases; none is started twice."""
 
-    async def story(world: World) -> None:
-        service = await _services(world)
+    async def scenario(world: World) -> None:
+        service = await _start_service(world)
         leader = leader_of(world)
-        others = [(leader + 1) % 3, (leader + 2) % 3]
+        followers = _followers(leader)
         world.state.outage = True
         await curio.sleep(5)
         world.crash(leader)
         await curio.sleep(6)
         await world.start(leader)
         await curio.sleep(10)
-        world.crash(others[0])
+        world.crash(followers[0])
         await curio.sleep(6)
-        await world.start(others[0])
+        await world.start(followers[0])
         await curio.sleep(LEASE_S * 2)
         assert world.running(service) == 3
-        world.crash(others[1])
+        world.crash(followers[1])
         await curio.sleep(6)
-        await world.start(others[1])
+        await world.start(followers[1])
         await curio.sleep(LEASE_S * 2)
         assert world.running(service) == 0
         world.state.outage = False
         await world.until(lambda: world.running(service) == 3)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_zone_that_is_cut_off_with_its_controller_is_given_up_as_before(
+def test_tasks_of_partitioned_zone_are_restarted_elsewhere(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_twice``: the controller in there sees no leader, no state service and no peer,
-    and does not stand in alone; what ran there is started elsewhere once its lease is over."""
+    """Guards ``ran_twice``: the zone's controller reaches no leader, state service or peer and does
+    not renew leases alone; the tasks are started elsewhere once their leases have expired."""
 
-    async def story(world: World) -> None:
-        service = await _services(world)
+    async def scenario(world: World) -> None:
+        service = await _start_service(world)
         leader = leader_of(world)
-        inside, other = (leader + 1) % 3, (leader + 2) % 3
-        apart = world.held(service)[0][0]
-        for number in (leader, other):
+        inside, outside = _followers(leader)
+        worker = world.held(service)[0][0]
+        for number in (leader, outside):
             world.network.cut(f"c{inside}", f"c{number}")
-            world.network.cut(apart.name, f"c{number}")
+            world.network.cut(worker.name, f"c{number}")
         world.network.cut(f"c{inside}", "state")
-        at_most = LEASE_S + 14
         await curio.sleep(1)
         moved = await world.until(
-            lambda: sum(w is not apart for w, _ in world.held(service)) == 3, limit=at_most
+            lambda: sum(other is not worker for other, _ in world.held(service)) == 3,
+            limit=LEASE_S + 14,
         )
         assert moved > LEASE_S - 4
 
-    World(boot_s=2.0).play(monkeypatch, story)
+    World(boot_s=2.0).play(monkeypatch, scenario)
 
 
-@pytest.mark.parametrize("sees_state", [True, False])
-def test_a_leader_that_only_its_peers_have_lost_does_not_start_what_they_keep_alive(
-    monkeypatch: pytest.MonkeyPatch, sees_state: bool
+@pytest.mark.parametrize("reaches_state", [True, False])
+def test_leader_does_not_restart_tasks_whose_leases_followers_renew(
+    monkeypatch: pytest.MonkeyPatch, reaches_state: bool
 ) -> None:
-    """Guards ``ran_twice``: some workers reach the leader, some the two that stand in for it; what
-    is silent to the leader is not silent.  It may be in touch with the state service all along."""
+    """Guards ``ran_twice``: some workers reach the leader, others only the two followers, which
+    renew their leases.  The leader may reach the state service all the time."""
 
-    async def story(world: World) -> None:
-        service = await _services(world)
+    async def scenario(world: World) -> None:
+        service = await _start_service(world)
         leader = leader_of(world)
-        others = [(leader + 1) % 3, (leader + 2) % 3]
-        for other in others:
-            world.network.cut(f"c{other}", f"c{leader}")
-            world.network.cut(f"c{other}", "state")
-        if not sees_state:
+        followers = _followers(leader)
+        for follower in followers:
+            world.network.cut(f"c{follower}", f"c{leader}")
+            world.network.cut(f"c{follower}", "state")
+        if not reaches_state:
             world.state.outage = True
-        apart = world.held(service)[0][0]
-        world.network.cut(apart.name, f"c{leader}")
+        worker = world.held(service)[0][0]
+        world.network.cut(worker.name, f"c{leader}")
         await curio.sleep(60)
         world.state.outage = False
         await curio.sleep(40)
-        for other in others:
-            await world.network.heal(f"c{other}", f"c{leader}")
-            await world.network.heal(f"c{other}", "state")
-        await world.network.heal(apart.name, f"c{leader}")
+        for follower in followers:
+            await world.network.heal(f"c{follower}", f"c{leader}")
+            await world.network.heal(f"c{follower}", "state")
+        await world.network.heal(worker.name, f"c{leader}")
         await world.until(lambda: world.running(service) == 3)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_what_was_cancelled_before_the_outage_is_gone_in_time_whoever_answers(
+def test_followers_enforce_cancellation_from_before_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled`` (watched by the world): the leader, which told it, is gone a moment
-    later, and the machines were out of its reach.  One of those left was told the cancellation."""
+    """Guards ``ran_cancelled`` (checked by the world): the leader, which confirmed it, crashes
+    right after, and could not reach the machines.  Only one of the followers has the notice."""
 
-    async def story(world: World) -> None:
-        service = await _services(world)
+    async def scenario(world: World) -> None:
+        service = await _start_service(world)
         cancelled_by_dependency = await world.run_job("daemon", 2, crew="blue")
         await world.until(lambda: world.running(cancelled_by_dependency) == 2)
         leader = leader_of(world)
@@ -164,21 +170,21 @@
         world.state.outage = False
         await curio.sleep(10)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_cancellation_that_nobody_else_has_heard_of_is_not_told(
+def test_cancellation_unknown_to_peers_is_not_confirmed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It is recorded and its tasks are stopped at once; a leader tells its user when nothing is
-    left, one that does not lead when the others can hear of it."""
+    """It is recorded and its tasks are stopped at once.  A leader confirms it to the user when no
+    task is left, a follower when the peers can learn of it."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
         await world.until(lambda: world.running(job) == 2)
         leader = leader_of(world)
-        for other in ((leader + 1) % 3, (leader + 2) % 3):
-            world.network.cut(f"c{leader}", f"c{other}")
+        for follower in _followers(leader):
+            world.network.cut(f"c{leader}", f"c{follower}")
         worker, _ = world.held(job)[0]
         world.network.cut(worker.name, f"c{leader}")
         assert await world.cancel(job, leader) is None
@@ -192,16 +198,16 @@
         await world.network.heal(f"c{follower}", f"c{(leader + 2) % 3}")
         assert await world.status(job, follower) == "cancelled"
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_the_outage_ends_while_two_zones_cannot_see_each_other(
+def test_outage_ends_during_partition_between_controllers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What was sent before, transactions and reports, arrives when the packets are let go."""
+    """Transactions and heartbeats sent before arrive when the partition heals."""
 
-    async def story(world: World) -> None:
-        service = await _services(world)
+    async def scenario(world: World) -> None:
+        service = await _start_service(world)
         array = await world.run_job("array", 3, run_s=50.0)
         await world.until(lambda: world.running(array) == 3)
         leader = leader_of(world)
@@ -222,16 +228,16 @@
         await world.until_done(array)
         await world.until(lambda: world.running(service) == 3)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_machine_hangs_over_the_change_from_one_that_stands_in_to_a_leader(
+def test_machine_stalls_during_handover_from_follower_to_new_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It goes on within its lease just when a new leader takes over; spot machines go meanwhile."""
+    """It resumes within its lease just when a new leader takes over; spot machines end before."""
 
-    async def story(world: World) -> None:
-        service = await _services(world)
+    async def scenario(world: World) -> None:
+        service = await _start_service(world)
         spot = await world.run_job("array", 2, run_s=300.0, loaners=True, crew="blue")
         await world.until(lambda: world.running(spot) == 2)
         leader = leader_of(world)
@@ -250,23 +256,23 @@
         await curio.sleep(2)
         hung.hanging = False
         await world.until(lambda: world.running(spot) == 2)
-        assert _all_once(world, service)
+        assert _all_started_once(world, service)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_beside_a_controller_of_an_earlier_version_nobody_stands_in(
+def test_no_follower_renews_leases_beside_earlier_version(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``: the earlier version tells "cancelled" by itself.  It is replaced,
-    and once what it told is of no concern any more the others may stand in."""
+    """Guards ``ran_cancelled``: the earlier version confirms cancellations on its own.  After it is
+    replaced, and those cancellations don't matter any more, followers may renew leases."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         await world.until(lambda: world.leader() is not None, limit=10)
         earlier = (leader_of(world) + 1) % 3
         world.crash(earlier)
         await world.start(earlier, earlier=True)
-        service = await _services(world)
+        service = await _start_service(world)
         world.state.outage = True
         await curio.sleep(3)
         world.crash(leader_of(world))
@@ -286,17 +292,17 @@
         assert world.running(service) == 3
         world.state.outage = False
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-# -- bad input -------------------------------------------------------------------------------
+# -- invalid input ---------------------------------------------------------------------------
 
 
 def _follower_leases() -> FollowerLeases:
     return FollowerLeases(["c1", "c2"], RenewalTiming(seconds(15), seconds(34), 3), seconds(0))
 
 
-def test_a_term_that_goes_backwards_is_refused_and_logged_once(
+def test_ping_of_past_term_is_refused_and_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.WARNING)
@@ -307,15 +313,15 @@
     assert [r.message for r in caplog.records] == [
         "ping of a past term refused: controller=c2 token=4"
     ]
-    # It has not kept us quiet: nobody but the leader of the present term can.
-    asks = peers.Ping("c1", wants_consent=9, wants_cancellations=True)
-    assert follower_leases.word(asks, False, False, seconds(110)).consent == 9
+    # It does not make us abstain: only the leader of the current term does.
+    ping = peers.Ping("c1", wants_consent=9, wants_cancellations=True)
+    assert follower_leases.word(ping, False, False, seconds(110)).consent == 9
     for unknown in (4, -1):
-        asks = peers.Ping("c1", wants_consent=unknown, wants_cancellations=True)
-        assert follower_leases.word(asks, False, False, seconds(110)).consent == 0
+        ping = peers.Ping("c1", wants_consent=unknown, wants_cancellations=True)
+        assert follower_leases.word(ping, False, False, seconds(110)).consent == 0
 
 
-def test_nonsense_in_a_word_counts_for_nothing() -> None:
+def test_invalid_ping_answer_is_ignored() -> None:
     follower_leases = _follower_leases()
     for age, bound in ((float("nan"), 0.0), (0.0, float("inf")), (1e300, 0.0)):
         with pytest.raises(MessageFormatError):
@@ -323,62 +329,64 @@
                 "c1", peers.RenewalPromise(age, True, 0, 1, bound), seconds(1), seconds(1), 5
             )
     assert all(view.asked_at is None for view in follower_leases.views())
-    told = {"../../etc": 0.0, "req-1": 5000.0}
-    news = follower_leases.on_ping_answer(
-        "c1", peers.RenewalPromise(1e6, True, cancellations=told), seconds(1), seconds(1), 0
+    cancellations = {"../../etc": 0.0, "req-1": 5000.0}
+    new = follower_leases.on_ping_answer(
+        "c1",
+        peers.RenewalPromise(1e6, True, cancellations=cancellations),
+        seconds(1),
+        seconds(1),
+        0,
     )
-    assert news == ["req-1"]
+    assert new == ["req-1"]
 
 
-def test_a_cancellation_that_finds_the_leader_busy_is_not_lost(
+def test_cancellation_is_kept_if_leader_mailbox_is_full(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``: it is on the leader's list, so nobody would tell of it again, and
-    the leader would go on answering as if it knew of all."""
+    """Guards ``ran_cancelled``: it is on the leader's list, so no peer would report it again, and
+    the leader would go on answering as if it knew every cancellation."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         await curio.sleep(3)
         node = world.nodes[leader_of(world)]
         leader_actor = node._leader_actor
         assert leader_actor is not None
-        heard: list[Any] = []
+        received: list[Any] = []
 
-        async def full(message: Any) -> None:
+        async def reject(message: Any) -> None:
             raise MailboxFullError
 
-        async def free(message: Any) -> None:
-            heard.append(message)
+        async def accept(message: Any) -> None:
+            received.append(message)
 
-        monkeypatch.setattr(leader_actor, "tell", full)
+        monkeypatch.setattr(leader_actor, "tell", reject)
         assert not await node._pass_on(["req-1"])
         assert not await node._pass_on([])
-        monkeypatch.setattr(leader_actor, "tell", free)
+        monkeypatch.setattr(leader_actor, "tell", accept)
         assert await node._pass_on(["req-2"])
-        assert heard == [JobCancelled("req-1"), JobCancelled("req-2")]
+        assert received == [JobCancelled("req-1"), JobCancelled("req-2")]
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_list_that_overflows_is_no_ground_to_stand_in() -> None:
-    """Guards ``ran_cancelled``: what fell off the list could be kept alive."""
+def test_no_vote_after_list_of_cancellations_overflowed() -> None:
+    """Guards ``ran_cancelled``: tasks of a job dropped from the list could be kept alive."""
     follower_leases = _follower_leases()
     at = seconds(1000)
-    asks = peers.Ping("c1", wants_consent=3, wants_cancellations=True)
+    ping = peers.Ping("c1", wants_consent=3, wants_cancellations=True)
     for number in range(MAX_CANCELLATIONS):
         assert follower_leases.note(f"req-{number}", at)
-    assert follower_leases.word(asks, False, False, at).consent == 3
+    assert follower_leases.word(ping, False, False, at).consent == 3
     follower_leases.note("req-999999", at)
-    assert follower_leases.word(asks, False, False, at).consent == 0
-    assert follower_leases.word(asks, False, False, at + seconds(36)).consent == 3
+    assert follower_leases.word(ping, False, False, at).consent == 0
+    assert follower_leases.word(ping, False, False, at + seconds(36)).consent == 3
 
 
 @pytest.mark.parametrize(
     "body", [b"\xc1", b"", encode([1, 2]), encode({"controller": 5}), b"x" * 999]
 )
-def test_what_is_no_message_of_a_controller_is_refused(
-    monkeypatch: pytest.MonkeyPatch, body: bytes
-) -> None:
-    async def story(world: World) -> None:
+def test_malformed_peer_messages_are_refused(monkeypatch: pytest.MonkeyPatch, body: bytes) -> None:
+    async def scenario(world: World) -> None:
         await curio.sleep(3)
         for path in ("/ping", "/notice", "/relay"):
             request = Request("POST", path, "", body)
@@ -386,13 +394,13 @@
             assert status == 400
         await world.until_done(await world.run_job("array", 1, run_s=2.0))
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 # -- the model -------------------------------------------------------------------------------
 
 
-def test_no_course_of_the_small_world_breaks_a_rule() -> None:
+def test_model_has_no_execution_that_breaks_a_rule() -> None:
     for reading in (False, True):
         found = explore(reading=reading)
         assert (found.rule, found.complete) == ("", True)
@@ -400,6 +408,6 @@
 
 
 @pytest.mark.parametrize("name", [name for name, guard in GUARDS.items() if not guard.large])
-def test_each_guard_holds_something(name: str) -> None:
+def test_model_without_each_guard_breaks_a_rule(name: str) -> None:
     guard = GUARDS[name]
     assert explore(guard.crashes, guard.delayed, guard.lies, 100_000, guard.reading).rule
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rolling out controllers with a change of the stored state: deployments, and the decisions."""
+"""Rolling updates of controllers that change the stored state: whole deployments and decisions."""
 
 from __future__ import annotations
 
@@ -29,32 +29,31 @@
 from micadeal.wire.state import Item, LeaderRecord, LevelRecord
 from tests.fakes.kernel import run_stepped
 from tests.fakes.network import HOLD
-from tests.fakes.world import World
+from tests.fakes.world import COMING, World, leader_of
 
-OLDER: dict[str, Any] = {"earlier": True}
-LAST: dict[str, Any] = {"unlevelled": True}
-NEXT: dict[str, Any] = {"build": Build("next", 0, 2)}
-SMALL: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
+BEFORE_PIPELINES: dict[str, Any] = {"earlier": True}
+BEFORE_LEVELS: dict[str, Any] = {"unlevelled": True}
+NEXT_BUILD: dict[str, Any] = {"build": Build("next", 0, 2)}
+SMALL_TASK: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
 
 
-async def replace(world: World, number: int, pause: float = 5.0, **version: Any) -> None:
+async def replace_controller(world: World, number: int, pause: float = 5.0, **version: Any) -> None:
     world.crash(number)
     await curio.sleep(pause)
     await world.start(number, **version)
 
 
 async def overview(world: World) -> dict[str, Any]:
-    leader = world.leader()
-    assert leader is not None
+    leader = leader_of(world)
     status, reply = await world.call(leader, "GET", "/overview")
     return dict(reply) if status == 200 else {}
 
 
-async def waits(world: World) -> str:
+async def pending_reasons(world: World) -> str:
     return "; ".join((await overview(world)).get("level", {}).get("waits", []))
 
 
-async def hold(world: World, level: int | None) -> None:
+async def set_highest_level(world: World, level: int | None) -> None:
     body: dict[str, Any] = {"script": "", "values": {}, "highest_level": level}
     for number in range(60):
         status, _ = await world.call(number % 3, "POST", "/settings", body)
@@ -64,26 +63,27 @@
     raise AssertionError("the settings were never taken")
 
 
-@pytest.mark.parametrize("version", [OLDER, LAST], ids=["before pipelines", "before levels"])
-def test_a_roll_of_all_controllers_raises_the_level_once_all_have_it(
+@pytest.mark.parametrize(
+    "version", [BEFORE_PIPELINES, BEFORE_LEVELS], ids=["before pipelines", "before levels"]
+)
+def test_rolling_update_raises_level_once_all_controllers_know_it(
     monkeypatch: pytest.MonkeyPatch, version: dict[str, Any]
 ) -> None:
-    """Under load, with a crash of the leader in each gap; nothing runs twice or is lost."""
+    """Under load, with a leader crash between updates; no task is started twice or lost."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         for number in range(3):
-            await replace(world, number, 0.1, **version)
+            await replace_controller(world, number, 0.1, **version)
         service = await world.run_job("daemon", 2, rank="production", crew="blue")
         jobs = [await world.run_job("array", 4, run_s=40.0, loaners=True)]
         await world.until(lambda: world.running(service) == 2)
-        kinds = dict.fromkeys(range(3), version)
+        versions = dict.fromkeys(range(3), version)
         for number in range(3):
             assert world.level() == 0
-            leader = world.leader()
-            assert leader is not None
-            await replace(world, leader, **kinds[leader])
-            kinds[number] = {}
-            await replace(world, number)
+            leader = leader_of(world)
+            await replace_controller(world, leader, **versions[leader])
+            versions[number] = {}
+            await replace_controller(world, number)
             jobs.append(await world.run_job("array", 2, run_s=3.0))
         assert await world.until(lambda: world.level() == 1, limit=8) < 5
         found = (await overview(world))["level"]
@@ -93,26 +93,27 @@
         await world.until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1)
         assert world.running(service) == 2
 
-    world = World().play(monkeypatch, story)
+    world = World().play(monkeypatch, scenario)
     assert all(count == 1 for count in world.starts.values())
 
 
-def test_three_hundred_workers_and_a_crash_in_each_gap(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(world: World) -> None:
+def test_rolling_update_with_300_workers_and_leader_crashes_loses_no_task(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(world: World) -> None:
         world.limits = {"red": 600.0, "blue": 600.0}
         for number in range(3):
-            await replace(world, number, 0.1, **LAST)
+            await replace_controller(world, number, 0.1, **BEFORE_LEVELS)
         services = [
             await world.run_job("daemon", 30, run_s=0.0, accelerators=2.0) for _ in range(10)
         ]
         await world.until(lambda: sum(world.running(s) for s in services) >= 280, limit=200)
-        kinds = dict.fromkeys(range(3), LAST)
+        versions = dict.fromkeys(range(3), BEFORE_LEVELS)
         for number in range(3):
-            leader = world.leader()
-            assert leader is not None
-            await replace(world, leader, **kinds[leader])
-            kinds[number] = {}
-            await replace(world, number)
+            leader = leader_of(world)
+            await replace_controller(world, leader, **versions[leader])
+            versions[number] = {}
+            await replace_controller(world, number)
         await world.until(lambda: world.level() == 1, limit=8)
         await curio.sleep(20)
         assert sum(world.running(s) for s in services) == 300
@@ -121,52 +122,53 @@
         f'[[cluster.teams]]\nname = "{name}"\ngpus = 300.0\ngpus_max = 600.0\n'
         for name in ("red", "blue")
     )
-    world = World(teams=teams, capacity=400).play(monkeypatch, story)
+    world = World(teams=teams, capacity=400).play(monkeypatch, scenario)
     assert len(world.fleet.workers) >= 300
     assert all(count == 1 for count in world.starts.values())
 
 
-def test_the_level_says_in_plain_words_what_it_waits_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(world: World) -> None:
-        await replace(world, 2, 0.1, **LAST)
+def test_overview_names_what_level_waits_for(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(world: World) -> None:
+        await replace_controller(world, 2, 0.1, **BEFORE_LEVELS)
         await curio.sleep(8)
-        assert "c2 is of a version that knows of no levels" in await waits(world)
+        assert "c2 is of a version that knows of no levels" in await pending_reasons(world)
         world.crash(2)
         await curio.sleep(8)
-        assert "c2 is silent" in await waits(world)
+        assert "c2 is silent" in await pending_reasons(world)
         assert world.level() == 0
-        await hold(world, 0)
+        await set_highest_level(world, 0)
         await world.start(2)
         await curio.sleep(8)
-        assert world.level() == 0 and "the settings hold the level at 0" in await waits(world)
-        # The leader and the third can't see each other: it is there, and not seen to be so.
-        leader = world.leader()
-        assert leader is not None
+        assert world.level() == 0 and "the settings hold the level at 0" in await pending_reasons(
+            world
+        )
+        # The leader and the third are partitioned: only the other controller reaches the third.
+        leader = leader_of(world)
         for other in range(3):
             if other != leader:
                 world.network.cut(f"c{leader}", f"c{other}")
                 cut = other
                 break
         await curio.sleep(4)
-        await hold(world, None)
+        await set_highest_level(world, None)
         await curio.sleep(6)
-        assert f"c{cut} is seen by others only" in await waits(world)
+        assert f"c{cut} is seen by others only" in await pending_reasons(world)
         await world.network.heal(f"c{leader}", f"c{cut}")
         await world.until(lambda: world.level() == 1, limit=8)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_an_earlier_version_started_after_the_raise_can_not_lead(
+def test_earlier_version_cannot_lead_after_raise(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the stored state: one that knows nothing of levels must not lead by it."""
+    """Guards the stored state: a version without levels must not lead with it."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         job = await world.run_job("array", 3, run_s=60.0)
         await world.until(lambda: world.level() == 1, limit=10)
-        await replace(world, 0, 1.0, **OLDER)
-        await replace(world, 1, 1.0, **LAST)
+        await replace_controller(world, 0, 1.0, **BEFORE_PIPELINES)
+        await replace_controller(world, 1, 1.0, **BEFORE_LEVELS)
         await world.until(lambda: world.leader() == 2, limit=10)
         await curio.sleep(5)
         # As followers they serve users by layouts that have not changed.
@@ -182,58 +184,58 @@
         world.crash(2)
         token = world.state.keys["leader"][1]
         await curio.sleep(20)
-        # Nobody may lead now; both know the fact by a key that does not vanish.
+        # No controller may lead now: for both versions, an existing key ``leader`` is a taken lock.
         assert world.leader() is None and world.state.keys["leader"][1] == token
         await world.start(2)
         await world.until(lambda: world.leader() == 2, limit=10)
         await world.until_done(job)
-        assert "knows of no levels" not in await waits(world)  # nothing is to be raised
+        assert "knows of no levels" not in await pending_reasons(world)  # nothing is to be raised
         members = {m["name"]: m["build"] for m in (await overview(world))["level"]["members"]}
         assert members["c0"] == members["c1"] == "before levels"
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_what_is_recorded_wakes_no_earlier_version_again_and_again(
+def test_records_do_not_make_earlier_version_poll_in_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the state service's rate: an earlier version watches all that begins with ``leader``,
-    and asks anew at once as long as anything there is newer than the leader's own record."""
+    """Guards the state service's rate: an earlier version watches all keys with prefix ``leader``,
+    and repeats the request at once as long as any of them is newer than the leader's record."""
 
-    async def story(world: World) -> None:
-        handle, asked = world.state.handle, [0]
+    async def scenario(world: World) -> None:
+        handle = world.state.handle
+        watches = 0
 
         async def counted(request: Request) -> Answer:
-            asked[0] += request.path == "/changes" and "starts=leader&" in request.query
+            nonlocal watches
+            watches += request.path == "/changes" and "starts=leader&" in request.query
             return await handle(request)
 
         world.network.serve("state", "10.2.0.1:2379", counted)
-        await replace(world, 2, 0.1, **LAST)
+        await replace_controller(world, 2, 0.1, **BEFORE_LEVELS)
         await curio.sleep(4)
-        leader = world.leader()
-        assert leader is not None
+        leader = leader_of(world)
         if leader == 2:
-            await replace(world, 2, 5.0, **LAST)
-        await replace(world, 1 - (world.leader() or 0), 1.0)
-        asked[0] = 0
+            await replace_controller(world, 2, 5.0, **BEFORE_LEVELS)
+        await replace_controller(world, 1 - (world.leader() or 0), 1.0)
+        watches = 0
         await curio.sleep(20)
-        assert asked[0] < 40
+        assert watches < 40
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_process_that_does_not_know_the_level_serves_nobody_and_says_so(
+def test_process_that_does_not_know_level_refuses_users_with_reason(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         for number in range(3):
-            await replace(world, number, 0.1, **NEXT)
+            await replace_controller(world, number, 0.1, **NEXT_BUILD)
         job = await world.run_job("array", 2, run_s=30.0)
         await world.until(lambda: world.level() == 2, limit=15)
-        leader = world.leader()
-        assert leader is not None
+        leader = leader_of(world)
         other = (leader + 1) % 3
-        await replace(world, other, 1.0)
+        await replace_controller(world, other, 1.0)
         await curio.sleep(3)
         status, reply = await world.call(other, "GET", "/ready")
         assert status == 503 and "level 2 is in force" in reply["error"]
@@ -245,52 +247,53 @@
         world.crash(leader)
         await world.until(lambda: world.leader() not in (None, leader), limit=10)
         assert world.leader() != other
-        await world.start(leader, **NEXT)
+        await world.start(leader, **NEXT_BUILD)
         await world.until_done(job)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_two_levels_at_a_time_and_back_half_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    """N to N+2 in one raise; lowered to N, with the leader gone in the middle; and up again."""
+def test_level_rises_by_two_and_is_lowered_and_raised_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """From N to N+2 in one raise; back to N, with a leader crash in between; and raised again."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         for number in range(3):
-            await replace(world, number, 0.1, **NEXT)
-        job = await world.run_job("array", 6_000, **SMALL, crew="blue", vcpus=4.0)
+            await replace_controller(world, number, 0.1, **NEXT_BUILD)
+        job = await world.run_job("array", 6_000, **SMALL_TASK, crew="blue", vcpus=4.0)
         await world.until(lambda: world.level() == 2, limit=15)
         await world.until(lambda: any(k.startswith(f"finished/{job}") for k in world.state.keys))
-        await hold(world, 0)
+        await set_highest_level(world, 0)
         await world.until(lambda: world.state.keys["seat/level"][0]["writes"] == 0, limit=10)
-        leader = world.leader()
-        assert leader is not None
-        await replace(world, leader, **NEXT)
+        leader = leader_of(world)
+        await replace_controller(world, leader, **NEXT_BUILD)
         await world.until(lambda: world.level() == 0, limit=60)
         assert not any(k.startswith("finished/") for k in world.state.keys)
         assert "seat/held" not in world.state.keys
         # Now, and only now, an earlier version may be started, and leads with what it finds.
         for number in range(3):
-            await replace(world, number, 1.0, **LAST)
+            await replace_controller(world, number, 1.0, **BEFORE_LEVELS)
         await world.until(lambda: world.leader() is not None, limit=10)
         done = len(world.done)
         await world.until(lambda: len(world.done) > done + 5)
         for number in range(3):
-            await replace(world, number, 1.0)
-        await hold(world, None)
+            await replace_controller(world, number, 1.0)
+        await set_highest_level(world, None)
         await world.until(lambda: world.level() == 1, limit=15)
         await world.until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1, limit=60)
         assert not any(k.startswith("done/") for k in world.state.keys)
 
-    world = World(capacity=4).play(monkeypatch, story)
+    world = World(capacity=4).play(monkeypatch, scenario)
     assert all(count == 1 for count in world.starts.values())
     assert len(world.done) > 20
 
 
 @pytest.mark.parametrize("lost", ["before", "after"])
-def test_the_outcome_of_a_raise_is_unknown(monkeypatch: pytest.MonkeyPatch, lost: str) -> None:
-    """The transaction is applied and not answered, or late: its leader goes on by what it finds."""
+def test_raise_with_unknown_outcome_keeps_term(monkeypatch: pytest.MonkeyPatch, lost: str) -> None:
+    """The transaction is applied late, or without a response: the leader reads what is stored."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         handle = world.state.handle
         swallowed: list[int] = []
 
@@ -304,7 +307,7 @@
                 if lost == "before":
                     # Delivered late: the conditions still hold, or it changes nothing.
                     await handle(request)
-                raise AssertionError("nobody waits for this answer")
+                raise AssertionError("the request for this response has timed out")
             return await handle(request)
 
         world.network.serve("state", "10.2.0.1:2379", once)
@@ -315,69 +318,66 @@
         assert swallowed and world.state.keys["leader"][0]["term"] == token
         await world.until_done(job)
 
-    world = World().play(monkeypatch, story)
+    world = World().play(monkeypatch, scenario)
     assert all(count == 1 for count in world.starts.values())
 
 
-def test_the_leader_crashes_around_the_raise(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(world: World) -> None:
+def test_level_is_raised_despite_leader_crashes(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(world: World) -> None:
         job = await world.run_job("array", 3, run_s=60.0)
         for moment in ("before", "after"):
             if moment == "after":
                 await world.until(lambda: world.level() == 1, limit=20)
-            leader = world.leader()
-            assert leader is not None
-            await replace(world, leader, 4.0)
+            leader = leader_of(world)
+            await replace_controller(world, leader, 4.0)
         await world.until(lambda: world.leader() is not None, limit=10)
         assert world.level() == 1
         await world.until_done(job)
 
-    world = World().play(monkeypatch, story)
+    world = World().play(monkeypatch, scenario)
     assert all(count == 1 for count in world.starts.values())
 
 
-def test_a_leader_that_is_cut_off_or_stands_still_through_the_raise(
+def test_partitioned_leader_delays_raise_and_does_not_undo_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It is of the old level, the next one raises; what it sent before is delivered after."""
+    """It leads at the old level, its successor raises; its earlier requests are delivered after."""
 
-    async def story(world: World) -> None:
-        await hold(world, 0)
+    async def scenario(world: World) -> None:
+        await set_highest_level(world, 0)
         job = await world.run_job("array", 6, run_s=40.0, crew="blue")
         await world.until(lambda: world.running(job) >= 2)
-        old = world.leader()
-        assert old is not None
+        old = leader_of(world)
         others = [n for n in range(3) if n != old]
         for host in ("state", "cloud", *(f"c{n}" for n in others)):
             world.network.cut(f"c{old}", host, HOLD)
         await world.until(lambda: world.leader() not in (None, old), limit=10)
-        await hold(world, None)
+        await set_highest_level(world, None)
         await curio.sleep(6)
-        assert world.level() == 0 and f"c{old} is silent" in await waits(world)
-        # Gone for good: the operator would take it off the list.  Here it comes back.
+        assert world.level() == 0 and f"c{old} is silent" in await pending_reasons(world)
+        # If it were lost for good, the operator would remove it from the settings.
         for host in ("state", "cloud", *(f"c{n}" for n in others)):
             await world.network.heal(f"c{old}", host)
         await world.until(lambda: world.level() == 1, limit=10)
         assert world.leader() != old
         await world.until_done(job)
 
-    world = World().play(monkeypatch, story)
+    world = World().play(monkeypatch, scenario)
     assert all(count == 1 for count in world.starts.values())
 
 
-def test_a_follower_that_has_not_heard_of_the_raise_serves_users(
+def test_partitioned_follower_serves_users_after_raise(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Cut off from the others alone, it takes submissions and cancellations by the old level."""
+    """Partitioned from the peers alone, it takes submissions and cancellations at the old level."""
 
-    async def story(world: World) -> None:
-        await hold(world, 0)
+    async def scenario(world: World) -> None:
+        await set_highest_level(world, 0)
         job = await world.run_job("daemon", 2, run_s=0.0)
         await world.until(lambda: world.running(job) == 2)
-        leader = world.leader()
-        assert leader is not None
+        leader = leader_of(world)
         follower = (leader + 1) % 3
-        await hold(world, None)
+        await set_highest_level(world, None)
         await world.until(lambda: world.level() == 1, limit=10)
         for number in range(3):
             if number != follower:
@@ -386,53 +386,52 @@
         status, _ = await world.call(follower, "POST", "/work", world.fleet.jobs[other].spec)
         assert status == 201
         world.told.accepted.add(other)
-        assert await world.cancel(job, follower) is None  # too few can hear of it
+        assert await world.cancel(job, follower) is None  # too few peers can learn of it
         await world.until_done(other)
         await world.until(lambda: not world.held(job), limit=30)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_controller_that_is_gone_for_good_is_taken_off_the_list(
+def test_level_is_raised_after_lost_controller_leaves_settings(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The level does not hang for ever, nor rise without anyone's word."""
+    """The level does not wait for ever, nor rise without the agreement of every controller."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         for number in range(3):
-            await replace(world, number, 0.1, **LAST)
+            await replace_controller(world, number, 0.1, **BEFORE_LEVELS)
         job = await world.run_job("array", 3, run_s=60.0)
         world.crash(2)
         for number in range(2):
-            await replace(world, number)
+            await replace_controller(world, number)
         await curio.sleep(30)
-        assert world.level() == 0 and "c2 is never seen" in await waits(world)
+        assert world.level() == 0 and "c2 is never seen" in await pending_reasons(world)
         for number in range(2):
-            await replace(world, number, without=2)
+            await replace_controller(world, number, without=2)
         await world.until(lambda: world.level() == 1, limit=12)
         await world.until_done(job)
 
-    world = World().play(monkeypatch, story)
+    world = World().play(monkeypatch, scenario)
     assert all(count == 1 for count in world.starts.values())
 
 
-def test_a_damaged_or_foreign_record_is_named_and_nobody_leads_by_it(
+def test_damaged_records_are_named_and_block_leadership(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         job = await world.run_job("array", 2, run_s=60.0)
         world.state.keys["seat/member/c1"] = ({"what": 7}, world.state.revision, None)
         world.state.keys["seat/member/stranger"] = ({"what": 7}, world.state.revision, None)
         await curio.sleep(8)
-        assert world.level() == 0 and "seat/member/c1 can't be read" in await waits(world)
-        await replace(world, 1, 1.0)
+        assert world.level() == 0 and "seat/member/c1 can't be read" in await pending_reasons(world)
+        await replace_controller(world, 1, 1.0)
         await world.until(lambda: world.level() == 1, limit=12)
         good = world.state.keys["seat/level"]
         world.state.keys["seat/level"] = ({"level": -3}, world.state.revision + 1, None)
         world.state.revision += 1
-        leader = world.leader()
-        assert leader is not None
-        await replace(world, leader, 1.0)
+        leader = leader_of(world)
+        await replace_controller(world, leader, 1.0)
         await curio.sleep(10)
         assert "seat/held" not in world.state.keys
         refused = [r for r in caplog.records if "seat/level can't be read" in r.message]
@@ -442,21 +441,21 @@
         await world.until(lambda: world.leader() is not None, limit=10)
         await world.until_done(job)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_level_that_can_not_be_read_is_not_written_over(
+def test_unreadable_level_record_is_not_overwritten(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards what is stored: it may be that of a later version, and say what we don't know."""
+    """Guards what is stored: the record may come from a later version."""
 
-    async def story(world: World) -> None:
-        await hold(world, 0)
+    async def scenario(world: World) -> None:
+        await set_highest_level(world, 0)
         await curio.sleep(5)
         world.state.revision += 1
         damaged = ({"level": "many"}, world.state.revision, None)
         world.state.keys["seat/level"] = damaged
-        await hold(world, None)
+        await set_highest_level(world, None)
         await curio.sleep(10)
         assert world.state.keys["seat/level"] == damaged
         leader = await overview(world)
@@ -464,25 +463,25 @@
 
     world = World()
     monkeypatch.setattr(world, "level", lambda: 0)
-    world.play(monkeypatch, story)
+    world.play(monkeypatch, scenario)
 
 
-def test_the_state_service_is_out_and_limits_fall_in_the_middle(
+def test_rolling_update_survives_state_outage_and_lower_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         for number in range(3):
-            await replace(world, number, 0.1, **LAST)
-        big = await world.run_job("array", 6_000, **SMALL, crew="blue", vcpus=4.0)
+            await replace_controller(world, number, 0.1, **BEFORE_LEVELS)
+        big = await world.run_job("array", 6_000, **SMALL_TASK, crew="blue", vcpus=4.0)
         await world.until(lambda: any(k.startswith(f"done/{big}") for k in world.state.keys))
         for number in range(3):
             if number == 2:
                 world.state.outage = True
-                await replace(world, number, 10.0)
+                await replace_controller(world, number, 10.0)
                 world.state.outage = False
                 world.state.txn_ops, world.state.value_bytes = 5, 2048
             else:
-                await replace(world, number)
+                await replace_controller(world, number)
         await world.until(lambda: world.level() == 1, limit=15)
         world.state.outage = True
         await curio.sleep(6)
@@ -490,23 +489,20 @@
         await world.until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1, limit=60)
         assert not any(k.startswith("done/") for k in world.state.keys)
 
-    from tests.fakes.world import COMING
-
-    world = World(coming=COMING, capacity=2).play(monkeypatch, story)
+    world = World(coming=COMING, capacity=2).play(monkeypatch, scenario)
     assert all(count == 1 for count in world.starts.values())
 
 
-def test_a_leader_that_is_told_to_end_hands_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each of three in turn, as a roll does it: hardly a second without a leader, nothing lost."""
+def test_retiring_leader_hands_over_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two leaders in turn, as in a rolling update: less than a second without a leader, no loss."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, rank="production")
         job = await world.run_job("array", 8, run_s=30.0, crew="blue")
         await world.until(lambda: world.running(service) == 3 and world.running(job) >= 2)
         gaps: list[float] = []
         for _ in range(2):
-            leader = world.leader()
-            assert leader is not None
+            leader = leader_of(world)
             await curio.spawn(world.nodes[leader].retire, daemon=True)
             await world.until(lambda led=leader: world.leader() != led, limit=10)  # type: ignore[misc]
             gaps.append(await world.until(lambda: world.leader() is not None, limit=10))
@@ -518,29 +514,29 @@
         assert world.running(service) == 3
         await world.until_done(job)
 
-    world = World().play(monkeypatch, story)
+    world = World().play(monkeypatch, scenario)
     assert all(count == 1 for count in world.starts.values())
 
 
 # -- decisions ---------------------------------------------------------------------------------
 
-OWN = Process("own", Build("b", 0, 2))
+OWN_PROCESS = Process("own", Build("b", 0, 2))
 NOW = seconds(1000)
 
 
-def seen(
+def observed(
     process: Process | None, since: float, heard: float = 0.5, **fields: Any
 ) -> PeerObservation:
     return PeerObservation(process, NOW - seconds(since), NOW - seconds(heard), **fields)
 
 
-def test_presence_is_dated_by_questions_and_tells_a_cut_from_an_end() -> None:
+def test_presence_is_dated_by_pings_and_distinguishes_partition_from_crash() -> None:
     one, two = Process("1", Build("b")), Process("2", Build("b"))
     observation = PeerObservation().with_answer(
         one, seconds(10), seconds(10.1), seconds(5), ZERO, ["z"]
     )
     assert observation.first_asked_at == seconds(10) and observation.started_at == seconds(5.1)
-    # An answer to an earlier question says nothing new, whatever it says.
+    # An answer to an earlier ping is ignored.
     assert observation.with_answer(two, seconds(9), seconds(12)) is observation
     assert observation.with_answer(one, seconds(12), seconds(12.1)).present_for(
         seconds(12.5)
@@ -558,21 +554,21 @@
     assert presence("x", {**observations, "y": reaching}, seconds(20)) is Presence.SEEN_BY_OTHERS
 
 
-def test_an_empty_seat_is_left_to_those_that_were_replaced() -> None:
+def test_free_lock_is_left_to_replaced_processes() -> None:
     old, fresh = NOW - seconds(500), NOW - seconds(30)
 
     def wait(own_started_at: Any, **fields: Any) -> Any:
         values = {"started_at": fresh, "state_age": ZERO, **fields}
-        observation = seen(Process("2", fields.pop("build", Build("b", 0, 2))), 20, **values)
-        return election_delay(OWN, own_started_at, [observation], seconds(3), NOW)
+        observation = observed(Process("2", fields.pop("build", Build("b", 0, 2))), 20, **values)
+        return election_delay(OWN_PROCESS, own_started_at, [observation], seconds(3), NOW)
 
     assert wait(old) == ELECTION_DELAY
     assert wait(fresh) == ZERO
     assert wait(old, state_age=seconds(9)) == ZERO  # it could not be elected
-    assert election_delay(OWN, old, [PeerObservation()], seconds(3), NOW) == ZERO
+    assert election_delay(OWN_PROCESS, old, [PeerObservation()], seconds(3), NOW) == ZERO
 
 
-def test_the_level_moves_up_only_where_all_have_shown_it_and_down_step_by_step() -> None:
+def test_plan_raises_level_if_all_know_it_and_lowers_in_steps() -> None:
     peer = Process("p", Build("b", 0, 2))
     late = MIN_PRESENCE.total_seconds() + 1
 
@@ -582,25 +578,27 @@
         migration_backlog: Any = MigrationBacklog(),
         **by: Any,
     ) -> Any:
-        observations = {"x": seen(peer, late), "y": seen(peer, late), **by}
-        return plan(record, OWN, observations, ceiling, migration_backlog, NOW)
+        observations = {"x": observed(peer, late), "y": observed(peer, late), **by}
+        return plan(record, OWN_PROCESS, observations, ceiling, migration_backlog, NOW)
 
     assert step(LevelRecord()).move.level == 2
     assert step(LevelRecord(), 1).move.level == 1
-    mixed = step(LevelRecord(), y=seen(Process("q", Build("a", 0, 1)), late))
+    mixed = step(LevelRecord(), y=observed(Process("q", Build("a", 0, 1)), late))
     assert mixed.move.level == 1 and mixed.move.oldest == 0
     for observation in (
-        seen(peer, 1),
-        seen(peer, late, heard=9),
-        seen(None, late),
+        observed(peer, 1),
+        observed(peer, late, heard=9),
+        observed(None, late),
         PeerObservation(),
     ):
         assert step(LevelRecord(), y=observation).move is None
     there = LevelRecord(2, 2, 0)
     assert step(there, migration_backlog=MigrationBacklog(older=3)).move is None
     assert step(there).move.oldest == 2
-    # A later build leads: what is under way at the level in force does not wait for the others.
-    after = plan(LevelRecord(1, 1, 0), OWN, {"x": PeerObservation()}, None, MigrationBacklog(), NOW)
+    # A later build leads: the migration at the level in force does not wait for the others.
+    after = plan(
+        LevelRecord(1, 1, 0), OWN_PROCESS, {"x": PeerObservation()}, None, MigrationBacklog(), NOW
+    )
     assert after.move == LevelRecord(1, 1, 1) and "never seen" in after.waits[0]
     lowering = step(LevelRecord(2, 2, 2), 1).move
     assert (lowering.level, lowering.writes, lowering.oldest) == (2, 1, 1)
@@ -610,13 +608,13 @@
     # Half way down and up again.
     assert step(lowering).move.writes == 2
     new = Process("n", Build("n", 1, 2))
-    assert "writes no level below 1" in step(there, 0, y=seen(new, late)).waits[0]
+    assert "writes no level below 1" in step(there, 0, y=observed(new, late)).waits[0]
 
 
-def test_a_move_is_not_made_on_a_level_that_has_moved_since_it_was_planned(
+def test_level_change_is_dropped_if_level_changed_since_plan(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards what is stored: a move of our own whose outcome was unknown may be applied late."""
+    """Guards what is stored: a change of our own with unknown outcome may be applied late."""
     level = LevelRecord(1, 1, 0)
     feature_levels = FeatureLevels("c0", [], NOW)
     feature_levels.seen(
@@ -655,7 +653,7 @@
     assert committed == []
 
 
-def test_what_is_recorded_is_read_or_named_and_never_guessed() -> None:
+def test_leader_lock_names_damaged_records() -> None:
     process = Process("p1", Build("b", 0, 1))
     conditions, changes = leader_locks.registration(leader_locks.read([], 0), "c0", process, 5.0)
     assert conditions[0].version == 0
@@ -687,12 +685,12 @@
     ],
     ids=str,
 )
-def test_no_course_of_a_small_world_breaks_anything(world: dict[str, int]) -> None:
+def test_model_has_no_execution_that_breaks_a_rule(world: dict[str, int]) -> None:
     states, broken = explore(start(**world))
     assert broken is None
     assert states > 30
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_each_guard_of_the_level_holds_something(guard: str) -> None:
+def test_model_without_each_guard_breaks_a_rule(guard: str) -> None:
     assert broken_without(guard) is not None
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Versions side by side: each reads what the other writes, and limits may fall at any moment."""
+"""Versions side by side: each reads what the other writes, and limits may drop at any time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tests.fakes.world import COMING, World
 from tests.test_components import spec
 
-KINDS: dict[str, Any] = {
+MESSAGE_TYPES: dict[str, Any] = {
     "leader": records.LeaderRecord,
     "job": records.JobRecord,
     "job_plain": records.JobRecord,
@@ -42,27 +42,27 @@
     "why": peers.WhyAnswer,
     "overview": peers.Overview,
 }
-SMALL: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
-LOW = Limits(150, 18, 5, 2048)
+SMALL_TASK: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
+LOW_LIMITS = Limits(150, 18, 5, 2048)
 
 
 @pytest.mark.parametrize("name", WRITTEN)
-def test_what_either_version_writes_means_the_same_to_the_other(name: str) -> None:
-    """The earlier one's bytes decode, and written anew and read by it they say what they said."""
+def test_messages_and_records_round_trip_through_earlier_version(name: str) -> None:
+    """The earlier version's bytes decode; encoded again, they mean the same to it."""
     before = bytes.fromhex(WRITTEN[name])
-    found = decode(KINDS[name], before)
+    found = decode(MESSAGE_TYPES[name], before)
     again = decode(Any, encode(found))
     assert forget(again) == decode(Any, before)
 
 
-def test_fields_of_pipelines_are_the_only_ones_an_earlier_version_loses() -> None:
+def test_earlier_version_loses_only_dependency_fields() -> None:
     job = decode(records.JobRecord, bytes.fromhex(WRITTEN["job"]))
     assert job.submission.prerequisites is None
     later = msgspec.structs.replace(job.submission, prerequisites=["req-000001"])
     record = records.JobRecord(later, job.submitted_at)
     read = decode(records.JobRecord, encode(forget(decode(Any, encode(record)))))
     assert read == job
-    # What only a service with lower limits makes necessary: not to be mistaken for something else.
+    # Split records, which only lower limits make necessary, must not decode as anything else.
     parts = split(record, Limits(150, 18, 5, 256))
     assert parts is not None and len(parts) > 1
     with pytest.raises(msgspec.ValidationError):
@@ -72,11 +72,11 @@
     assert part_keys(values[0], later.job_id) == [put.key for put in parts[1:]]
 
 
-def test_a_roll_with_crashes_and_lower_limits_right_after(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The version in production is replaced one controller after the other, old ones come back
-    old, leaders old and new follow each other; then limits fall and pipelines come at once."""
+def test_rolling_update_with_crashes_and_lower_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The version in production is replaced one controller after the other, old ones restart in
+    between, old and new leaders alternate; then limits drop and dependent jobs are submitted."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 2, rank="production", crew="blue")
         array = await world.run_job("array", 4, run_s=60.0, loaners=True)
         await world.until(lambda: world.running(service) == 2 and world.running(array) >= 2)
@@ -91,48 +91,48 @@
         for number in range(3):
             leader = world.leader()
             assert leader is not None
-            await restart(leader)  # of its own accord: it comes back as what it was
+            await restart(leader)  # not by the update: its version stays
             versions[number] = False
             await restart(number)
             await world.run_job("array", 1, run_s=3.0)
         world.state.txn_ops, world.state.value_bytes = 5, 2048
-        jobs = [await world.run_job("array", 6, crew="blue", **SMALL)]
+        jobs = [await world.run_job("array", 6, crew="blue", **SMALL_TASK)]
         for _ in range(2):
-            jobs.append(await world.run_job("array", 3, waits_on=[jobs[-1]], **SMALL))
+            jobs.append(await world.run_job("array", 3, waits_on=[jobs[-1]], **SMALL_TASK))
         await restart(world.leader() or 0)
         for job in [*jobs, array]:
             await world.until_done(job)
         assert world.running(service) == 2
 
-    world = World(coming=COMING).play(monkeypatch, story, earlier=True)
+    world = World(coming=COMING).play(monkeypatch, scenario, earlier=True)
     assert all(count == 1 for count in world.starts.values())
     assert world.state.refused == 0
 
 
-def test_the_largest_jobs_outlive_lower_limits_and_a_change_of_leader(
+def test_largest_jobs_survive_lower_limits_and_failover(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards finished work, and against a write that is refused for ever: parts of a finished set
-    that were stored large, and a description that was accepted before, after limits have fallen."""
+    """Guards finished work, and against a write that is refused for ever: chunks of a finished set
+    that were stored large, and a job that was accepted before, after limits have dropped."""
     names = [hashlib.sha256(str(n).encode()).hexdigest()[:28] for n in range(200)]
 
-    async def story(world: World) -> None:
-        big = await world.run_job("array", 30_000, crew="blue", vcpus=4.0, **SMALL)
+    async def scenario(world: World) -> None:
+        big = await world.run_job("array", 30_000, crew="blue", vcpus=4.0, **SMALL_TASK)
         for number in range(3):
             world.crash(number)
-        # What an earlier version wrote, or this one before limits fell.
-        there = [index for index in range(29_980) if index % 2_000 != 1_999]
+        # What an earlier version wrote, or this one before limits dropped.
+        stored = [index for index in range(29_980) if index % 2_000 != 1_999]
         for chunk in range(2):
-            bits = to_bits([i for i in there if i // CHUNK == chunk], chunk * CHUNK)
+            bits = to_bits([i for i in stored if i // CHUNK == chunk], chunk * CHUNK)
             world.state.keys[f"done/{big}/{chunk}"] = ({"bits": bits}, world.state.revision, None)
-        world.done |= {f"{big}/{index}" for index in there}
+        world.done |= {f"{big}/{index}" for index in stored}
         world.state.txn_ops, world.state.value_bytes = 5, 2048
         for number in range(3):
             await world.start(number)
         await curio.sleep(3)
-        long = await world.run_job("array", 1, rigs=["box", *names], **SMALL)
+        long = await world.run_job("array", 1, rigs=["box", *names], **SMALL_TASK)
         assert f"part/{long}/1" in world.state.keys
-        await world.until(lambda: len(world.done) > len(there) + 12)
+        await world.until(lambda: len(world.done) > len(stored) + 12)
         await world.until(lambda: any(k.startswith(f"finished/{big}/") for k in world.state.keys))
         await world.until_done(long)
         leader = world.leader()
@@ -148,18 +148,18 @@
         await world.start(leader)
         await world.until_done(big)
         assert all(world.starts[f"{big}/{index}"] <= 1 for index in read.finished)
-        assert not any(world.starts[f"{big}/{index}"] for index in there)
+        assert not any(world.starts[f"{big}/{index}"] for index in stored)
         await curio.sleep(30)
         assert not [k for k in world.state.keys if k.startswith(("done/", "finished/", "part/"))]
 
-    world = World(coming=COMING, capacity=2).play(monkeypatch, story)
+    world = World(coming=COMING, capacity=2).play(monkeypatch, scenario)
     assert world.state.refused < 12
 
 
 @pytest.mark.parametrize("operations", [5, 2])
-def test_sizes_are_kept_however_much_is_placed(operations: int) -> None:
-    """Guards against a record of placements, images or finished tasks that is over the limits: a
-    gang over hundreds of machines, names that are no ASCII."""
+def test_record_writer_keeps_limits_for_large_gangs(operations: int) -> None:
+    """Guards against records of placements, images or finished tasks over the limits: a gang on
+    hundreds of machines, with names that are not ASCII."""
     picture = Picture(520, 0, 3)
     job = picture.submit(
         shape=Shape.GANG, tasks=250, one_zone=False, spread=False, gpus=2.0, cpus=14.0,
@@ -181,18 +181,18 @@
     assert all(attempt.durable for attempt in job.all_attempts())
 
 
-def test_what_is_called_too_large_is_never_asked_for_again() -> None:
-    """Guards against a 400 that comes back for ever, should the service count otherwise."""
+def test_rejected_record_size_is_not_retried() -> None:
+    """Guards against endless 400 responses, should the service measure sizes differently."""
     picture = Picture(40, 60, 5)
-    record_writer = RecordWriter(picture.cluster, LOW)
-    most = 900
+    record_writer = RecordWriter(picture.cluster, LOW_LIMITS)
+    max_size = 900
     refused = 0
     picture.scheduler.run_cycle(picture.now)
     for _ in range(600):
         picture.now += seconds(0.5)
         for batch in record_writer.next(picture.now):
             sizes = [json_size(o.value) for o in batch.operations if isinstance(o, records.Put)]
-            if any(size > most for size in sizes):
+            if any(size > max_size for size in sizes):
                 refused += 1
                 record_writer.refused(batch)
                 record_writer.failed(batch, {c.key: None for c in batch.conditions}, picture.now)
@@ -202,6 +202,6 @@
     assert not picture.cluster.unwritten
 
 
-def test_an_end_says_how_a_job_ended() -> None:
+def test_end_record_states_outcome() -> None:
     end = decode(records.EndRecord, bytes.fromhex(WRITTEN["end_done"]))
     assert end.status is Status.DONE and end.ended_at == 1790000100.5
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""What a leader knows of its zones: the decisions, and whole deployments with a zone cut off."""
+"""Zone health: the decisions, and whole deployments with a partitioned zone."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 )
 from tests.fakes.world import ZONES, World
 
-HERE, GONE, ELSEWHERE = Presence.PRESENT, Presence.SILENT, Presence.SEEN_BY_OTHERS
+PRESENT, UNREACHABLE, SEEN_BY_OTHERS = Presence.PRESENT, Presence.SILENT, Presence.SEEN_BY_OTHERS
 
 
-def follow(zone: Zone, *steps: tuple[float, ZoneSignals]) -> Zone:
+def observe_steps(zone: Zone, *steps: tuple[float, ZoneSignals]) -> Zone:
     for at, signals in steps:
         zone = observe(zone, signals, False, seconds(at))
     return zone
@@ -32,57 +32,60 @@
 @pytest.mark.parametrize(
     ("signals", "others_unreachable", "cause"),
     [
-        (ZoneSignals(20, 20, GONE), False, Cause.ZONE_UNREACHABLE),
-        (ZoneSignals(20, 20, ELSEWHERE), False, Cause.LEADER_CUT_OFF_FROM_ZONE),
-        (ZoneSignals(20, 20, HERE), False, Cause.MACHINES_DOWN),
-        (ZoneSignals(20, 0, GONE), False, Cause.CONTROLLER_DOWN),
-        (ZoneSignals(20, 20, GONE), True, Cause.OWN_ZONE_CUT_OFF),
-        (ZoneSignals(20, 3, HERE), False, Cause.NONE),
-        (ZoneSignals(2, 2, HERE), False, Cause.NONE),
+        (ZoneSignals(20, 20, UNREACHABLE), False, Cause.ZONE_UNREACHABLE),
+        (ZoneSignals(20, 20, SEEN_BY_OTHERS), False, Cause.LEADER_CUT_OFF_FROM_ZONE),
+        (ZoneSignals(20, 20, PRESENT), False, Cause.MACHINES_DOWN),
+        (ZoneSignals(20, 0, UNREACHABLE), False, Cause.CONTROLLER_DOWN),
+        (ZoneSignals(20, 20, UNREACHABLE), True, Cause.OWN_ZONE_CUT_OFF),
+        (ZoneSignals(20, 3, PRESENT), False, Cause.NONE),
+        (ZoneSignals(2, 2, PRESENT), False, Cause.NONE),
     ],
 )
-def test_the_signs_tell_one_trouble_from_another(
+def test_cause_follows_from_signals(
     signals: ZoneSignals, others_unreachable: bool, cause: Cause
 ) -> None:
     assert cause_of(signals, others_unreachable) is cause
 
 
-def test_a_zone_is_judged_after_a_doubt_and_watched_when_it_is_back() -> None:
-    cut, back = ZoneSignals(20, 19, GONE), ZoneSignals(20, 1, HERE)
-    zone = follow(Zone("a"), (0, back), (10, cut))
+def test_zone_is_partitioned_after_suspicion_and_recovers_on_probation() -> None:
+    cut, back = ZoneSignals(20, 19, UNREACHABLE), ZoneSignals(20, 1, PRESENT)
+    zone = observe_steps(Zone("a"), (0, back), (10, cut))
     assert zone.state is ZoneState.SUSPECTED
-    assert follow(zone, (11, cut)).state is ZoneState.SUSPECTED
+    assert observe_steps(zone, (11, cut)).state is ZoneState.SUSPECTED
     assert (
-        follow(zone, (11, ZoneSignals(20, 2, HERE))).state is ZoneState.HEALTHY
-    )  # reports were late
-    # In between it neither goes nor comes back: no flicker near a bound.
-    assert follow(zone, (13, ZoneSignals(20, 12, GONE))).state is ZoneState.SUSPECTED
-    zone = follow(zone, (12.5, cut))
+        observe_steps(zone, (11, ZoneSignals(20, 2, PRESENT))).state is ZoneState.HEALTHY
+    )  # heartbeats were late
+    # Between the limits nothing changes: no flapping near one of them.
+    assert observe_steps(zone, (13, ZoneSignals(20, 12, UNREACHABLE))).state is ZoneState.SUSPECTED
+    zone = observe_steps(zone, (12.5, cut))
     assert zone.state is ZoneState.PARTITIONED and zone.failures == 1
-    assert follow(zone, (14, ZoneSignals(20, 9, GONE))).state is ZoneState.PARTITIONED
-    assert follow(zone, (30, ZoneSignals(20, 20, GONE, ended=20))).state is ZoneState.FAILED
-    zone = follow(zone, (40, back))
+    assert observe_steps(zone, (14, ZoneSignals(20, 9, UNREACHABLE))).state is ZoneState.PARTITIONED
+    assert (
+        observe_steps(zone, (30, ZoneSignals(20, 20, UNREACHABLE, ended=20))).state
+        is ZoneState.FAILED
+    )
+    zone = observe_steps(zone, (40, back))
     assert zone.state is ZoneState.RECOVERING
-    assert follow(zone, (41, back)).state is ZoneState.RECOVERING
-    assert follow(zone, (51, back)).state is ZoneState.HEALTHY
+    assert observe_steps(zone, (41, back)).state is ZoneState.RECOVERING
+    assert observe_steps(zone, (51, back)).state is ZoneState.HEALTHY
 
 
-def test_trust_in_a_zone_that_flaps_comes_back_more_slowly_each_time() -> None:
-    cut, back = ZoneSignals(20, 20, GONE), ZoneSignals(20, 0, HERE)
+def test_probation_doubles_for_flapping_zone() -> None:
+    cut, back = ZoneSignals(20, 20, UNREACHABLE), ZoneSignals(20, 0, PRESENT)
     zone, now, probations = Zone("a"), 0.0, []
     for _ in range(6):
-        zone = follow(zone, (now, cut), (now + 3, cut), (now + 10, back))
+        zone = observe_steps(zone, (now, cut), (now + 3, cut), (now + 10, back))
         assert zone.state is ZoneState.RECOVERING
         probations.append(zone.probation)
         now += 20
     assert probations[0] == PROBATION and probations[1] == PROBATION * 2
     assert probations == sorted(probations) and probations[-1] == seconds(120)
-    open_again = follow(zone, (now + 200, back), (now + 600, back))
+    open_again = observe_steps(zone, (now + 200, back), (now + 600, back))
     assert open_again.state is ZoneState.HEALTHY and open_again.failures == 0
 
 
 def cut_pairs(world: World, zone: str) -> list[tuple[str, str]]:
-    """Everything in a zone from everything outside of it."""
+    """Return the pairs of one host inside the zone and one outside."""
     inside = {f"c{ZONES.index(zone)}"}
     inside |= {w.name for w in world.fleet.workers.values() if w.zone == zone}
     outside = {"state", "cloud", *(f"c{n}" for n in range(3))}
@@ -101,13 +104,13 @@
 
 
 @pytest.mark.parametrize("where", ["outside", "inside"])
-def test_a_cut_zone_is_noticed_within_seconds_and_is_open_again_in_the_end(
+def test_partitioned_zone_is_detected_and_recovers(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, where: str
 ) -> None:
-    """The leader is outside, or inside, and the next one never heard of the zone's machines."""
+    """With the leader outside, or inside, where its successor never reached the zone's machines."""
     caplog.set_level(logging.INFO, "micadeal.zones")
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 24, run_s=0.0, crew="blue", scatter=True)
         await world.until(lambda: world.running(job) == 24)
         leader = world.leader()
@@ -131,12 +134,12 @@
         found = await world.call(world.leader() or 0, "GET", "/overview")
         assert not [note for note in found[1]["notes"] if note.startswith("zone ")]
 
-    world = World(teams=MANY)
+    world = World(teams=LARGE_TEAMS)
     world.limits = {"blue": 80.0, "red": 8.0}
-    world.play(monkeypatch, story)
+    world.play(monkeypatch, scenario)
 
 
-MANY = """
+LARGE_TEAMS = """
 [[cluster.teams]]
 name = "blue"
 gpus = 40.0
