--- a/micadeal/fleet/boot_times.py
+++ b/micadeal/fleet/boot_times.py
@@ -1,10 +1,10 @@
-"""When a machine that boots is late, and when it is given up: by what others took.  Pure.
+"""When a booting machine is late, and when it is given up, judged by what other boots took.  Pure.
 
-A fixed time is wrong either way: some machines take several times as long as their type's boot
-time, some never come up, and at times all of them are slow, or up within a second or two
-(PROTOCOL, "GET /catalog").  What tells one from the other are machines of its like that were rented
-with it, or later, and are up: they have *overtaken* it.  Where none has, all are slow, and to rent
-more would only add to them.
+A fixed time limit is wrong either way: some machines take several times as long as their type's
+boot time, some never come up, and at times all of them are slow, or up within a second or two
+(PROTOCOL, "GET /catalog").  What tells these cases apart are similar machines that were rented
+together with it or later and are up already: they have *overtaken* it.  Where no machine has, all
+boots are slow, and renting more would only add slow ones.
 """
 
 from __future__ import annotations
@@ -14,67 +14,87 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 from statistics import median
+from typing import NamedTuple
 
 from micadeal.clock import ZERO, seconds
 from micadeal.fleet.instance_offers import InstanceOffer
 from micadeal.fleet.machines import Machine
 
-#: Boots remembered of an offer, and for how long they tell something.
-REMEMBERED = 64
-MEMORY = seconds(300)
-#: Rented no longer than this before another counts as rented with it.
-TOGETHER = seconds(3)
-#: So many that overtook a machine make it late...
-OVERTAKERS = 3
-#: ... at so many times their median, or its type's boot time if that is less.
-LATE = 1.6
-#: One that is late is given up after so many boot times of its type, others after so many.
-GIVEN_UP = 3.0
-PATIENCE = 8.0
+#: Boots remembered for each offer.
+MAX_REMEMBERED_BOOTS = 64
+#: Machines rented longer ago than this say nothing about boots of today.
+MAX_BOOT_AGE = seconds(300)
+#: A machine rented no longer than this before another counts as rented together with it.
+SAME_RENTAL_WINDOW = seconds(3)
+#: So many machines must have overtaken one that is late.
+MIN_OVERTAKERS = 3
+#: A machine is late at this multiple of the overtakers' median boot time...
+LATE_FACTOR = 1.6
+#: ... which counts for at least this share of its type's boot time.
+MIN_BOOT_TIME_SHARE = 1 / 2
+#: Multiples of the type's boot time after which an overtaken machine is given up, and any other.
+GIVE_UP_FACTOR_OVERTAKEN = 3.0
+GIVE_UP_FACTOR = 8.0
+
+
+class Boot(NamedTuple):
+    """A boot that was observed from its beginning."""
+
+    rented: timedelta
+    #: Time from the rental to the first message.
+    duration: timedelta
 
 
 @dataclass(slots=True)
 class BootTimes:
-    """What was seen of each offer: (rented, time to the first message)."""
+    """The boots lately observed for each offer."""
 
-    _seen: dict[InstanceOffer, deque[tuple[timedelta, timedelta]]] = field(default_factory=dict)
+    _boots: dict[InstanceOffer, deque[Boot]] = field(default_factory=dict)
 
-    def up(self, machine: Machine, now: timedelta) -> None:
-        """A machine has come up of which we know when it was rented."""
+    def record_boot(self, machine: Machine, now: timedelta) -> None:
+        """Remember that a machine whose rental time is known has come up."""
         offer = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
-        seen = self._seen.setdefault(offer, deque(maxlen=REMEMBERED))
-        seen.append((machine.rented, max(now - machine.rented, ZERO)))
+        boots = self._boots.setdefault(offer, deque(maxlen=MAX_REMEMBERED_BOOTS))
+        boots.append(Boot(machine.rented, max(now - machine.rented, ZERO)))
 
     def late(self, machine: Machine, usual: timedelta, now: timedelta) -> bool:
-        """Whether it is better not to count on it: others were rented in its place.  ``usual``:
-        the boot time of its type."""
-        times = self._overtakers(machine, now)
-        if len(times) < OVERTAKERS:
+        """Tell whether a booting machine is late, so that others are rented in its place.
+
+        ``usual``: the boot time of its type.
+        """
+        durations = self._overtakers(machine, now)
+        if len(durations) < MIN_OVERTAKERS:
             return False
-        seen = seconds(median(time.total_seconds() for time in times))
-        return machine.age(now) > max(min(seen, usual), usual / 2) * LATE
+        typical = seconds(median(duration.total_seconds() for duration in durations))
+        limit = max(min(typical, usual), usual * MIN_BOOT_TIME_SHARE) * LATE_FACTOR
+        return machine.age(now) > limit
 
     def given_up(self, machine: Machine, usual: timedelta, now: timedelta) -> bool:
-        times = PATIENCE if len(self._overtakers(machine, now)) < OVERTAKERS else GIVEN_UP
-        return machine.age(now) > usual * times
+        """Tell whether a booting machine is to be returned.
+
+        ``usual``: the boot time of its type.
+        """
+        overtaken = len(self._overtakers(machine, now)) >= MIN_OVERTAKERS
+        factor = GIVE_UP_FACTOR_OVERTAKEN if overtaken else GIVE_UP_FACTOR
+        return machine.age(now) > usual * factor
 
     def _overtakers(self, machine: Machine, now: timedelta) -> list[timedelta]:
-        """Boot times of those rented with it or later that are up: of its own offer, or if there
-        are too few, of all of its type."""
-        own = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
-        times = self._since(self._seen.get(own, ()), machine, now)
-        if len(times) >= OVERTAKERS:
-            return times
+        """Boot times of similar machines rented together with it or later that are up.
+
+        Those of its own offer, or if they are too few, those of its type.
+        """
+        offer = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
+        durations = _durations_since(self._boots.get(offer, ()), machine, now)
+        if len(durations) >= MIN_OVERTAKERS:
+            return durations
         return [
-            time
-            for offer, seen in self._seen.items()
+            duration
+            for offer, boots in self._boots.items()
             if offer.machine_type == machine.machine_type
-            for time in self._since(seen, machine, now)
+            for duration in _durations_since(boots, machine, now)
         ]
 
-    @staticmethod
-    def _since(
-        seen: Iterable[tuple[timedelta, timedelta]], machine: Machine, now: timedelta
-    ) -> list[timedelta]:
-        first = max(machine.rented - TOGETHER, now - MEMORY)
-        return [time for rented, time in seen if rented >= first]
+
+def _durations_since(boots: Iterable[Boot], machine: Machine, now: timedelta) -> list[timedelta]:
+    earliest = max(machine.rented - SAME_RENTAL_WINDOW, now - MAX_BOOT_AGE)
+    return [boot.duration for boot in boots if boot.rented >= earliest]
--- a/micadeal/fleet/instance_offers.py
+++ b/micadeal/fleet/instance_offers.py
@@ -3,77 +3,101 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from datetime import timedelta
+from typing import NamedTuple
 
 from micadeal.clock import seconds
-from micadeal.placement.bin_packing import allowed, type_fits
+from micadeal.placement.bin_packing import EPSILON, allowed, type_fits
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.users import Submission
 
-FIRST_PAUSE = seconds(6)
-LONGEST_PAUSE = seconds(40)
+#: Backoff of an offer after its first refusal in a row, doubled with each further one.
+FIRST_BACKOFF = seconds(6)
+MAX_BACKOFF = seconds(40)
 #: For so long a refusal is taken to tell how many machines can be had.
 REFUSAL_MEMORY = seconds(120)
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceOffer:
+    """A kind of machine that can be rented: a machine type in a zone, as spot or on demand."""
+
     machine_type: str
     zone: str
     spot: bool
 
 
+class _Backoff(NamedTuple):
+    """An offer that was refused is not asked for until the backoff is over."""
+
+    duration: timedelta
+    until: timedelta
+
+
+class _Refusal(NamedTuple):
+    """How many machines of an offer were rented when more were refused."""
+
+    held: int
+    at: timedelta
+
+
 @dataclass(slots=True)
 class InstanceOffers:
-    """The catalog, and a pause for each offer that was refused: doubled with every refusal."""
+    """The catalog, with an exponential backoff for each offer that was refused."""
 
+    #: Machine types of the catalog, by name.
     types: dict[str, MachineType] = field(default_factory=dict)
-    _until: dict[InstanceOffer, timedelta] = field(default_factory=dict)
-    _pause: dict[InstanceOffer, timedelta] = field(default_factory=dict)
-    #: How many machines we held of an offer when more were refused, and when that was.
-    _most: dict[InstanceOffer, tuple[int, timedelta]] = field(default_factory=dict)
+    _backoffs: dict[InstanceOffer, _Backoff] = field(default_factory=dict)
+    _refusals: dict[InstanceOffer, _Refusal] = field(default_factory=dict)
 
     def refused(self, offer: InstanceOffer, held: int, now: timedelta) -> None:
-        self._most[offer] = (held, now)
-        pause = min(self._pause.get(offer, FIRST_PAUSE / 2) * 2, LONGEST_PAUSE)
-        self._pause[offer] = pause
-        self._until[offer] = now + pause
+        """Record that the cloud refused more of an offer while ``held`` machines were rented."""
+        self._refusals[offer] = _Refusal(held, now)
+        last = self._backoffs.get(offer)
+        duration = FIRST_BACKOFF if last is None else min(last.duration * 2, MAX_BACKOFF)
+        self._backoffs[offer] = _Backoff(duration, now + duration)
 
     def granted(self, offer: InstanceOffer) -> None:
-        self._pause.pop(offer, None)
-        self._until.pop(offer, None)
+        """Record that the cloud rented out machines of an offer: its backoff ends."""
+        self._backoffs.pop(offer, None)
 
     def left(self, offer: InstanceOffer, held: int, now: timedelta) -> int | None:
-        """How many more can be had, as far as the last refusal tells; None: not known.
+        """Return how many more machines can be had, judged by the last refusal; None: unknown.
 
-        Guards against renting part of a gang's machines in one zone after the other: each time
-        what had come was returned idle, and charged.
+        Guards against renting part of a gang's machines in one zone after the other: each time the
+        machines that had come were returned idle, and charged.
         """
-        found = self._most.get(offer)
-        if found is None or now - found[1] > REFUSAL_MEMORY:
+        refusal = self._refusals.get(offer)
+        if refusal is None or now - refusal.at > REFUSAL_MEMORY:
             return None
-        return max(0, found[0] - held)
+        return max(0, refusal.held - held)
 
-    def paused(self, offer: InstanceOffer, now: timedelta) -> bool:
-        until = self._until.get(offer)
-        return until is not None and now < until
+    def is_backing_off(self, offer: InstanceOffer, now: timedelta) -> bool:
+        """Tell whether an offer was refused so lately that it is not asked for."""
+        backoff = self._backoffs.get(offer)
+        return backoff is not None and now < backoff.until
 
     def any_paused(self, now: timedelta) -> list[InstanceOffer]:
-        return [offer for offer in self._until if self.paused(offer, now)]
+        """Return the offers that are not asked for at present."""
+        return [offer for offer in self._backoffs if self.is_backing_off(offer, now)]
 
     def spot_refused(self, now: timedelta) -> bool:
-        """Every spot offer was refused lately: what may use spot may then use ordinary too."""
-        spots = [
+        """Tell whether every spot offer was refused lately.
+
+        Work that may use spot machines may then use on-demand ones too.
+        """
+        spot_offers = [
             InstanceOffer(kind.name, zone, True)
             for kind in self.types.values()
             if kind.spot_price is not None
             for zone in kind.zones
         ]
-        return not spots or all(self.paused(offer, now) for offer in spots)
+        return not spot_offers or all(self.is_backing_off(offer, now) for offer in spot_offers)
 
     def can_ever_fit(self, spec: Submission) -> bool:
+        """Tell whether a task fits on an empty machine of any type that it allows."""
         return any(
             type_fits(spec, kind)
             and any(allowed(spec, kind.name, zone, spot=False) for zone in kind.zones)
@@ -81,14 +105,17 @@
         )
 
     def most_on_one(self, spec: Submission) -> int:
-        """How many tasks of this size one machine takes at most; one at least."""
-        return max((_per_machine(spec, kind) for kind in self.types.values()), default=1)
+        """Return how many tasks of this size one machine takes at most; one at least."""
+        return max((_tasks_per_machine(spec, kind) for kind in self.types.values()), default=1)
 
     def choices(
         self, spec: Submission, now: timedelta, present: Counter[str]
     ) -> Iterator[tuple[InstanceOffer, MachineType]]:
-        """Offers for a task: cheapest kind first, then zones with the fewest machines."""
-        found: list[tuple[float, int, str, InstanceOffer, MachineType]] = []
+        """Yield the offers for a task: the cheapest first, then zones with the fewest machines.
+
+        ``present``: machines by zone.
+        """
+        candidates: list[tuple[float, int, str, InstanceOffer, MachineType]] = []
         for kind in self.types.values():
             if not type_fits(spec, kind):
                 continue
@@ -98,28 +125,27 @@
                     continue
                 for zone in kind.zones:
                     offer = InstanceOffer(kind.name, zone, spot)
-                    if allowed(spec, kind.name, zone, spot) and not self.paused(offer, now):
-                        found.append(
-                            (_per_task(spec, kind, price), present[zone], zone, offer, kind)
-                        )
-        found.sort(key=lambda entry: entry[:3])
-        for _, _, _, offer, kind in found:
+                    if allowed(spec, kind.name, zone, spot) and not self.is_backing_off(offer, now):
+                        per_task = _price_per_task(spec, kind, price)
+                        candidates.append((per_task, present[zone], zone, offer, kind))
+        candidates.sort(key=lambda candidate: candidate[:3])
+        for _, _, _, offer, kind in candidates:
             yield offer, kind
 
 
-def _per_machine(spec: Submission, kind: MachineType) -> int:
-    ratios: Iterable[float] = (
-        have / need
-        for have, need in (
+def _tasks_per_machine(spec: Submission, kind: MachineType) -> int:
+    ratios = (
+        available / needed
+        for available, needed in (
             (kind.gpus, spec.gpus),
             (kind.cpus, spec.cpus),
             (kind.memory_gb, spec.memory_gb),
         )
-        if need > 0
+        if needed > 0
     )
-    return max(1, int(min(ratios, default=1.0) + 1e-6))
+    return max(1, int(min(ratios, default=1.0) + EPSILON))
 
 
-def _per_task(spec: Submission, kind: MachineType, price: float) -> float:
-    """Price per task of this size on a full machine."""
-    return price / _per_machine(spec, kind)
+def _price_per_task(spec: Submission, kind: MachineType, price: float) -> float:
+    """Return the price for each task of this size on a full machine."""
+    return price / _tasks_per_machine(spec, kind)
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -16,8 +16,8 @@
 from micadeal.clock import DRIFT, ZERO, monotonic_at, seconds
 from micadeal.fleet.boot_times import BootTimes
 from micadeal.fleet.instance_offers import InstanceOffer
-from micadeal.fleet.machines import Attempt, Machine
-from micadeal.fleet.reachability import ANSWERED_SHARE
+from micadeal.fleet.machines import Attempt, ExitedTask, HeartbeatId, Machine
+from micadeal.fleet.reachability import UNRENEWED_LEASE_SHARE
 from micadeal.jobs.dependencies import JobDependencies, JobEnd
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Team, Workers
@@ -309,7 +309,7 @@
             machine.up_since = now
             machine.idle_since = now
             if machine.boot_seen:
-                self.boot_times.up(machine, now)
+                self.boot_times.record_boot(machine, now)
             self.changed = True
         self._effects(machine, heartbeat, now, is_heartbeat)
         if heartbeat.incarnation > machine.incarnation:
@@ -322,7 +322,7 @@
             self.changed = True
         reachability.take(heartbeat.token, now)
         if asked is not None:
-            reachability.told(asked)
+            reachability.probe_answered(asked)
         if is_heartbeat:
             machine.heard = now
             if machine.lost:
@@ -390,7 +390,7 @@
         shown = {(task.task, task.attempt) for task in heartbeat.tasks}
         took = any((a.task, a.number) in shown for a in starts)
         if took or (ours and not machine.has_our_token):
-            reachability.seen()
+            reachability.response_took_effect()
             return
         if not is_heartbeat or machine.heard is None:
             # It may have been made while the answer was on its way.
@@ -399,10 +399,10 @@
         swallowed = any(a.ordered == known and a.stop is None for a in starts)
         ended = (
             heartbeat.incarnation > machine.incarnation
-            and now - machine.heard < self.workers.lease * ANSWERED_SHARE
+            and now - machine.heard < self.workers.lease * UNRENEWED_LEASE_SHARE
         )
         if swallowed or ended or not ours:
-            reachability.unseen(now)
+            reachability.response_had_no_effect(now)
             if reachability.may_ask(now):
                 self.asking.add(machine.name)
             self.changed |= reachability.receives_nothing
@@ -530,7 +530,7 @@
         done = task.why == "done"
         known = machine.exited.get((task.task, task.attempt))
         attempt = machine.attempts.get(key)
-        machine.exited[(task.task, task.attempt)] = (job_id, index, done)
+        machine.exited[(task.task, task.attempt)] = ExitedTask(job_id, index, done)
         if known is not None and attempt is None:
             return
         job = self.jobs.get(job_id)
@@ -623,7 +623,7 @@
             if not attempt.durable or not self._ours(attempt):
                 continue
             if attempt.stop is None and attempt.state is None:
-                attempt.ordered = seen
+                attempt.ordered = HeartbeatId(*seen)
                 commands.append(Command(CommandKind.START, attempt.task, attempt.number))
         return commands
 
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -12,7 +12,7 @@
 
 from micadeal.clock import ZERO, seconds
 from micadeal.fleet.instance_offers import InstanceOffer, InstanceOffers
-from micadeal.fleet.machines import Attempt, Machine
+from micadeal.fleet.machines import Attempt, Machine, Preemption
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Objective
 from micadeal.operator.policy import Policy
@@ -347,7 +347,7 @@
             log.info("%s is stopped to make room for %s", victim.job_id, needy)
             for name in {entry[0] for entry in victim.frees}:
                 until = now + grace_to_save(job) + CLEARING_TIME
-                self.cluster.machines[name].preempted_for = (needy, until)
+                self.cluster.machines[name].preempted_for = Preemption(needy, until)
             if victim.index is None:
                 self.cluster.stop_job(job, now, save=True)
                 continue
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -22,7 +22,7 @@
     never = _machine("m", 100)
     assert not boot_times.late(never, USUAL, seconds(160))
     for number in range(3):
-        boot_times.up(_machine(f"n{number}", 101 + number), seconds(132))
+        boot_times.record_boot(_machine(f"n{number}", 101 + number), seconds(132))
     assert not boot_times.late(never, USUAL, seconds(140))
     assert boot_times.late(never, USUAL, seconds(160))
     assert not boot_times.given_up(never, USUAL, seconds(160))
@@ -33,7 +33,7 @@
     """Guards against a storm of rentals: each would be as slow as what it was to replace."""
     boot_times = BootTimes()
     for number in range(5):
-        boot_times.up(_machine(f"before{number}", 10), seconds(40))
+        boot_times.record_boot(_machine(f"before{number}", 10), seconds(40))
     slow = _machine("m", 100)
     assert not boot_times.late(slow, USUAL, seconds(230))
     assert not boot_times.given_up(slow, USUAL, seconds(230))
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -10,7 +10,7 @@
 
 from bench.model_reachability import GUARDS, explore, small_margin, without
 from micadeal.clock import monotonic, seconds
-from micadeal.fleet.reachability import MISSES, MOST_MISSES, Reachability
+from micadeal.fleet.reachability import MAX_EXCUSED_FAILURES, UNREACHABLE_AFTER, Reachability
 from micadeal.http.message import Request
 from micadeal.wire.codec import decode
 from tests.fakes.workers import FakeWorker
@@ -328,7 +328,7 @@
 
 def test_a_machine_is_deaf_by_what_it_shows_and_hears_again_by_an_answer() -> None:
     reachability = Reachability()
-    reachability.unseen(seconds(1))
+    reachability.response_had_no_effect(seconds(1))
     assert not reachability.receives_nothing
     reachability.probe_unanswered(seconds(0))
     assert not reachability.receives_nothing
@@ -336,13 +336,13 @@
     assert reachability.receives_nothing and reachability.receives_nothing_for(
         seconds(5)
     ) == seconds(4)
-    reachability.told(seconds(6))
-    assert not reachability.receives_nothing and reachability.missed < MISSES
-    for _ in range(MOST_MISSES):
-        reachability.unseen(seconds(7))
-    reachability.told(seconds(8))
+    reachability.probe_answered(seconds(6))
+    assert not reachability.receives_nothing and reachability.missed < UNREACHABLE_AFTER
+    for _ in range(MAX_EXCUSED_FAILURES):
+        reachability.response_had_no_effect(seconds(7))
+    reachability.probe_answered(seconds(8))
     assert reachability.receives_nothing
-    reachability.seen()
+    reachability.response_took_effect()
     assert not reachability.receives_nothing
 
 
