--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -33,6 +33,7 @@
 from micadeal.controller.persistence.record_writer import Changes
 from micadeal.controller.record_loader import RecordLoader
 from micadeal.fleet.machines import Machine
+from micadeal.scheduling import machine_loss, reconciliation, reported_tasks, worker_commands
 from micadeal.scheduling.cluster_state import ClusterState
 from tests.fakes.fault_histories import PAIRS, History
 
@@ -110,12 +111,12 @@
 
 
 def _old_reports_are_news(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ClusterState, "_looks_older", lambda self, machine, heartbeat: False)
+    patch.setattr(reconciliation, "_looks_older", lambda machine, heartbeat: False)
 
 
 def _any_absence_frees(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        ClusterState, "_absent_for_good", lambda self, attempt, machine, is_heartbeat: True
+        reported_tasks, "_absent_for_good", lambda cluster, attempt, machine, is_heartbeat: True
     )
 
 
@@ -129,21 +130,21 @@
 
 
 def _silence_before_our_token_frees(patch: pytest.MonkeyPatch) -> None:
-    def expire(self: ClusterState, now: timedelta) -> None:
-        for machine in list(self.machines.values()):
-            latest = machine.reachability.latest or self.began
-            if not machine.lost and now - latest > self.workers.lease / 2:
+    def expire(cluster: ClusterState, now: timedelta) -> None:
+        for machine in list(cluster.machines.values()):
+            latest = machine.reachability.latest or cluster.began
+            if not machine.lost and now - latest > cluster.workers.lease / 2:
                 machine.lost = True
-                self._clear(machine, now)
+                machine_loss.lose_all_attempts(cluster, machine, now)
 
-    patch.setattr(ClusterState, "expire", expire)
+    patch.setattr(machine_loss, "expire_leases", expire)
 
 
 def _stops_are_not_repeated(patch: pytest.MonkeyPatch) -> None:
-    def none(self: ClusterState, machine: Machine) -> list[Any]:
+    def none(cluster: ClusterState, machine: Machine) -> list[Any]:
         return []
 
-    patch.setattr(ClusterState, "stop_commands_for", none)
+    patch.setattr(worker_commands, "stop_commands_for", none)
 
 
 #: Each guard's removal, and the troubles that it is meant for.
--- a/bench/model_reachability.py
+++ b/bench/model_reachability.py
@@ -28,6 +28,7 @@
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Workers
 from micadeal.scheduling import cluster_state as clusters
+from micadeal.scheduling import machine_loss, reconciliation, reported_tasks, worker_commands
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.users import Priority, Shape, Submission
 from micadeal.wire.workers import Command, CommandKind, Heartbeat, TaskStatus
@@ -183,7 +184,7 @@
             self.running.clear()
             self.incarnation += 1
             self.renewed = self.now
-        self.cluster.expire(self.at)
+        machine_loss.expire_leases(self.cluster, self.at)
 
     # -- the network and the leader --------------------------------------------------------
 
@@ -207,8 +208,10 @@
         self._taken(self.copy)
 
     def _taken(self, heartbeat: Heartbeat) -> list[Command]:
-        machine = self.cluster.on_heartbeat(heartbeat, self.at, True)
-        return [] if machine is None else self.cluster.commands_for(machine, self.at, full=True)
+        machine = reconciliation.reconcile_heartbeat(self.cluster, heartbeat, self.at, True)
+        if machine is None:
+            return []
+        return worker_commands.commands_for(self.cluster, machine, full_authority=True)
 
     def _ask(self) -> None:
         if self.machine is not None:
@@ -218,7 +221,7 @@
     def _told(self) -> None:
         assert self.told is not None
         (asked, heartbeat), self.told = self.told, None
-        self.cluster.on_heartbeat(heartbeat, self.at, False, seconds(asked))
+        reconciliation.reconcile_heartbeat(self.cluster, heartbeat, self.at, False, seconds(asked))
 
     def _place(self) -> None:
         machine = self.machine
@@ -262,7 +265,7 @@
 # -- guards, each switched off ------------------------------------------------------------------
 
 
-def _never_older(self: ClusterState, machine: Machine, heartbeat: Heartbeat) -> bool:
+def _never_older(machine: Machine, heartbeat: Heartbeat) -> bool:
     return False
 
 
@@ -271,7 +274,7 @@
 
 
 def _any_absence(
-    self: ClusterState, attempt: Attempt, machine: Machine, is_heartbeat: bool
+    cluster: ClusterState, attempt: Attempt, machine: Machine, is_heartbeat: bool
 ) -> bool:
     return attempt.ordered is not None
 
@@ -281,10 +284,10 @@
     self.latest = now if self.latest is None else self.latest
 
 
-GUARDS: dict[str, tuple[type, str, Callable[..., Any]]] = {
-    "what looks older is no news": (ClusterState, "_looks_older", _never_older),
+GUARDS: dict[str, tuple[Any, str, Callable[..., Any]]] = {
+    "what looks older is no news": (reconciliation, "_looks_older", _never_older),
     "only an answer proves that it began anew": (Reachability, "proves_restart", _always_anew),
-    "absence counts once no start is under way": (ClusterState, "_absent_for_good", _any_absence),
+    "absence counts once no start is under way": (reported_tasks, "_absent_for_good", _any_absence),
     "a lease counts from the newest message": (Reachability, "take", _first_message_only),
 }
 
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -62,7 +62,7 @@
 from micadeal.operator.policy import Policy
 from micadeal.rollout.membership import Presence, presence
 from micadeal.rollout.migration import MigrationBacklog
-from micadeal.scheduling import explanations
+from micadeal.scheduling import explanations, reconciliation, worker_commands
 from micadeal.scheduling.cluster_state import ClusterState, StaleTokenError
 from micadeal.scheduling.scheduler import Scheduler
 from micadeal.state.service import StateService
@@ -454,7 +454,7 @@
                 machine.reachability.probe_unanswered(asked)
             return
         try:
-            self._cluster.on_heartbeat(heartbeat, now, False, asked)
+            reconciliation.reconcile_heartbeat(self._cluster, heartbeat, now, False, asked)
         except StaleTokenError:
             self._resign()
 
@@ -477,7 +477,9 @@
                 self._in_direct.add(name)
                 machine.reachability.asked = monotonic()
                 message = DirectCommands(
-                    self.token, machine.incarnation, cluster.stop_commands_for(machine)
+                    self.token,
+                    machine.incarnation,
+                    worker_commands.stop_commands_for(cluster, machine),
                 )
                 await self._background_tasks.spawn(
                     self._outbound.direct, name, machine.address, message
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -15,6 +15,7 @@
 from micadeal.jobs.model import CHUNK, SMALL_CHUNK, Job
 from micadeal.operator.policy import Policy
 from micadeal.operator.script import policy_from_values
+from micadeal.scheduling import takeover
 from micadeal.scheduling.scheduler import Scheduler
 from micadeal.schema.decoding import VersionedRecord
 from micadeal.schema.job_records import join_parts, part_keys
@@ -55,11 +56,11 @@
         for chunk in loaded.finished:
             self._load_finished(chunk)
         for job_id, end in loaded.ended.items():
-            self._cluster.load_ended(job_id, end)
+            takeover.load_ended_job(self._cluster, job_id, end)
         for placed in loaded.placed:
             if placed.record is not None:
                 self._record_writer.versions[placed.key] = placed.version
-                self._cluster.load_placed(placed.key, placed.record, now)
+                takeover.load_placements(self._cluster, placed.key, placed.record, now)
         for page in loaded.images:
             self._load_images(page, now)
         # With all that may be on machines: it counts for its team until it is gone.
@@ -124,7 +125,7 @@
     def _load_images(self, page: VersionedRecord[ImagesRecord], now: timedelta) -> None:
         self._record_writer.versions[page.key] = page.version
         if page.record is not None:
-            self._cluster.load_images(page.record, now)
+            takeover.load_images(self._cluster, page.record, now)
             self._record_writer.load_images(page.key, page.record, now)
 
     def job_event(self, event: Event, now: timedelta, parts: Mapping[str, Item]) -> None:
--- /dev/null
+++ b/micadeal/scheduling/machine_loss.py
@@ -0,0 +1,57 @@
+"""Machines whose lease has expired, and those that the cloud has removed."""
+
+from __future__ import annotations
+
+import logging
+from datetime import timedelta
+
+from micadeal.fleet.machines import Machine
+from micadeal.scheduling.attempts import lose_attempt
+from micadeal.scheduling.cluster_state import ClusterState
+
+log = logging.getLogger(__name__)
+
+#: Names of removed machines that are remembered; the earliest is forgotten.
+MAX_REMOVED_MACHINES = 20_000
+
+
+def expire_leases(cluster: ClusterState, now: timedelta) -> None:
+    """Free the tasks of machines that were silent for longer than their lease.
+
+    Only of workers that have shown our token: no other leader can have answered them since.
+    """
+    limit = cluster.lease_expiry
+    for machine in list(cluster.machines.values()):
+        latest = machine.reachability.latest
+        if machine.lost or latest is None or not machine.has_our_token:
+            continue
+        if now - latest > limit:
+            machine.lost = True
+            cluster.changed = True
+            log.info(
+                "lease expired: machine=%s zone=%s attempts=%d",
+                machine.name,
+                machine.zone,
+                len(machine.attempts),
+            )
+            lose_all_attempts(cluster, machine, now)
+
+
+def remove_machine(cluster: ClusterState, name: str, now: timedelta) -> None:
+    """Take in that the cloud has confirmed the end of a machine, and of everything on it."""
+    cluster.gone[name] = now
+    if len(cluster.gone) > MAX_REMOVED_MACHINES:
+        del cluster.gone[next(iter(cluster.gone))]
+    machine = cluster.machines.get(name)
+    if machine is None:
+        return
+    lose_all_attempts(cluster, machine, now)
+    del cluster.machines[name]
+    cluster.changed = True
+
+
+def lose_all_attempts(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
+    """Remove everything that was on a machine, or could have been started there."""
+    for attempt in list(machine.attempts.values()):
+        lose_attempt(cluster, machine, attempt, now)
+    machine.exited.clear()
--- /dev/null
+++ b/micadeal/scheduling/reported_tasks.py
@@ -0,0 +1,219 @@
+"""Reconciling the attempts on a machine with the tasks that its newest heartbeat shows."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Iterable
+from datetime import timedelta
+
+from micadeal.clock import ZERO, seconds
+from micadeal.fleet.machines import Attempt, AttemptKey, ExitedTask, Machine, ReportedTask
+from micadeal.jobs.model import Job
+from micadeal.scheduling.attempts import lose_attempt, stop_gang_members
+from micadeal.scheduling.cluster_state import ClusterState
+from micadeal.wire.workers import Heartbeat, TaskState, TaskStatus
+
+log = logging.getLogger(__name__)
+
+#: A task of a service that has run for so long does not fail by a mistake of its job.
+PROVEN_RUN_TIME = seconds(30)
+#: Delay before a job is tried again after an error, doubled with each further failure.
+FIRST_RETRY_DELAY = seconds(2)
+MAX_RETRY_DELAY = seconds(90)
+MAX_RETRY_DOUBLINGS = 6
+#: So many failures on one machine are no reason to delay the job: the machine may be faulty.
+MAX_UNDELAYED_FAILURES = 2
+
+#: Causes of an exit, as workers spell them.
+CAUSE_DONE = "done"
+CAUSE_ERROR = "error"
+CAUSE_UNKNOWN = "unknown"
+
+_STATES = {state.value: state for state in TaskState}
+
+
+def reconcile_tasks(
+    cluster: ClusterState,
+    machine: Machine,
+    heartbeat: Heartbeat,
+    now: timedelta,
+    is_heartbeat: bool,
+) -> None:
+    """Take in the tasks that a message shows, and release what it proves to be gone.
+
+    ``is_heartbeat``: False for an answer to a command, which proves less.
+    """
+    shown: set[AttemptKey] = set()
+    exited: set[ReportedTask] = set()
+    for task in heartbeat.tasks:
+        try:
+            job_id, index = _parse_task_id(task.task)
+        except ValueError:
+            log.warning("unreadable task id: machine=%s task=%r", machine.name, task.task)
+            continue
+        key = (job_id, index, task.attempt)
+        shown.add(key)
+        if task.state == TaskState.EXITED.value:
+            exited.add((task.task, task.attempt))
+            _take_exit(cluster, machine, key, task, now)
+        else:
+            state = _STATES.get(task.state, TaskState.RUNNING)
+            _take_state(cluster, machine, key, state, now)
+    for forgotten in [task for task in machine.exited if task not in exited]:
+        del machine.exited[forgotten]
+    for attempt in [a for key, a in machine.attempts.items() if key not in shown]:
+        if _absent_for_good(cluster, attempt, machine, is_heartbeat):
+            if attempt.state is None:
+                cluster.release(attempt, now)
+            else:
+                lose_attempt(cluster, machine, attempt, now)
+
+
+def _parse_task_id(text: str) -> tuple[str, int]:
+    """Split ``<job id>/<index>``; raises ``ValueError`` if it is not of that form."""
+    job_id, _, index = text.rpartition("/")
+    if not job_id or not index.isdigit():
+        raise ValueError(f"not a task: {text!r}")
+    return job_id, int(index)
+
+
+def _absent_for_good(
+    cluster: ClusterState, attempt: Attempt, machine: Machine, is_heartbeat: bool
+) -> bool:
+    """Tell whether an attempt that the newest message does not show can't be started any more."""
+    if attempt.state is not None:
+        # It was there and is not any more: killed with its incarnation, or forgotten.
+        return True
+    if not cluster.is_ours(attempt):
+        # Its start could only come in a response of an earlier leader.  The worker drops those once
+        # it has seen our token; before that, a heartbeat that the network held up proves nothing.
+        # Guards ``ran_twice``: with two leaders, one late heartbeat would be enough.
+        return machine.has_our_token
+    if attempt.ordered is None:
+        return False
+    if not is_heartbeat:
+        # An answer to a command may be made while the response with the start is on its way.
+        return False
+    # The worker has one heartbeat in flight.  This one was sent after the response with the start
+    # had been taken or given up, and it does not show the task.  Unless the attempt is to be
+    # stopped, its start is simply ordered again.
+    latest = (machine.incarnation, machine.sequence)
+    return attempt.stop is not None and attempt.ordered < latest
+
+
+def _take_state(
+    cluster: ClusterState,
+    machine: Machine,
+    key: AttemptKey,
+    state: TaskState,
+    now: timedelta,
+) -> None:
+    """Take in a task that is on the machine and has not exited."""
+    job_id, index, _ = key
+    attempt = machine.attempts.get(key)
+    unknown = attempt is None
+    if attempt is None:
+        attempt = Attempt(*key, machine.name, now)
+        cluster.adopt(cluster.job_or_placeholder(job_id), machine, attempt)
+    job = cluster.jobs[job_id]
+    if state is not attempt.state:
+        if state is TaskState.RUNNING and attempt.running_since is None:
+            _note_running(machine, job, attempt, now)
+        attempt.state = state
+    if job.is_service and job.errors and _has_proven_itself(attempt, now):
+        # A service is never done: that it runs takes back what failed on faulty machines.
+        # Otherwise a replica lost later would not be replaced as long as another one runs.
+        job.errors.clear()
+        job.retry_at = timedelta.min
+    if not job.over:
+        machine.images[job.spec.image] = now
+    if unknown and (job.over or len(job.attempts[index]) > 1 or index in job.finished):
+        # Only now that its state is known: an attempt that no heartbeat has shown is taken for
+        # never started and would be released at once.
+        cluster.stop(attempt, ZERO, now)
+
+
+def _note_running(machine: Machine, job: Job, attempt: Attempt, now: timedelta) -> None:
+    attempt.running_since = now
+    machine.shape = None
+    log.debug(
+        "task runs: job=%s task=%d class=%s machine=%s since_ready_s=%.1f since_placed_s=%.1f",
+        job.id,
+        attempt.index,
+        job.spec.job_class,
+        machine.name,
+        (now - job.ready).total_seconds(),
+        (now - attempt.placed).total_seconds(),
+    )
+
+
+def _has_proven_itself(attempt: Attempt, now: timedelta) -> bool:
+    return attempt.running_since is not None and now - attempt.running_since > PROVEN_RUN_TIME
+
+
+def _take_exit(
+    cluster: ClusterState, machine: Machine, key: AttemptKey, task: TaskStatus, now: timedelta
+) -> None:
+    """Take in a task that has exited; workers repeat it until they are told to forget it."""
+    job_id, index, _ = key
+    done = task.why == CAUSE_DONE
+    reported = (task.task, task.attempt)
+    seen_before = reported in machine.exited
+    attempt = machine.attempts.get(key)
+    machine.exited[reported] = ExitedTask(job_id, index, done)
+    if seen_before and attempt is None:
+        return
+    job = cluster.jobs.get(job_id)
+    if job is not None and not job.over:
+        if done:
+            _collect_run_time(cluster, job, attempt, now)
+            _finish_task(cluster, job, index, machine, now)
+        else:
+            _record_failure(job, machine, task, now)
+    if attempt is not None:
+        if not done:
+            stop_gang_members(cluster, attempt, now)
+        cluster.release(attempt, now)
+
+
+def _collect_run_time(
+    cluster: ClusterState, job: Job, attempt: Attempt | None, now: timedelta
+) -> None:
+    """Remember how the run time of a completed task compares to its estimate, if it is wanted."""
+    since = None if attempt is None else attempt.running_since
+    if cluster.ends is not None and since is not None and job.spec.estimate_s > 0:
+        run_time_s = (now - since).total_seconds()
+        cluster.ends.append((job.spec.job_class, run_time_s / job.spec.estimate_s))
+
+
+def _finish_task(
+    cluster: ClusterState, job: Job, index: int, machine: Machine, now: timedelta
+) -> None:
+    if job.is_service or index >= job.spec.tasks:
+        return
+    machine.errors.clear()
+    job.errors.clear()
+    job.retry_at = timedelta.min
+    job.last_progress = now
+    # The tasks of a gang complete together: if one is done, every one is.
+    indexes: Iterable[int] = range(job.spec.tasks) if job.is_gang else (index,)
+    for finished in indexes:
+        job.finish(finished)
+    cluster.finished_dirty.add(job.id)
+    cluster.changed = True
+
+
+def _record_failure(job: Job, machine: Machine, task: TaskStatus, now: timedelta) -> None:
+    """Count an error against machine and job, and delay the job's next attempt if it is suspect."""
+    cause = task.why or CAUSE_UNKNOWN
+    if cause == CAUSE_ERROR:
+        machine.errors.add(job.id)
+        job.errors[machine.name] += 1
+        # A job submitted with a mistake fails everywhere, stays below its share and would retake
+        # each freed slot (design, "Consequences"): it waits longer each time.
+        failures = sum(job.errors.values())
+        if len(job.errors) > 1 or failures > MAX_UNDELAYED_FAILURES:
+            doublings = min(failures - MAX_UNDELAYED_FAILURES, MAX_RETRY_DOUBLINGS)
+            job.retry_at = now + min(FIRST_RETRY_DELAY * 2**doublings, MAX_RETRY_DELAY)
+    elif cause == CAUSE_UNKNOWN:
+        job.retry_at = now + FIRST_RETRY_DELAY
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -17,6 +17,7 @@
 from micadeal.operator.platform import Objective
 from micadeal.operator.policy import Policy
 from micadeal.placement.bin_packing import EPSILON
+from micadeal.scheduling import machine_loss, reconciliation, worker_commands
 from micadeal.scheduling.capacity import SILENT_HEARTBEATS
 from micadeal.scheduling.cluster_state import ClusterState, grace_to_save
 from micadeal.scheduling.plan import Expected, Plan
@@ -174,10 +175,10 @@
         self, heartbeat: Heartbeat, now: timedelta, *, is_heartbeat: bool, full: bool
     ) -> list[Command] | None:
         """Orders for the answer; None if the machine is gone for good or the report is old."""
-        machine = self.cluster.on_heartbeat(heartbeat, now, is_heartbeat)
+        machine = reconciliation.reconcile_heartbeat(self.cluster, heartbeat, now, is_heartbeat)
         if machine is None:
             return None
-        return self.cluster.commands_for(machine, now, full) if is_heartbeat else []
+        return worker_commands.commands_for(self.cluster, machine, full) if is_heartbeat else []
 
     def on_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
         self.listed = True
@@ -238,7 +239,7 @@
     def released(self, names: Iterable[str], now: timedelta) -> None:
         for name in names:
             self.releases.discard(name)
-            self.cluster.machine_gone(name, now)
+            machine_loss.remove_machine(self.cluster, name, now)
 
     def return_again(self, names: Iterable[str], now: timedelta) -> None:
         """Machines that an earlier leader was returning: the cloud is asked once more at once.
@@ -268,7 +269,7 @@
             self._present_since = now
         self._ticked = now
         if may_expire_leases:
-            self.cluster.expire(now)
+            machine_loss.expire_leases(self.cluster, now)
         self._drain(now)
         self._look_after_machines(now)
         if self._hearing:
--- /dev/null
+++ b/micadeal/scheduling/takeover.py
@@ -0,0 +1,64 @@
+"""Loading into the cluster state what earlier leaders have recorded in the state service."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+from micadeal.clock import ZERO, seconds
+from micadeal.fleet.machines import Attempt, Machine
+from micadeal.scheduling.cluster_state import ClusterState, placeholder_job
+from micadeal.wire.state import EndRecord, ImagesRecord, PlacedMachine, PlacedRecord, PlacedTask
+
+
+def load_placements(cluster: ClusterState, key: str, record: PlacedRecord, now: timedelta) -> None:
+    """Take over a placement record: everything that it names may be on machines."""
+    cluster.records.setdefault(key, set())
+    if not record.machines:
+        # Emptied by an earlier leader that could not drop it.
+        cluster.shrunk.setdefault(key, now)
+    for entry in record.machines:
+        machine = _load_machine(cluster, entry, now)
+        for placed in entry.tasks:
+            _load_attempt(cluster, key, machine, placed, now)
+
+
+def load_images(cluster: ClusterState, record: ImagesRecord, now: timedelta) -> None:
+    """Take over which images machines are likely to hold; the record lists the latest first."""
+    for name, images in record.machines.items():
+        machine = cluster.machines.get(name)
+        if machine is not None:
+            for age, image in enumerate(images):
+                machine.images.setdefault(image, now - seconds(age + 1))
+            machine.shape = None
+
+
+def load_ended_job(cluster: ClusterState, job_id: str, end: EndRecord) -> None:
+    """Add a job that is over: tasks of it that may be on machines still count for its team."""
+    cluster.jobs[job_id] = placeholder_job(job_id, end.team, end.cpus, end.gpus, end.memory_gb)
+
+
+def _load_machine(cluster: ClusterState, entry: PlacedMachine, now: timedelta) -> Machine:
+    machine = cluster.machines.get(entry.name)
+    if machine is None:
+        machine = cluster.machines[entry.name] = Machine(
+            entry.name, entry.address, entry.machine_type, entry.zone, entry.spot, now, now
+        )
+    # Records are never changed, so the one of the later incarnation is the later one.
+    if entry.incarnation >= machine.incarnation:
+        machine.incarnation, machine.address = entry.incarnation, entry.address
+    return machine
+
+
+def _load_attempt(
+    cluster: ClusterState, key: str, machine: Machine, placed: PlacedTask, now: timedelta
+) -> None:
+    job = cluster.job_or_placeholder(placed.job_id)
+    attempt = Attempt(placed.job_id, placed.index, placed.attempt, machine.name, now, record=key)
+    attempt.started = placed.job_id in cluster.all_started
+    if attempt.key in machine.attempts:
+        # Two records name it: this one has no use.
+        cluster.shrunk.setdefault(key, now)
+        return
+    cluster.adopt(job, machine, attempt)
+    if job.over:
+        cluster.stop(attempt, ZERO, now)
--- /dev/null
+++ b/micadeal/scheduling/worker_commands.py
@@ -0,0 +1,60 @@
+"""The commands for a worker, derived from the cluster state: start, stop and forget tasks."""
+
+from __future__ import annotations
+
+from micadeal.fleet.machines import HeartbeatId, Machine
+from micadeal.scheduling.cluster_state import ClusterState
+from micadeal.wire.workers import Command, CommandKind
+
+
+def commands_for(cluster: ClusterState, machine: Machine, full_authority: bool) -> list[Command]:
+    """Return the commands for the response to the machine's newest heartbeat.
+
+    Starts are given only with full authority, and only in such responses: the worker ignores those
+    that arrive late.
+    """
+    commands = stop_commands_for(cluster, machine)
+    if not full_authority:
+        return commands
+    commands += _forget_commands(cluster, machine)
+    if not machine.has_our_token or machine.lost or machine.reachability.receives_nothing:
+        return commands
+    commands += _start_commands(cluster, machine)
+    return commands
+
+
+def stop_commands_for(cluster: ClusterState, machine: Machine) -> list[Command]:
+    """Return the stops for a machine; they may be sent at any time and repeated."""
+    return [
+        Command(CommandKind.STOP, attempt.task, attempt.number, attempt.stop.total_seconds())
+        for attempt in machine.attempts.values()
+        if attempt.stop is not None and (attempt.state is not None or not cluster.is_ours(attempt))
+    ]
+
+
+def _forget_commands(cluster: ClusterState, machine: Machine) -> list[Command]:
+    """Let the worker forget exited tasks; one that completed only once that is recorded."""
+    commands: list[Command] = []
+    for (task, number), exited in machine.exited.items():
+        job = cluster.jobs.get(exited.job_id)
+        if (
+            not exited.done
+            or job is None
+            or job.over
+            or job.is_service
+            or exited.task_index in job.durable
+        ):
+            commands.append(Command(CommandKind.FORGET, task, number))
+    return commands
+
+
+def _start_commands(cluster: ClusterState, machine: Machine) -> list[Command]:
+    """Order the start of recorded attempts that no heartbeat has shown yet."""
+    commands: list[Command] = []
+    for attempt in machine.attempts.values():
+        if not attempt.durable or not cluster.is_ours(attempt):
+            continue
+        if attempt.stop is None and attempt.state is None:
+            attempt.ordered = HeartbeatId(machine.incarnation, machine.sequence)
+            commands.append(Command(CommandKind.START, attempt.task, attempt.number))
+    return commands
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -22,6 +22,7 @@
 from micadeal.operator.platform import Objective, Team, Workers
 from micadeal.operator.policy import Policy
 from micadeal.rollout.feature_level import FeatureLevel
+from micadeal.scheduling import reconciliation, worker_commands
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.scheduler import Scheduler
 from micadeal.schema.decoding import read
@@ -473,7 +474,9 @@
 
     def _command_one(self, name: str, machine: Machine) -> None:
         message = DirectCommands(
-            self.token, machine.incarnation, self.cluster.stop_commands_for(machine)
+            self.token,
+            machine.incarnation,
+            worker_commands.stop_commands_for(self.cluster, machine),
         )
         self._note("commanded", name, wire(message))
         machine.reachability.asked = self.now
@@ -484,7 +487,9 @@
         if worker.incarnation == wire(message)["shift"]:
             worker.token = max(worker.token, self.token)
             self._execute(worker, message.commands)
-        self.cluster.on_heartbeat(worker.heartbeat(self.time), self.now, False, self.now)
+        reconciliation.reconcile_heartbeat(
+            self.cluster, worker.heartbeat(self.time), self.now, False, self.now
+        )
 
     def _execute(self, worker: SteppedWorker, commands: list[Command]) -> None:
         for order in map(wire, commands):
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -18,6 +18,7 @@
 from micadeal.rollout.feature_level import Build
 from micadeal.rollout.membership import PeerObservation, Process
 from micadeal.rollout.migration import plan
+from micadeal.scheduling import takeover
 from micadeal.schema.decoding import read
 from micadeal.state.limits import Limits
 from micadeal.wire.codec import convert, decode, encode
@@ -150,7 +151,9 @@
     record_writer = RecordWriter(after.cluster, LIMITS)
     for key in emptied:
         record_writer.versions[key] = store.keys[key].version
-        after.cluster.load_placed(key, convert(PlacedRecord, store.keys[key].value), now)
+        takeover.load_placements(
+            after.cluster, key, convert(PlacedRecord, store.keys[key].value), now
+        )
     dropped: set[str] = set()
     for _ in range(60):
         now += seconds(2)
