--- a/micadeal/scheduling/worker_commands.py
+++ b/micadeal/scheduling/worker_commands.py
@@ -16,7 +16,8 @@
     commands = stop_commands_for(cluster, machine)
     if not full_authority:
         return commands
-    commands += _forget_commands(cluster, machine)
+    if machine.exited:
+        commands += _forget_commands(cluster, machine)
     if not machine.has_our_token or machine.lost or machine.reachability.receives_nothing:
         return commands
     commands += _start_commands(cluster, machine)
@@ -52,9 +53,10 @@
     """Order the start of recorded attempts that no heartbeat has shown yet."""
     commands: list[Command] = []
     for attempt in machine.attempts.values():
-        if not attempt.durable or not cluster.is_ours(attempt):
+        # What most attempts fail first: this runs with each heartbeat.
+        if attempt.state is not None or attempt.stop is not None:
             continue
-        if attempt.stop is None and attempt.state is None:
+        if attempt.durable and cluster.is_ours(attempt):
             attempt.ordered = HeartbeatId(machine.incarnation, machine.sequence)
             commands.append(Command(CommandKind.START, attempt.task, attempt.number))
     return commands
