--- a/micadeal/controller/messages.py
+++ b/micadeal/controller/messages.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from micadeal.controller.persistence.record_writer import WriteBatch
+from micadeal.controller.persistence.batches import WriteBatch
 from micadeal.leadership.follower_leases import PeerRenewalView
 from micadeal.leadership.term import PeerContact
 from micadeal.rollout.migration import MigrationBacklog
--- a/micadeal/controller/outbound.py
+++ b/micadeal/controller/outbound.py
@@ -16,7 +16,7 @@
     RentalCompleted,
     WriteCompleted,
 )
-from micadeal.controller.persistence.record_writer import WriteBatch
+from micadeal.controller.persistence.batches import WriteBatch
 from micadeal.fleet.cloud import Cloud, CloudError, NoCapacityError
 from micadeal.http.message import HttpError
 from micadeal.http.network import Network
--- /dev/null
+++ b/micadeal/controller/persistence/finished_chunks.py
@@ -0,0 +1,61 @@
+"""Chunks in which the finished tasks of a job are stored, in either layout."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from micadeal.controller.persistence.batches import BatchDraft, FinishedTasksWrite
+from micadeal.controller.persistence.writer_context import WriteLimits
+from micadeal.jobs.model import CHUNK, SMALL_CHUNK, Job, to_bits
+from micadeal.schema.keys import DONE, FINISHED
+from micadeal.wire.state import FinishedRecord
+
+#: Prefixes of the keys of finished tasks, in both layouts.
+FINISHED_PREFIXES = (DONE, FINISHED)
+
+
+@dataclass(frozen=True, slots=True)
+class FinishedChunk:
+    """The finished tasks of one chunk, and the record that holds them."""
+
+    job: Job
+    key: str
+    tasks: frozenset[int]
+    record: FinishedRecord
+
+    def add_to(self, draft: BatchDraft, limits: WriteLimits) -> None:
+        """Have the chunk written by a batch."""
+        draft.put(self.key, self.record)
+        draft.finished.append(FinishedTasksWrite(self.job.id, self.tasks))
+        if not limits.guaranteed.fits(self.record):
+            draft.needs_present_limits = True
+        self.job.record_keys.add(self.key)
+
+
+@dataclass(frozen=True, slots=True)
+class ChunkLayout:
+    """Where chunks of one size are stored."""
+
+    prefix: str
+    tasks_per_chunk: int
+
+    def numbers(self, tasks: Iterable[int]) -> list[int]:
+        """Return the numbers of the chunks that hold any of the tasks, in ascending order."""
+        return sorted({index // self.tasks_per_chunk for index in tasks})
+
+    def tasks(self, job: Job, number: int) -> frozenset[int]:
+        """Return the job's finished tasks in a chunk."""
+        return job.with_timeout(number * self.tasks_per_chunk, self.tasks_per_chunk)
+
+    def chunk(self, job: Job, number: int) -> FinishedChunk:
+        """Return a chunk with all tasks of it that are finished by now."""
+        tasks = self.tasks(job, number)
+        record = FinishedRecord(to_bits(tasks, number * self.tasks_per_chunk))
+        return FinishedChunk(job, f"{self.prefix}{job.id}/{number}", tasks, record)
+
+
+#: Read by all versions; too large for state services with lower limits than at first.
+LARGE_CHUNKS = ChunkLayout(DONE, CHUNK)
+#: Written where a large chunk does not fit, and from level ``FENCED`` on always.
+SMALL_CHUNKS = ChunkLayout(FINISHED, SMALL_CHUNK)
--- /dev/null
+++ b/micadeal/controller/persistence/finished_tasks.py
@@ -0,0 +1,95 @@
+"""Records of finished tasks, written in chunks."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from datetime import timedelta
+
+from micadeal.clock import seconds
+from micadeal.controller.persistence.batches import BatchDraft, FinishedTasksWrite, WriteBatch
+from micadeal.controller.persistence.finished_chunks import (
+    FINISHED_PREFIXES,
+    LARGE_CHUNKS,
+    SMALL_CHUNKS,
+    FinishedChunk,
+)
+from micadeal.controller.persistence.writer_context import WriterContext
+from micadeal.jobs.model import Job
+from micadeal.schema.keys import job_of
+from micadeal.wire.state import Drop
+
+#: Finished tasks of a job are collected for this long before they are written.
+COLLECT_TIME = seconds(1)
+#: Bytes of finished tasks in one transaction, which may hold 64 KiB: a larger one is refused for
+#: ever.
+MAX_CHUNK_BYTES = 32_000
+
+
+class FinishedTasksWriter:
+    """Writes finished tasks of jobs that are not complete yet."""
+
+    def __init__(self, context: WriterContext) -> None:
+        self._context = context
+        self._cluster = context.cluster
+        self._keys = context.keys
+        #: Since when finished tasks of a job are collected.
+        self._collecting_since: dict[str, timedelta] = {}
+
+    def add_chunks(self, draft: BatchDraft, now: timedelta) -> None:
+        """Add chunks of finished tasks that have been collected for long enough."""
+        size = 0
+        for job_id in list(self._cluster.finished_dirty):
+            job = self._due_job(job_id, now)
+            if job is None:
+                continue
+            for chunk in self._unwritten_chunks(job):
+                size += len(chunk.record.bits)
+                if draft.remaining <= 0 or size > MAX_CHUNK_BYTES:
+                    return
+                chunk.add_to(draft, self._context.limits)
+            self._collecting_since[job_id] = now
+
+    def _due_job(self, job_id: str, now: timedelta) -> Job | None:
+        job = self._cluster.jobs.get(job_id)
+        if job is None or job.over or job.complete:
+            self._collecting_since.pop(job_id, None)
+            return None
+        if now - self._collecting_since.setdefault(job_id, now) < COLLECT_TIME:
+            return None
+        if not job.finished - job.durable:
+            self._cluster.finished_dirty.discard(job_id)
+            del self._collecting_since[job_id]
+            return None
+        return job
+
+    def _unwritten_chunks(self, job: Job) -> Iterator[FinishedChunk]:
+        """Yield the chunks to be written: large ones that all versions read, as far as they fit."""
+        limits = self._context.limits
+        fresh = job.finished - job.durable
+        for number in LARGE_CHUNKS.numbers(fresh):
+            large = LARGE_CHUNKS.chunk(job, number)
+            if not self._context.writes_fenced_layouts and limits.present.fits(large.record):
+                yield large
+                continue
+            for small_number in SMALL_CHUNKS.numbers(fresh & large.tasks):
+                yield SMALL_CHUNKS.chunk(job, small_number)
+
+    def committed(self, batch: WriteBatch) -> None:
+        """Take over which tasks are durable, and which chunks are gone."""
+        for operation in batch.operations:
+            if isinstance(operation, Drop) and operation.key.startswith(FINISHED_PREFIXES):
+                job = self._cluster.jobs.get(job_of(operation.key))
+                if job is not None:
+                    job.record_keys.discard(operation.key)
+        for write in batch.finished:
+            job = self._cluster.jobs.get(write.job_id)
+            if job is not None and not job.over:
+                job.durable |= write.tasks
+            else:
+                self._drop_written(batch, write)
+
+    def _drop_written(self, batch: WriteBatch, write: FinishedTasksWrite) -> None:
+        """Drop chunks of a job that ended while they were written: nothing else would."""
+        for operation in batch.operations:
+            if job_of(operation.key) == write.job_id:
+                self._keys.schedule_drop(operation.key)
--- /dev/null
+++ b/micadeal/controller/persistence/job_ends.py
@@ -0,0 +1,101 @@
+"""Ends of jobs: done, or cancelled together with a job that they need."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from datetime import timedelta
+
+from micadeal.clock import utc_now
+from micadeal.controller.persistence.batches import BatchDraft, JobEndWrite, WriteBatch
+from micadeal.controller.persistence.writer_context import WriterContext
+from micadeal.jobs.model import Job
+from micadeal.schema.decoding import read_one
+from micadeal.schema.keys import ENDS, JOBS
+from micadeal.state.service import Urgency
+from micadeal.wire.state import Condition, EndRecord, Item
+from micadeal.wire.users import Status
+
+#: Ends of jobs that are written at once.
+MAX_ENDS_UNDER_WAY = 4
+
+
+class JobEndWriter:
+    """Turns the record of a job into its end, in one transaction for each job."""
+
+    def __init__(self, context: WriterContext) -> None:
+        self._context = context
+        self._cluster = context.cluster
+        self._keys = context.keys
+        self._under_way: set[str] = set()
+
+    @property
+    def busy(self) -> bool:
+        """Whether the end of a job is being written."""
+        return bool(self._under_way)
+
+    def next_batches(self) -> list[WriteBatch]:
+        """Return ends of jobs: cancelled dependents first, then jobs that others wait for."""
+        batches: list[WriteBatch] = []
+        dependencies = self._cluster.dependencies
+        for job in dependencies.cancelled_by_dependency.values():
+            if len(self._under_way) >= MAX_ENDS_UNDER_WAY:
+                return batches
+            if job.id not in self._under_way:
+                batches.append(self._end(job, Status.CANCELLED))
+        complete = self._complete_jobs()
+        complete.sort(key=lambda job: not dependencies.needed(job.id))
+        for job in complete[: MAX_ENDS_UNDER_WAY - len(self._under_way)]:
+            batches.append(self._end(job, Status.DONE))
+        return batches
+
+    def _complete_jobs(self) -> list[Job]:
+        complete: list[Job] = []
+        for job_id in list(self._cluster.finished_dirty):
+            job = self._cluster.jobs.get(job_id)
+            if job is None or job.over:
+                self._cluster.finished_dirty.discard(job_id)
+            elif job.complete and job_id not in self._under_way:
+                complete.append(job)
+        return complete
+
+    def _end(self, job: Job, status: Status) -> WriteBatch:
+        self._under_way.add(job.id)
+        record = EndRecord.of(status, job.spec, utc_now().timestamp())
+        job_key, end_key = f"{JOBS}{job.id}", f"{ENDS}{job.id}"
+        draft = BatchDraft(self._context.limits.guaranteed.operations)
+        draft.put(end_key, record)
+        draft.drop(job_key)
+        for key in sorted(job.record_keys)[: draft.remaining]:
+            draft.drop(key)
+        return WriteBatch(
+            tuple(draft.operations),
+            (Condition(job_key, job.version), Condition(end_key, 0)),
+            Urgency.END,
+            job_end=JobEndWrite(job.id, record),
+        )
+
+    def committed(self, batch: WriteBatch, end: JobEndWrite, now: timedelta) -> None:
+        """Take over that a job has ended."""
+        for operation in batch.operations:
+            self._keys.forget(operation.key)
+        self._under_way.discard(end.job_id)
+        self._keys.schedule_job_drops(self._cluster.jobs.get(end.job_id))
+        self._cluster.job_ended(end.job_id, end.record, now)
+
+    def failed(self, end: JobEndWrite, items: Mapping[str, Item | None], now: timedelta) -> None:
+        """Take over an end that is there all the same.
+
+        If the job is gone from the service it is over, one way or the other: the watch of jobs
+        tells the cluster state.
+        """
+        self._under_way.discard(end.job_id)
+        item = items.get(f"{ENDS}{end.job_id}")
+        job = self._cluster.jobs.get(end.job_id)
+        if job is None or item is None:
+            return
+        self._keys.schedule_job_drops(job)
+        record = read_one(item, EndRecord)
+        if record is None:
+            self._cluster.job_gone(end.job_id, now)
+        else:
+            self._cluster.job_ended(end.job_id, record, now)
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -15,7 +15,8 @@
 
 from micadeal.clock import seconds
 from micadeal.controller.messages import StateLoaded
-from micadeal.controller.persistence.record_writer import RecordWriter, WriteBatch
+from micadeal.controller.persistence.batches import WriteBatch
+from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.controller.record_loader import RecordLoader
 from micadeal.fleet.instance_offers import InstanceOffers
 from micadeal.fleet.machines import Machine
@@ -193,7 +194,7 @@
         types = [convert(MachineType, kind) for kind in (BOX, SLAB)]
         self.scheduler.set_catalog(types)
         self.record_writer = RecordWriter(self.cluster, self.limits, None, self.level)
-        self.record_writer._drops = SortedSet()
+        self.record_writer._keys.pending_drops = SortedSet()
         self.intake = RecordLoader(self.scheduler, self.record_writer)
 
     # -- what happens around the leader ----------------------------------------------------
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -13,7 +13,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from micadeal.clock import seconds
-from micadeal.controller.persistence.record_writer import RecordWriter, WriteBatch
+from micadeal.controller.persistence.batches import WriteBatch
+from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.controller.record_loader import RecordLoader
 from micadeal.rollout.feature_level import Build
 from micadeal.rollout.membership import PeerObservation, Process
@@ -138,7 +139,7 @@
             store.apply(late.pop(0))
         placed = {k: v.value["machines"] for k, v in store.keys.items() if k.startswith("placed/")}
         emptied |= {key for key, machines in placed.items() if not machines}
-        known = {*picture.cluster.records, *record_writer._unsure}
+        known = {*picture.cluster.records, *record_writer._keys.unconfirmed}
         assert {key for key, machines in placed.items() if machines} <= known
         picture.now += seconds(1)
         for name in picture.cluster.machines:
@@ -255,7 +256,7 @@
         for outcome in outcomes:
             self.picture.now += seconds(1.5)
             for batch in self.record_writer.next(self.picture.now):
-                assert batch.ends is None
+                assert batch.job_end is None
                 if outcome != "refused":
                     self._apply(batch)
                 if outcome == "done":
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,8 @@
 
 from micadeal.cli.text_output import show_overview
 from micadeal.clock import seconds
-from micadeal.controller.persistence.record_writer import RecordWriter, WriteBatch
+from micadeal.controller.persistence.batches import WriteBatch
+from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.fleet.instance_offers import InstanceOffer
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Team
