--- a/bench/model_reachability.py
+++ b/bench/model_reachability.py
@@ -208,7 +208,9 @@
         self._taken(self.copy)
 
     def _taken(self, heartbeat: Heartbeat) -> list[Command]:
-        machine = reconciliation.reconcile_heartbeat(self.cluster, heartbeat, self.at, True)
+        machine = reconciliation.reconcile_heartbeat(
+            self.cluster, heartbeat, self.at, is_heartbeat=True
+        )
         if machine is None:
             return []
         return worker_commands.commands_for(self.cluster, machine, full_authority=True)
@@ -221,7 +223,9 @@
     def _told(self) -> None:
         assert self.told is not None
         (asked, heartbeat), self.told = self.told, None
-        reconciliation.reconcile_heartbeat(self.cluster, heartbeat, self.at, False, seconds(asked))
+        reconciliation.reconcile_heartbeat(
+            self.cluster, heartbeat, self.at, is_heartbeat=False, asked=seconds(asked)
+        )
 
     def _place(self) -> None:
         machine = self.machine
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -454,7 +454,9 @@
                 machine.reachability.probe_unanswered(asked)
             return
         try:
-            reconciliation.reconcile_heartbeat(self._cluster, heartbeat, now, False, asked)
+            reconciliation.reconcile_heartbeat(
+                self._cluster, heartbeat, now, is_heartbeat=False, asked=asked
+            )
         except StaleTokenError:
             self._resign()
 
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -26,6 +26,7 @@
     cluster: ClusterState,
     heartbeat: Heartbeat,
     now: timedelta,
+    *,
     is_heartbeat: bool,
     asked: timedelta | None = None,
 ) -> Machine | None:
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -175,7 +175,9 @@
         self, heartbeat: Heartbeat, now: timedelta, *, is_heartbeat: bool, full: bool
     ) -> list[Command] | None:
         """Orders for the answer; None if the machine is gone for good or the report is old."""
-        machine = reconciliation.reconcile_heartbeat(self.cluster, heartbeat, now, is_heartbeat)
+        machine = reconciliation.reconcile_heartbeat(
+            self.cluster, heartbeat, now, is_heartbeat=is_heartbeat
+        )
         if machine is None:
             return None
         return worker_commands.commands_for(self.cluster, machine, full) if is_heartbeat else []
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,9 +1,10 @@
-"""The cloud, from the protocol: rentals by name, a lagging list, refusals."""
+"""A cloud that behaves as the protocol says: idempotent rentals, a lagging list, refusals."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
+from itertools import product
 from typing import Any
 
 from micadeal.clock import monotonic
@@ -16,17 +17,24 @@
 
 @dataclass
 class Rented:
+    """A rented machine; times are seconds on the monotonic clock."""
+
     name: str
     address: str
     zone: str
     spot: bool
     since: float
+    #: When its boot is over; None: it never boots.
     up_at: float | None
     running: bool = False
 
 
 class FakeCloud:
-    """``boot`` starts a worker on a machine; ``kill`` ends it with everything on it."""
+    """Rents, lists and releases machines.
+
+    ``boot`` starts a worker on a machine; ``kill`` ends it with everything on it.  ``capacity`` is
+    the number of machines of each zone and kind, ``lag_s`` how far the list lags behind.
+    """
 
     def __init__(
         self,
@@ -37,34 +45,38 @@
         capacity: int = 10,
         lag_s: float = 3.0,
     ) -> None:
-        self._zone_monitor = zones
+        self._zones = zones
         self._boot = boot
         self._kill = kill
         self.boot_s = boot_s
-        self.capacity = dict.fromkeys([(z, s) for z in zones for s in (False, True)], capacity)
+        self.capacity = dict.fromkeys(product(zones, (False, True)), capacity)
         self._lag = lag_s
         self.machines: dict[str, Rented] = {}
-        self._answers: dict[str, list[str]] = {}
+        #: Names rented by each request, so that a repeated one rents nothing.
+        self._names_by_request: dict[str, list[str]] = {}
         self._history: list[tuple[float, list[dict[str, Any]]]] = []
         self._count = 0
+        #: Machines that never boot, by number; the first one rented is 1.
         self.never_boot: set[int] = set()
-        #: Boots take so many times as long.
+        #: Factor by which boots take longer.
         self.slow = 1.0
         self.rentals = 0
         self.releases: list[str] = []
 
     def catalog(self) -> dict[str, Any]:
+        """Return the answer to ``GET /catalog``."""
         return {
             "rigs": [
                 {
                     "sku": "box", "vcpus": 8.0, "accelerators": 2.0, "ram_gb": 64.0,
                     "local_gb": 50.0, "fetch_gb_per_s": 1.0, "hourly": 6.0, "low_price": 2.0,
-                    "boot_s": self.boot_s, "depots": self._zone_monitor,
+                    "boot_s": self.boot_s, "depots": self._zones,
                 }
             ]
         }  # fmt: skip
 
     async def step(self) -> None:
+        """Boot the machines that are due, and note what the list shows from now on."""
         now = monotonic().total_seconds()
         for machine in list(self.machines.values()):
             if not machine.running and machine.up_at is not None and now >= machine.up_at:
@@ -75,17 +87,19 @@
                 now,
                 [
                     {
-                        "name_id": m.name, "addr": m.address, "rig": "box", "depot": m.zone,
-                        "loaners": m.spot, "status": "running" if m.running else "booting",
-                        "held_s": now - m.since,
+                        "name_id": machine.name, "addr": machine.address, "rig": "box",
+                        "depot": machine.zone, "loaners": machine.spot,
+                        "status": "running" if machine.running else "booting",
+                        "held_s": now - machine.since,
                     }
-                    for m in self.machines.values()
+                    for machine in self.machines.values()
                 ],
             )
         )  # fmt: skip
         self._history = [entry for entry in self._history if entry[0] >= now - 3 * self._lag]
 
     async def add(self, zone: str, spot: bool, up_in: float) -> str:
+        """Rent one machine whose boot takes ``up_in`` seconds; return its name."""
         self._count += 1
         name = f"i-{self._count:06d}"
         now = monotonic().total_seconds()
@@ -96,11 +110,12 @@
         return name
 
     def take(self, name: str) -> None:
-        """A spot machine is taken, or any machine dies."""
+        """Remove a machine at once: the cloud takes a spot machine back, or any machine dies."""
         self.machines.pop(name, None)
         self._kill(name)
 
     async def handle(self, request: Request) -> Answer:
+        """Answer a request to the cloud's API."""
         if request.path == "/catalog":
             return answer(200, self.catalog())
         if request.path == "/rentals/release":
@@ -118,8 +133,8 @@
         return answer(200, {"hosts": old[-1] if old else [], "has_next": False})
 
     async def _rent(self, wanted: dict[str, Any]) -> Answer:
-        if wanted["hire"] in self._answers:
-            return answer(200, {"hosts": self._answers[wanted["hire"]]})
+        if wanted["hire"] in self._names_by_request:
+            return answer(200, {"hosts": self._names_by_request[wanted["hire"]]})
         place = (wanted["depot"], wanted["loaners"])
         count = min(wanted["how_many"], self.capacity[place])
         if not count:
@@ -127,5 +142,5 @@
         self.capacity[place] -= count
         self.rentals += count
         names = [await self.add(*place, up_in=self.boot_s * self.slow) for _ in range(count)]
-        self._answers[wanted["hire"]] = names
+        self._names_by_request[wanted["hire"]] = names
         return answer(200, {"hosts": names})
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -489,7 +489,11 @@
             worker.token = max(worker.token, self.token)
             self._execute(worker, message.commands)
         reconciliation.reconcile_heartbeat(
-            self.cluster, worker.heartbeat(self.time), self.now, False, self.now
+            self.cluster,
+            worker.heartbeat(self.time),
+            self.now,
+            is_heartbeat=False,
+            asked=self.now,
         )
 
     def _execute(self, worker: SteppedWorker, commands: list[Command]) -> None:
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -1,4 +1,4 @@
-"""Workers, from the protocol: reports, tokens, sessions, leases, images, gangs."""
+"""Workers that behave as the protocol says: heartbeats, tokens, leases, images, gangs."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 from micadeal.wire.codec import decode, encode
 from tests.fakes.network import FakeNetwork
 
-REPORT_TIME = seconds(4)
+HEARTBEAT_TIMEOUT = seconds(4)
 
 
 @dataclass
 class Job:
-    """What a worker fetches by itself: the job's description."""
+    """A job as workers know it; they fetch its description by themselves.
+
+    ``run_s``: how long a task runs; ``progress``: what its last checkpoint holds of that.
+    """
 
     spec: dict[str, Any]
     run_s: float
@@ -28,21 +31,28 @@
 
 @dataclass
 class Held:
+    """An attempt that a worker holds; times are seconds on the monotonic clock."""
+
     task: str
     attempt: int
     since: float
+    #: State and cause of exit, as the protocol spells them.
     state: str = "pulling"
     why: str | None = None
     saved: bool = False
+    #: When its image is fetched.
     ready_at: float = 0.0
     started: float | None = None
+    #: When its checkpoint will be saved, once it is to be stopped.
     save_until: float | None = None
 
     @property
     def job_id(self) -> str:
+        """The job's id, from the task's."""
         return self.task.rpartition("/")[0]
 
     def heartbeat(self) -> dict[str, Any]:
+        """Return the attempt as heartbeats show it."""
         shown: dict[str, Any] = {"leg": self.task, "try": self.attempt, "status": self.state}
         if self.why:
             shown["cause"] = self.why
@@ -55,7 +65,7 @@
 
 @dataclass
 class Fleet:
-    """What the machines share: the job descriptions, who watches, which gangs stand."""
+    """What all workers share: the network, timing, the job descriptions, who watches."""
 
     network: FakeNetwork
     controllers: dict[str, str]
@@ -63,13 +73,16 @@
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
+    #: Called with "start", "done" or "exit", the worker and the attempt.
     watch: Watcher
     jobs: dict[str, Job] = field(default_factory=dict)
     workers: dict[str, FakeWorker] = field(default_factory=dict)
     fetch_gb_per_s: float = 1.0
+    #: Machines on which every task fails.
     faulty: set[str] = field(default_factory=set)
 
     def members(self, job_id: str, attempt: int) -> list[Held]:
+        """Return the tasks of a gang's attempt that have not exited, on all machines."""
         return [
             held
             for worker in self.workers.values()
@@ -79,6 +92,8 @@
 
 
 class FakeWorker:
+    """The worker process of one machine."""
+
     def __init__(self, fleet: Fleet, name: str, address: str, zone: str, spot: bool) -> None:
         self.fleet, self.name, self.address = fleet, name, address
         self.zone, self.spot = zone, spot
@@ -86,34 +101,41 @@
         self.tasks: dict[tuple[str, int], Held] = {}
         self.images: set[str] = set()
         self.notice_end: float | None = None
+        #: It neither sends nor answers anything, and its tasks make no progress.
         self.hanging = False
         self.alive = True
-        #: Answers to what an earlier process sent reach nobody.
+        #: Counts processes: responses to what an earlier one sent reach nobody.
         self.lives = 1
+        #: From when its lease counts.
         self.renewed = monotonic().total_seconds()
         self._wake = curio.Event()
-        self._token_told = 0.0
-        self._at = next(iter(fleet.controllers))
+        self._token_reported = 0.0
+        #: The controller that it sends heartbeats to.
+        self._controller = next(iter(fleet.controllers))
 
-    # -- life ------------------------------------------------------------------------------
+    # -- process ---------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Serve commands, send heartbeats and run tasks until the machine ends."""
         self.fleet.network.serve(self.name, self.address, self._handle)
-        await curio.spawn(self._report_loop, daemon=True)
+        await curio.spawn(self._heartbeat_loop, daemon=True)
         while self.alive:
             await curio.sleep(0.1)
             if self.alive:
                 await self._step()
 
     def end(self) -> None:
+        """End the machine with everything on it."""
         self.alive = False
         self.tasks.clear()
         self.fleet.network.close(self.name)
         self.fleet.workers.pop(self.name, None)
 
     def begin_anew(self) -> None:
-        """The machine was off and is on again, within an instant: all is gone, and session and
-        sequence count from the start."""
+        """Restart the machine within an instant.
+
+        All tasks and images are gone; incarnation and sequence count from the start.
+        """
         self.tasks.clear()
         self.images.clear()
         self.incarnation, self.sequence, self.token = 1, 0, 0
@@ -126,7 +148,7 @@
             self.tasks.clear()
             self.incarnation += 1
             self.renewed = now
-            await self._change()
+            await self._send_soon()
         if self.hanging:
             return
         for held in list(self.tasks.values()):
@@ -139,30 +161,32 @@
             held.state = "waiting" if job.spec["shape"] == "gang" else "running"
             held.started = now
             self.fleet.watch("start", self, held)
-            await self._change()
+            await self._send_soon()
             if self.name in self.fleet.faulty or job.fails:
                 await self._exit(held, "error")
                 return
         if held.state == "waiting":
-            await self._gang_waits(held, job, now)
+            await self._wait_for_gang(held, job, now)
         elif held.state == "running":
-            await self._runs(held, job, now)
+            await self._advance_running(held, job, now)
         elif held.state == "flushing" and held.save_until is not None and now >= held.save_until:
             assert held.started is not None
             job.progress = max(job.progress, held.save_until - held.started)
             held.saved = True
             await self._exit(held, "halted")
 
-    async def _gang_waits(self, held: Held, job: Job, now: float) -> None:
+    async def _wait_for_gang(self, held: Held, job: Job, now: float) -> None:
         members = self.fleet.members(held.job_id, held.attempt)
-        if len(members) == job.spec["legs"] and all(m.state != "pulling" for m in members):
+        if len(members) == job.spec["legs"] and all(
+            member.state != "pulling" for member in members
+        ):
             held.state = "running"
             held.started = now
-            await self._change()
+            await self._send_soon()
         elif now - held.since > self.fleet.gang_wait_s:
             await self._exit(held, "alone")
 
-    async def _runs(self, held: Held, job: Job, now: float) -> None:
+    async def _advance_running(self, held: Held, job: Job, now: float) -> None:
         assert held.started is not None
         if job.spec["shape"] == "gang":
             members = self.fleet.members(held.job_id, held.attempt)
@@ -182,12 +206,12 @@
     async def _exit(self, held: Held, why: str) -> None:
         held.state, held.why = "exited", why
         self.fleet.watch("exit", self, held)
-        await self._change()
+        await self._send_soon()
 
-    async def _change(self) -> None:
+    async def _send_soon(self) -> None:
         await self._wake.set()
 
-    # -- reports ---------------------------------------------------------------------------
+    # -- heartbeats ------------------------------------------------------------------------
 
     def _on_heartbeat(self) -> dict[str, Any]:
         self.sequence += 1
@@ -200,7 +224,7 @@
             "legs": [held.heartbeat() for held in self.tasks.values()],
         }  # fmt: skip
 
-    async def _report_loop(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         names = list(self.fleet.controllers)
         while self.alive:
             if self.hanging:
@@ -212,43 +236,43 @@
             if life != self.lives:
                 continue
             if status == 200:
-                await self._take(decode(dict, body), sent, incarnation)
+                await self._take_response(decode(dict, body), sent, incarnation)
                 async with curio.ignore_after(self.fleet.report_s):
                     await self._wake.wait()
                 await curio.sleep(max(0.0, 0.5 - (monotonic().total_seconds() - sent)))
                 continue
             named = decode(dict, body).get("dispatcher") if status == 421 and body else None
-            if named in self.fleet.controllers and named != self._at:
-                self._at = named
+            if named in self.fleet.controllers and named != self._controller:
+                self._controller = named
                 await curio.sleep(0.2)
             else:
-                self._at = names[(names.index(self._at) + 1) % len(names)]
+                self._controller = names[(names.index(self._controller) + 1) % len(names)]
                 await curio.sleep(1)
 
     async def _send(self, heartbeat: dict[str, Any]) -> tuple[int, bytes]:
         request = Request("POST", "/checkin", "", encode(heartbeat))
-        address = self.fleet.controllers[self._at]
+        address = self.fleet.controllers[self._controller]
         try:
-            return await self.fleet.network.request(self.name, address, request, REPORT_TIME)
+            return await self.fleet.network.request(self.name, address, request, HEARTBEAT_TIMEOUT)
         except HttpError:
             return 0, b""
 
-    async def _take(self, reply: dict[str, Any], sent: float, incarnation: int) -> None:
+    async def _take_response(self, reply: dict[str, Any], sent: float, incarnation: int) -> None:
         token = reply.get("baton", 0)
         if incarnation != self.incarnation or token < self.token or not self.alive:
             return
-        await self._see(token)
+        await self._take_token(token)
         self.renewed = max(self.renewed, sent)
-        for order in reply["orders"]:
-            await self._execute(order)
+        for command in reply["orders"]:
+            await self._execute(command)
 
-    async def _see(self, token: int) -> None:
+    async def _take_token(self, token: int) -> None:
         now = monotonic().total_seconds()
         if token > self.token:
             self.token = token
-            if now - self._token_told > self.fleet.lease_s / 2:
-                self._token_told = now
-                await self._change()
+            if now - self._token_reported > self.fleet.lease_s / 2:
+                self._token_reported = now
+                await self._send_soon()
 
     async def _handle(self, request: Request) -> Answer:
         while self.hanging:
@@ -256,61 +280,63 @@
         message = decode(dict, request.body)
         if message["baton"] < self.token or message["shift"] != self.incarnation:
             return answer(409, self._on_heartbeat())
-        await self._see(message["baton"])
-        for order in message["orders"]:
-            await self._execute(order)
+        await self._take_token(message["baton"])
+        for command in message["orders"]:
+            await self._execute(command)
         return answer(200, self._on_heartbeat())
 
-    # -- orders ----------------------------------------------------------------------------
+    # -- commands --------------------------------------------------------------------------
 
-    async def _execute(self, order: dict[str, Any]) -> None:
-        key = (order["leg"], order["try"])
+    async def _execute(self, command: dict[str, Any]) -> None:
+        key = (command["leg"], command["try"])
         held = self.tasks.get(key)
-        if order["verb"] == "run":
+        if command["verb"] == "run":
             if held is None:
                 await self._start(*key)
         elif held is None:
             return
-        elif order["verb"] == "reap":
+        elif command["verb"] == "reap":
             if held.state == "exited":
                 del self.tasks[key]
         elif held.state != "exited":
-            await self._halt(held, order.get("wind_down_s") or 0.0)
+            await self._stop(held, command.get("wind_down_s") or 0.0)
 
     async def _start(self, task: str, attempt: int) -> None:
         now = monotonic().total_seconds()
         held = Held(task, attempt, now)
         job = self.fleet.jobs[held.job_id]
-        others = [h for h in self.tasks.values() if h.task == task and h.state != "exited"]
+        others = [
+            other for other in self.tasks.values() if other.task == task and other.state != "exited"
+        ]
         self.tasks[task, attempt] = held
         if others:
             await self._exit(held, "in_use")
             return
-        if not self._has_room(job):
+        if not self._has_capacity(job):
             await self._exit(held, "no_room")
             return
         cached = job.spec["build"] in self.images
         held.ready_at = now + (0.1 if cached else job.spec["image_gb"] / self.fleet.fetch_gb_per_s)
-        await self._change()
+        await self._send_soon()
 
-    def _has_room(self, job: Job) -> bool:
-        for name, most in (("vcpus", 8.0), ("accelerators", 2.0), ("ram_gb", 64.0)):
+    def _has_capacity(self, job: Job) -> bool:
+        for name, capacity in (("vcpus", 8.0), ("accelerators", 2.0), ("ram_gb", 64.0)):
             used = sum(
-                self.fleet.jobs[h.job_id].spec[name]
-                for h in self.tasks.values()
-                if h.state != "exited"
+                self.fleet.jobs[held.job_id].spec[name]
+                for held in self.tasks.values()
+                if held.state != "exited"
             )
-            if used > most + 1e-9:
+            if used > capacity + 1e-9:
                 return False
         return True
 
-    async def _halt(self, held: Held, grace: float) -> None:
+    async def _stop(self, held: Held, grace: float) -> None:
         job = self.fleet.jobs[held.job_id]
         now = monotonic().total_seconds()
         saves = job.spec["bookmark_s"] > 0 and grace >= job.spec["stow_s"]
         if held.state == "running" and saves:
             held.state = "flushing"
             held.save_until = now + job.spec["stow_s"]
-            await self._change()
+            await self._send_soon()
         elif held.state != "flushing" or grace == 0:
             await self._exit(held, "halted")
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""What reports prove about attempts, on the leader's picture alone."""
+"""What heartbeats, leases and lost machines prove about attempts, on the cluster state alone."""
 
 from __future__ import annotations
 
@@ -25,30 +25,40 @@
 def heartbeat(
     sequence: int, *tasks: TaskStatus, token: int = TOKEN, incarnation: int = 1
 ) -> Heartbeat:
-    return Heartbeat("m", "10.1.0.1:9000", "box", "north", False, incarnation, sequence, token,
-        None,
-                  list(tasks))  # fmt: skip
-
-
-def started() -> tuple[ClusterState, Job, Machine, Attempt]:
-    """A task whose start was ordered in the answer to report 1."""
+    return Heartbeat(
+        machine="m",
+        address="10.1.0.1:9000",
+        machine_type="box",
+        zone="north",
+        spot=False,
+        incarnation=incarnation,
+        sequence=sequence,
+        token=token,
+        tasks=list(tasks),
+    )
+
+
+def cluster_with_ordered_start() -> tuple[ClusterState, Job, Machine, Attempt]:
+    """Return a cluster with a task whose start was ordered in the response to heartbeat 1."""
     cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
     job = Job(spec(), ZERO, 1)
     cluster.add_job(job)
     machine = reconcile_heartbeat(cluster, heartbeat(1), seconds(1), is_heartbeat=True)
     assert machine is not None
     attempt = cluster.place(job, 0, cluster.next_number(), machine, seconds(1))
-    assert commands_for(cluster, machine, full_authority=True) == []  # not written down yet
+    assert commands_for(cluster, machine, full_authority=True) == []  # not recorded yet
     cluster.written("placed/7/0", list(machine.attempts.values()), seconds(1))
     assert commands_for(cluster, machine, full_authority=False) == []
     commands = commands_for(cluster, machine, full_authority=True)
-    assert [(o.verb, o.task) for o in commands] == [(CommandKind.START, "req-1/0")]
+    assert [(command.verb, command.task) for command in commands] == [
+        (CommandKind.START, "req-1/0")
+    ]
     return cluster, job, machine, attempt
 
 
-def test_an_answer_to_a_command_does_not_disprove_a_start_on_its_way() -> None:
+def test_command_answer_does_not_disprove_a_start_in_flight() -> None:
     """Guards ``ran_twice``: the worker may have answered before the start reached it."""
-    cluster, job, _, attempt = started()
+    cluster, job, _, attempt = cluster_with_ordered_start()
     cluster.stop(attempt, ZERO, seconds(2))
     reconcile_heartbeat(cluster, heartbeat(2), seconds(2), is_heartbeat=False)
     assert job.attempts == {0: [attempt]}
@@ -56,36 +66,38 @@
     assert job.attempts == {} and job.next_waiting() == 0
 
 
-def test_a_start_that_did_not_take_is_ordered_again() -> None:
-    cluster, job, machine, attempt = started()
+def test_start_without_effect_is_ordered_again() -> None:
+    cluster, job, machine, attempt = cluster_with_ordered_start()
     reconcile_heartbeat(cluster, heartbeat(2), seconds(3), is_heartbeat=True)
     again = commands_for(cluster, machine, full_authority=True)
-    assert [(o.verb, o.attempt) for o in again] == [(CommandKind.START, attempt.number)]
+    assert [(command.verb, command.attempt) for command in again] == [
+        (CommandKind.START, attempt.number)
+    ]
     assert job.attempts == {0: [attempt]}
 
 
-def test_an_old_report_is_not_news() -> None:
-    cluster, job, _, attempt = started()
+def test_older_heartbeat_is_ignored() -> None:
+    cluster, job, _, attempt = cluster_with_ordered_start()
     shown = TaskStatus("req-1/0", attempt.number, "running")
     reconcile_heartbeat(cluster, heartbeat(5, shown), seconds(4), is_heartbeat=True)
     assert reconcile_heartbeat(cluster, heartbeat(4), seconds(5), is_heartbeat=True) is None
     assert job.attempts == {0: [attempt]}
 
 
-def test_a_result_is_forgotten_by_its_worker_only_once_it_is_recorded() -> None:
-    """Guards finished work: reaped before the record is written, it would be lost in a crash."""
-    cluster, job, machine, attempt = started()
+def test_completed_task_is_forgotten_only_after_it_is_recorded() -> None:
+    """Guards finished work: forgotten before the record is written, a crash would lose it."""
+    cluster, job, machine, attempt = cluster_with_ordered_start()
     done = TaskStatus("req-1/0", attempt.number, "exited", "done")
     reconcile_heartbeat(cluster, heartbeat(2, done), seconds(9), is_heartbeat=True)
     assert job.complete and not machine.attempts
     assert commands_for(cluster, machine, full_authority=True) == []
     job.durable.add(0)
     commands = commands_for(cluster, machine, full_authority=True)
-    assert [o.verb for o in commands] == [CommandKind.FORGET]
+    assert [command.verb for command in commands] == [CommandKind.FORGET]
 
 
-def test_a_silent_worker_keeps_its_tasks_until_its_lease_is_certainly_over() -> None:
-    cluster, job, machine, attempt = started()
+def test_silent_worker_keeps_its_tasks_until_its_lease_has_expired() -> None:
+    cluster, job, machine, attempt = cluster_with_ordered_start()
     shown = TaskStatus("req-1/0", attempt.number, "running")
     reconcile_heartbeat(cluster, heartbeat(2, shown), seconds(10), is_heartbeat=True)
     expire_leases(cluster, seconds(10) + WORKERS.lease)
@@ -94,21 +106,24 @@
     assert not job.attempts and machine.lost
 
 
-def test_a_worker_that_has_not_seen_our_token_may_be_kept_alive_by_another_leader() -> None:
-    """Guards ``ran_twice``: we don't know who answers it, nor till when."""
+def test_lease_does_not_expire_before_the_worker_has_shown_our_token() -> None:
+    """Guards ``ran_twice``: another leader may answer it, nobody knows until when."""
     cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
     job = Job(spec(), ZERO, 1)
     cluster.add_job(job)
     shown = TaskStatus("req-1/0", 3, "running")
     reconcile_heartbeat(cluster, heartbeat(1, shown, token=3), seconds(1), is_heartbeat=True)
     expire_leases(cluster, seconds(100))
-    assert [a.number for a in job.attempts[0]] == [3]
+    assert [attempt.number for attempt in job.attempts[0]] == [3]
 
 
-def test_a_task_nobody_knows_of_stays_in_the_picture_until_it_is_gone() -> None:
-    """Guards limits and the worker's lease: a report that was held by a cut shows a task of ours
-    whose machine was taken to be silent past its lease, of a job that is over meanwhile."""
-    cluster, job, machine, attempt = started()
+def test_unknown_reported_task_counts_until_it_is_gone() -> None:
+    """Guards limits and the worker's lease.
+
+    A heartbeat that a partition held up shows a task of ours whose machine was taken to be silent
+    past its lease, of a job that is over meanwhile.
+    """
+    cluster, job, machine, attempt = cluster_with_ordered_start()
     running = TaskStatus("req-1/0", attempt.number, "running")
     reconcile_heartbeat(cluster, heartbeat(2, running), seconds(3), is_heartbeat=True)
     expire_leases(cluster, seconds(40))
@@ -116,16 +131,19 @@
     cluster.job_gone(job.id, seconds(41))
     assert job.id not in cluster.jobs
     reconcile_heartbeat(cluster, heartbeat(3, running), seconds(42), is_heartbeat=True)
-    assert [a.number for a in machine.attempts.values()] == [attempt.number]
-    assert [o.verb for o in stop_commands_for(cluster, machine)] == [CommandKind.STOP]
+    assert [attempt.number for attempt in machine.attempts.values()] == [attempt.number]
+    assert [command.verb for command in stop_commands_for(cluster, machine)] == [CommandKind.STOP]
     reconcile_heartbeat(cluster, heartbeat(1, incarnation=2), seconds(44), is_heartbeat=True)
     assert not machine.attempts and job.id not in cluster.jobs
 
 
-def test_what_an_earlier_attempt_of_a_gang_left_ends_without_the_one_that_runs() -> None:
-    """Guards work: a placement that was carried out late, after its key had been used and dropped,
-    names an attempt that never started.  The next leader takes it for one that may be there, and
-    its machine is gone."""
+def test_loss_of_an_earlier_gang_attempt_leaves_the_running_one_alone() -> None:
+    """Guards work that runs.
+
+    A placement that was carried out late, after its key had been used and dropped, names an attempt
+    that never started.  The next leader takes it for one that may be there, and its machine is
+    gone.
+    """
     cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
     job = Job(spec(shape=Shape.GANG, tasks=2), ZERO, 1)
     cluster.add_job(job)
@@ -138,6 +156,9 @@
     load_placements(cluster, "placed/6/2", runs, ZERO)
     load_placements(cluster, "placed/6/1", PlacedRecord([placed("gone", 0, 5)]), ZERO)
     remove_machine(cluster, "gone", seconds(20))
-    assert [(a.number, a.stop) for a in job.all_attempts()] == [(6, None), (6, None)]
+    assert [(attempt.number, attempt.stop) for attempt in job.all_attempts()] == [
+        (6, None),
+        (6, None),
+    ]
     remove_machine(cluster, "n", seconds(21))
-    assert [(a.number, a.stop) for a in job.all_attempts()] == [(6, ZERO)]
+    assert [(attempt.number, attempt.stop) for attempt in job.all_attempts()] == [(6, ZERO)]
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Stories of machines that report and don't hear, of late copies, of workers that begin anew."""
+"""One-way partitions, late copies of heartbeats, restarted workers, malformed heartbeats."""
 
 from __future__ import annotations
 
@@ -16,53 +16,55 @@
 from tests.fakes.workers import FakeWorker
 from tests.fakes.world import LEASE_S, World, leader_of
 
-#: A lease, the time after it in which a silent machine is returned, and a start elsewhere.
-MOVED_IN = LEASE_S + 10
+#: A lease, the time after it until a silent machine is returned, and a start elsewhere.
+MOVE_LIMIT = LEASE_S + 10
 
 
-def _workers_of(world: World, job: str) -> list[FakeWorker]:
+def _workers_running(world: World, job: str) -> list[FakeWorker]:
     return [worker for worker, _ in world.held(job)]
 
 
-# -- machines that are heard and hear nothing ----------------------------------------------
+# -- one-way partitions --------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("trouble", ["alone", "crash", "outage"])
-def test_the_work_of_a_deaf_machine_moves_and_it_swallows_no_more(
-    monkeypatch: pytest.MonkeyPatch, trouble: str
+@pytest.mark.parametrize("fault", ["alone", "crash", "outage"])
+def test_tasks_of_an_unreachable_machine_move_and_it_gets_no_new_ones(
+    monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
     async def story(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         await world.until(lambda: world.running(service) == 3)
-        receives_nothing = _workers_of(world, service)[0]
-        world.network.receives_nothing.add(receives_nothing.name)
+        unreachable = _workers_running(world, service)[0]
+        world.network.receives_nothing.add(unreachable.name)
         leader = leader_of(world)
-        if trouble == "crash":
+        if fault == "crash":
             world.crash(leader)
-        world.state.outage = trouble == "outage"
+        world.state.outage = fault == "outage"
         more = [world.job("array", 2, run_s=5.0, crew="blue") for _ in range(3)]
-        if trouble == "outage":
+        if fault == "outage":
             await curio.sleep(6)
             world.state.outage = False
         for job in more:
             await world.submit(job)
         await world.until(lambda: world.running(service) < 3, limit=LEASE_S + 8)
-        took = await world.until(lambda: world.running(service) == 3, limit=MOVED_IN)
-        assert took < MOVED_IN
+        took = await world.until(lambda: world.running(service) == 3, limit=MOVE_LIMIT)
+        assert took < MOVE_LIMIT
         for job in more:
             await world.until_done(job)
-        assert receives_nothing not in _workers_of(world, service)
-        await world.until(lambda: receives_nothing.name in world.cloud.releases, limit=60)
+        assert unreachable not in _workers_running(world, service)
+        await world.until(lambda: unreachable.name in world.cloud.releases, limit=60)
 
     world = World().play(monkeypatch, story)
     assert max(world.starts.values()) <= 2
 
 
-def test_a_machine_that_hears_again_is_trusted_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_machine_that_becomes_reachable_again_is_used_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def story(world: World) -> None:
         first = await world.run_job("array", 2, run_s=30.0)
         await world.until(lambda: world.running(first) == 2)
-        machine = _workers_of(world, first)[0]
+        machine = _workers_running(world, first)[0]
         world.network.receives_nothing.add(machine.name)
         second = await world.run_job("array", 1, run_s=5.0, crew="blue")
         await curio.sleep(9)
@@ -75,18 +77,18 @@
     assert all(count == 1 for count in world.starts.values())
 
 
-def test_a_cancellation_holds_on_a_zone_that_does_not_hear_of_it(
+def test_cancelled_gang_ends_in_a_zone_that_receives_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``: no answer that was merely sent counts as a halt, nor as a lease."""
+    """Guards ``ran_cancelled``: a response that was merely sent is neither a stop nor a lease."""
 
     async def story(world: World) -> None:
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
         gang = await world.run_job("gang", 2, run_s=200.0, one_zone=True, crew="blue")
         await world.until(lambda: world.running(service) == 4 and world.running(gang) == 2)
-        zone = _workers_of(world, gang)[0].zone
+        zone = _workers_running(world, gang)[0].zone
         world.network.receives_nothing |= {
-            w.name for w in world.fleet.workers.values() if w.zone == zone
+            worker.name for worker in world.fleet.workers.values() if worker.zone == zone
         }
         assert await world.cancel(gang, 1) == "cancelled"
         await curio.sleep(3)
@@ -94,13 +96,17 @@
         await world.until(lambda: not world.held(gang), limit=30)
         await curio.sleep(LEASE_S)
         await world.until(lambda: world.running(service) == 4, limit=60)
-        assert not world.network.receives_nothing & {w.name for w in _workers_of(world, service)}
+        assert not world.network.receives_nothing & {
+            worker.name for worker in _workers_running(world, service)
+        }
 
     World().play(monkeypatch, story)
 
 
-def test_a_leader_that_nobody_hears_returns_no_machine(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its own answers are lost on the way, not those for one machine."""
+def test_leader_whose_responses_reach_nobody_returns_no_machine(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Its own responses are lost on the way, rather than those to single machines."""
 
     async def story(world: World) -> None:
         array = await world.run_job("array", 6, run_s=60.0)
@@ -115,39 +121,39 @@
     World().play(monkeypatch, story)
 
 
-# -- late copies of reports ----------------------------------------------------------------
+# -- late copies of heartbeats -------------------------------------------------------------
 
 
-def _copies(world: World, seed: int, delays: tuple[float, float]) -> None:
-    """From now on half of all reports come again later, at any controller."""
+def _copy_heartbeats(world: World, seed: int, delays: tuple[float, float]) -> None:
+    """From now on half of all heartbeats arrive again later, at any controller."""
     rng = random.Random(seed)
-    places = list(world.fleet.controllers.values())
+    controllers = list(world.fleet.controllers.values())
 
     def copy(source: str, address: str, request: Request) -> Iterable[tuple[float, str]]:
         if request.path == "/checkin" and rng.random() < 0.5:
-            yield rng.uniform(*delays), rng.choice(places)
+            yield rng.uniform(*delays), rng.choice(controllers)
 
     world.network.copies = copy
 
 
 @pytest.mark.parametrize("delays", [(0.5, 6.0), (5.0, 16.0), (15.0, 45.0)])
-def test_late_copies_of_reports_change_nothing(
+def test_late_copies_of_heartbeats_have_no_effect(
     monkeypatch: pytest.MonkeyPatch, delays: tuple[float, float]
 ) -> None:
-    """A machine dies, one is taken, a leader crashes: what came before comes again after."""
+    """Heartbeats arrive again after a machine died, a spot machine was taken, a leader crashed."""
 
     async def story(world: World) -> None:
-        _copies(world, 7, delays)
+        _copy_heartbeats(world, 7, delays)
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
         array = await world.run_job("array", 4, run_s=40.0, crew="blue", loaners=True)
         await world.until(lambda: world.running(service) == 4 and world.running(array) == 4)
         await curio.sleep(8)
-        dead = _workers_of(world, service)[0]
+        dead = _workers_running(world, service)[0]
         world.cloud.take(dead.name)
-        await world.until(lambda: world.running(service) == 4, limit=MOVED_IN)
-        world.cloud.take(_workers_of(world, array)[0].name)
+        await world.until(lambda: world.running(service) == 4, limit=MOVE_LIMIT)
+        world.cloud.take(_workers_running(world, array)[0].name)
         world.crash(leader_of(world))
-        await world.until(lambda: world.running(service) == 4, limit=MOVED_IN)
+        await world.until(lambda: world.running(service) == 4, limit=MOVE_LIMIT)
         late = await world.run_job("array", 2, run_s=5.0)
         await world.until_done(late)
         await world.until_done(array)
@@ -155,26 +161,28 @@
     World().play(monkeypatch, story)
 
 
-def test_a_copy_of_a_machine_that_is_gone_makes_none_for_the_next_leader(
+def test_copied_heartbeat_of_a_removed_machine_adds_none_at_the_next_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The next leader does not know what its predecessor saw go."""
+    """The next leader does not know which machines its predecessor saw removed."""
 
     async def story(world: World) -> None:
         first = await world.run_job("array", 2, run_s=15.0)
         await world.until(lambda: world.running(first) == 2)
-        gone = _workers_of(world, first)[0]
-        kept: list[Request] = []
+        gone = _workers_running(world, first)[0]
+        sent: list[Request] = []
 
-        def keep(source: str, address: str, request: Request) -> Iterable[tuple[float, str]]:
+        def record(source: str, address: str, request: Request) -> Iterable[tuple[float, str]]:
             if source == gone.name and request.path == "/checkin":
-                kept.append(request)
+                sent.append(request)
             return ()
 
-        world.network.copies = keep
+        world.network.copies = record
         await world.until_done(first)
-        shown = [
-            r for r in kept if any(t["status"] == "running" for t in decode(dict, r.body)["legs"])
+        showing_it_run = [
+            request
+            for request in sent
+            if any(task["status"] == "running" for task in decode(dict, request.body)["legs"])
         ]
         await world.until(lambda: gone.name in world.cloud.releases)
         old = leader_of(world)
@@ -183,10 +191,10 @@
         await curio.sleep(1)
         leader = f"10.0.0.{leader_of(world) + 1}:8080"
         for number in range(5):
-            await world.network.request("late", leader, shown[-1 - number % 2], seconds(4))
+            await world.network.request("late", leader, showing_it_run[-1 - number % 2], seconds(4))
             await curio.sleep(2)
-        found = (await world.call(leader_of(world), "GET", "/overview"))[1]
-        assert sum(line["up"] + line["booting"] for line in found["machines"]) == len(
+        overview = (await world.call(leader_of(world), "GET", "/overview"))[1]
+        assert sum(line["up"] + line["booting"] for line in overview["machines"]) == len(
             world.cloud.machines
         )
         await world.until_done(await world.run_job("array", 2, run_s=5.0))
@@ -194,24 +202,27 @@
     World().play(monkeypatch, story)
 
 
-# -- workers that begin anew ---------------------------------------------------------------
+# -- restarted workers ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("copied", [False, True])
-def test_what_ran_on_a_machine_that_began_anew_runs_elsewhere_at_once(
+def test_tasks_of_a_restarted_worker_run_elsewhere_at_once(
     monkeypatch: pytest.MonkeyPatch, copied: bool
 ) -> None:
-    """Guards against tasks that seem to run until the new process has sent as many reports as the
-    old one, and against copies of the old one's, which would show them again."""
+    """Guards against tasks that seem to run though their worker process is gone.
+
+    Without the restart being noticed they would, until the new process has sent as many heartbeats
+    as the old one, or as long as copies of the old one's arrive.
+    """
 
     async def story(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         await world.until(lambda: world.running(service) == 3)
         await curio.sleep(60)
         if copied:
-            _copies(world, 3, (0.5, 30.0))
+            _copy_heartbeats(world, 3, (0.5, 30.0))
             await curio.sleep(10)
-        machine = _workers_of(world, service)[0]
+        machine = _workers_running(world, service)[0]
         machine.begin_anew()
         await world.until(lambda: machine.name in world.cloud.releases, limit=6)
         # Another machine boots, and fetches the image.
@@ -221,7 +232,7 @@
     assert max(world.starts.values()) == 2
 
 
-def test_a_machine_begins_anew_while_the_next_leader_is_elected(
+def test_workers_restart_while_the_next_leader_is_elected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def story(world: World) -> None:
@@ -249,10 +260,10 @@
 
 @pytest.mark.parametrize("leads", [True, False])
 @pytest.mark.parametrize("mode", ["silent", "hold"])
-def test_a_controller_that_reaches_only_its_workers_holds_nobody_up(
+def test_controller_that_reaches_only_its_workers_delays_nobody(
     monkeypatch: pytest.MonkeyPatch, leads: bool, mode: str
 ) -> None:
-    """As leader it gives way to the next one, as follower it says that it can't serve."""
+    """As leader it gives way to the next one, as follower it reports that it can't serve."""
 
     async def story(world: World) -> None:
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
@@ -288,21 +299,21 @@
     assert all(count == 1 for task, count in world.starts.items() if not task.endswith("gang"))
 
 
-def test_a_controller_is_back_within_a_fraction_of_a_second_again_and_again(
+def test_controllers_restart_quickly_many_times_in_a_row(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def story(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         array = await world.run_job("array", 4, run_s=40.0, crew="blue")
         await world.until(lambda: world.running(service) == 3)
-        cancelled_by_dependency = await world.run_job("array", 2, run_s=200.0, crew="blue")
+        cancelled = await world.run_job("array", 2, run_s=200.0, crew="blue")
         await curio.sleep(2)
         for number in (0, 1, 2, 2, 0, 1, 1):
             world.crash(number)
             await curio.sleep(0.2)
             await world.start(number)
             await curio.sleep(0.4)
-        assert await world.cancel(cancelled_by_dependency, 1) in ("cancelled", None)
+        assert await world.cancel(cancelled, 1) in ("cancelled", None)
         leader = world.leader()
         if leader is not None:
             world.crash(leader)
@@ -317,7 +328,7 @@
 # -- what messages prove -------------------------------------------------------------------
 
 
-def test_only_an_answer_put_after_the_newest_message_proves_that_a_worker_began_anew() -> None:
+def test_only_the_answer_to_a_probe_after_the_newest_message_proves_a_restart() -> None:
     reachability = Reachability()
     reachability.take(7, seconds(10))
     assert not reachability.proves_restart(None)
@@ -326,16 +337,15 @@
     assert reachability.proves_restart(seconds(11))
 
 
-def test_a_machine_is_deaf_by_what_it_shows_and_hears_again_by_an_answer() -> None:
+def test_missing_effects_make_a_machine_unreachable_and_answered_probes_end_that() -> None:
     reachability = Reachability()
     reachability.response_had_no_effect(seconds(1))
     assert not reachability.receives_nothing
     reachability.probe_unanswered(seconds(0))
     assert not reachability.receives_nothing
     reachability.probe_unanswered(seconds(2))
-    assert reachability.receives_nothing and reachability.receives_nothing_for(
-        seconds(5)
-    ) == seconds(4)
+    assert reachability.receives_nothing
+    assert reachability.receives_nothing_for(seconds(5)) == seconds(4)
     reachability.probe_answered(seconds(6))
     assert not reachability.receives_nothing and reachability.missed < UNREACHABLE_AFTER
     for _ in range(MAX_EXCUSED_FAILURES):
@@ -346,7 +356,7 @@
     assert not reachability.receives_nothing
 
 
-def test_no_course_of_a_small_world_breaks_the_rule_and_each_guard_is_needed() -> None:
+def test_model_of_one_worker_keeps_the_rule_and_breaks_it_without_each_guard() -> None:
     with small_margin():
         _, course = explore(6)
         assert course is None
@@ -356,11 +366,11 @@
                 assert course is not None, guard
 
 
-# -- nonsense ------------------------------------------------------------------------------
+# -- malformed heartbeats ------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    "nonsense",
+    "malformed",
     [
         {"host": ""},
         {"shift": -1},
@@ -373,14 +383,14 @@
         {"shift": None},
     ],
 )
-def test_a_report_that_is_none_is_refused_and_costs_nothing(
-    monkeypatch: pytest.MonkeyPatch, nonsense: dict[str, object]
+def test_malformed_heartbeat_is_refused_without_effect(
+    monkeypatch: pytest.MonkeyPatch, malformed: dict[str, object]
 ) -> None:
     async def story(world: World) -> None:
         job = await world.run_job("array", 1, run_s=20.0)
         await world.until(lambda: world.running(job) == 1)
-        worker = _workers_of(world, job)[0]
-        heartbeat = worker._on_heartbeat() | nonsense
+        worker = _workers_running(world, job)[0]
+        heartbeat = worker._on_heartbeat() | malformed
         for number in range(3):
             assert (await world.call(number, "POST", "/checkin", heartbeat))[0] == 400
         await world.until_done(job)
@@ -388,11 +398,11 @@
     World().play(monkeypatch, story)
 
 
-def test_states_and_tasks_that_nobody_knows_do_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unknown_task_states_and_task_ids_have_no_effect(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(world: World) -> None:
         job = await world.run_job("array", 1, run_s=20.0)
         await world.until(lambda: world.running(job) == 1)
-        worker = _workers_of(world, job)[0]
+        worker = _workers_running(world, job)[0]
         odd = [
             {"leg": "no task", "try": 1, "status": "running"},
             {"leg": "req-999999/0", "try": 1, "status": "dreaming"},
