--- a/micadeal/fleet/instance_offers.py
+++ b/micadeal/fleet/instance_offers.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from micadeal.clock import seconds
-from micadeal.placement.bin_packing import EPSILON, allowed, type_fits
+from micadeal.placement.machine_capacity import EPSILON, allowed, type_fits
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.users import Submission
 
--- a/micadeal/fleet/machines.py
+++ b/micadeal/fleet/machines.py
@@ -36,7 +36,7 @@
     done: bool
 
 
-class Preemption(NamedTuple):
+class PreemptionHold(NamedTuple):
     """For which job tasks were stopped on a machine, which is kept for that job meanwhile."""
 
     job_id: str
@@ -165,7 +165,7 @@
     #: Images that the machine is likely to hold, with the instant of their last use.
     images: dict[str, timedelta] = field(default_factory=dict)
     #: Set while the machine is kept for a job for which tasks were stopped here.
-    preempted_for: Preemption | None = None
+    preempted_for: PreemptionHold | None = None
     #: Id of the job that the machine is reserved for: of others, only production work is added.
     reserved_for: str | None = None
 
--- a/micadeal/jobs/validate.py
+++ b/micadeal/jobs/validate.py
@@ -8,7 +8,7 @@
 
 from micadeal.fleet.instance_offers import InstanceOffers
 from micadeal.operator.platform import Team
-from micadeal.placement.bin_packing import EPSILON
+from micadeal.placement.machine_capacity import EPSILON
 from micadeal.wire.codec import MessageFormatError, decode
 from micadeal.wire.users import JobName, Shape, Submission
 
--- a/micadeal/placement/__init__.py
+++ b/micadeal/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where tasks fit: rooms on machines, zones, gangs, images.  Pure."""
+"""Bin packing: which machine, or set of machines, a task or gang is placed on.  No I/O."""
--- a/micadeal/scheduling/__init__.py
+++ b/micadeal/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's decisions: pure, told of time and events, asked what to do.  No input or output."""
+"""The leader's decisions, which do no I/O: cluster state, scheduling cycles, scale out and in."""
--- a/micadeal/scheduling/capacity.py
+++ b/micadeal/scheduling/capacity.py
@@ -1,4 +1,4 @@
-"""Rooms of the leader's picture: what is free on machines up and booting, and on ones asked for."""
+"""Free capacity of the cluster at the start of a cycle: machines up, booting, or asked for."""
 
 from __future__ import annotations
 
@@ -8,57 +8,69 @@
 from micadeal.clock import seconds
 from micadeal.fleet.instance_offers import InstanceOffer
 from micadeal.fleet.machines import FreeCapacity, Machine
-from micadeal.placement.bin_packing import MachineCapacity
+from micadeal.placement.machine_capacity import MachineCapacity
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.cloud import MachineType
 
-#: A machine that has not been heard of for so many report intervals gets no new work.
-SILENT_HEARTBEATS = 2.6
+#: A machine without a heartbeat for so many heartbeat intervals gets no new work.
+MAX_MISSED_HEARTBEATS = 2.6
+
+
+def heartbeat_timeout(cluster: ClusterState) -> timedelta:
+    """Return how long after its last heartbeat a machine still gets new work."""
+    return cluster.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS
 
 
 def build_capacities(
-    cluster: ClusterState, now: timedelta, pending: Counter[InstanceOffer]
+    cluster: ClusterState, now: timedelta, pending_rentals: Counter[InstanceOffer]
 ) -> list[MachineCapacity]:
-    """Rooms of machines that are up or booting, and of those asked for but not answered yet."""
-    silence = cluster.workers.heartbeat_interval * SILENT_HEARTBEATS
+    """Return the capacities of machines that are up or booting, and of those asked for."""
+    timeout = heartbeat_timeout(cluster)
     capacities: list[MachineCapacity] = []
     for machine in cluster.machines.values():
         kind = cluster.types.get(machine.machine_type)
         if kind is None or machine.draining or machine.lost or machine.notice_end is not None:
             continue
-        usable = machine.usable(now, silence)
-        if (
-            not usable
-            and machine.up
-            and (machine.has_our_token or _unproven(machine, now, silence))
-        ):
-            continue
-        if not machine.up and cluster.boot_times.late(machine, seconds(kind.boot_s), now):
-            # What waits gets room elsewhere; if it comes after all, it is used or returned.
-            continue
-        capacities.append(_room(cluster, machine, kind, usable, len(capacities)))
-    for offer, count in pending.items():
+        usable = machine.usable(now, timeout)
+        if usable or _may_become_usable(cluster, machine, kind, timeout, now):
+            capacities.append(_machine_capacity(cluster, machine, kind, usable, len(capacities)))
+    for offer, count in pending_rentals.items():
         kind = cluster.types.get(offer.machine_type)
         if kind is not None:
             for number in range(count):
                 name = f"asked for {offer.zone} {offer.spot} {number}"
-                capacities.append(empty_capacity(name, offer, kind, len(capacities), wish=False))
+                capacities.append(empty_capacity(name, offer, kind, len(capacities), planned=False))
     return capacities
 
 
-def _unproven(machine: Machine, now: timedelta, silence: timedelta) -> bool:
-    """Whether a machine that has reported, but not shown our token, should have shown it by now: it
-    does not hear us, or is gone and what came was held up by the network."""
+def _may_become_usable(
+    cluster: ClusterState, machine: Machine, kind: MachineType, timeout: timedelta, now: timedelta
+) -> bool:
+    """Return whether capacity may be reserved on a machine that gets no work yet."""
+    if machine.up:
+        return not machine.has_our_token and not _token_overdue(machine, now, timeout)
+    # If it is late, pending work gets capacity elsewhere; if it comes after all, it is used or
+    # returned.
+    return not cluster.boot_times.late(machine, seconds(kind.boot_s), now)
+
+
+def _token_overdue(machine: Machine, now: timedelta, timeout: timedelta) -> bool:
+    """Return whether a machine that has reported should have shown our fencing token by now.
+
+    If it should have, it does not receive our answers, or it is gone and what came from it was
+    delayed by the network.
+    """
     return (
         machine.reachability.receives_nothing
         or machine.up_since is None
-        or now - machine.up_since > silence
+        or now - machine.up_since > timeout
     )
 
 
 def empty_capacity(
-    name: str, offer: InstanceOffer, kind: MachineType, order: int, wish: bool
+    name: str, offer: InstanceOffer, kind: MachineType, order: int, planned: bool
 ) -> MachineCapacity:
+    """Return the capacity of a machine that is not up yet."""
     return MachineCapacity(
         name,
         offer.machine_type,
@@ -68,18 +80,19 @@
         kind.gpus,
         kind.memory_gb,
         up=False,
-        wish=wish,
+        planned=planned,
         order=order,
     )
 
 
-def _room(
+def _machine_capacity(
     cluster: ClusterState, machine: Machine, kind: MachineType, usable: bool, order: int
 ) -> MachineCapacity:
     shape = machine.shape
     if shape is None:
         # Derived anew only when something on the machine has changed (``ClusterState`` clears it).
-        shape = machine.shape = _shape(cluster, machine, kind)
+        shape = machine.shape = _free_capacity(cluster, machine, kind)
+    # Positional: this runs for every machine in every cycle.
     return MachineCapacity(
         machine.name,
         machine.machine_type,
@@ -96,42 +109,42 @@
         shape.bound_tasks,
         0,
         order,
-        machine.reserved_for if machine.preempted_for is None else machine.preempted_for[0],
+        machine.reserved_for if machine.preempted_for is None else machine.preempted_for.job_id,
         machine.preempted_for is None and machine.reserved_for is not None,
     )
 
 
-def _shape(cluster: ClusterState, machine: Machine, kind: MachineType) -> FreeCapacity:
-    cpus, gpus, memory = kind.cpus, kind.gpus, kind.memory_gb
-    bound = 0
+def _free_capacity(cluster: ClusterState, machine: Machine, kind: MachineType) -> FreeCapacity:
+    cpus, gpus, memory_gb = kind.cpus, kind.gpus, kind.memory_gb
+    bound_tasks = 0
     fetching: set[str] = set()
     for attempt in machine.attempts.values():
         spec = cluster.jobs[attempt.job_id].spec
         cpus -= spec.cpus
         gpus -= spec.gpus
-        memory -= spec.memory_gb
+        memory_gb -= spec.memory_gb
         if not spec.spot_allowed:
-            bound += 1
+            bound_tasks += 1
         if attempt.running_since is None and spec.image in machine.images:
             fetching.add(spec.image)
     return FreeCapacity(
         cpus,
         gpus,
-        memory,
+        memory_gb,
         len(machine.attempts),
-        bound,
-        frozenset(_in_cache(cluster, machine, kind) - fetching),
+        bound_tasks,
+        frozenset(_cached_images(cluster, machine, kind) - fetching),
         frozenset(fetching),
     )
 
 
-def _in_cache(cluster: ClusterState, machine: Machine, kind: MachineType) -> set[str]:
-    """Images that the machine still holds, as far as sizes seen in jobs tell."""
-    kept: set[str] = set()
+def _cached_images(cluster: ClusterState, machine: Machine, kind: MachineType) -> set[str]:
+    """Return the images that the machine's cache still holds, as far as known sizes tell."""
+    cached: set[str] = set()
     total = 0.0
     for image in sorted(machine.images, key=lambda name: machine.images[name], reverse=True):
         total += cluster.image_sizes.get(image, 0.0)
         if total > kind.cache_gb > 0:
             break
-        kept.add(image)
-    return kept
+        cached.add(image)
+    return cached
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -1,96 +1,112 @@
-"""Delay scheduling (source, 3.7 and 4.8): a job passes on a machine that would have to fetch its
-image, if one that holds it is likely to have room soon.
+"""Delay scheduling (design, 3.7 and 4.8): a job waits for a machine that caches its image.
 
-The data of the source is the image here.  The source waits for a fixed time; here it follows from
-what is at stake, the fetch, and a job waits only as far as tasks that are likely to end in that
-time leave room for it.  On a small cluster that is hardly ever so, on a large one nearly always.
+It passes on a machine that would have to fetch the image, if one that caches it is likely to have
+capacity soon.  The input data of the design is the image here.  The design waits for a fixed time;
+here it follows from what is at stake, the fetch, and a job waits only as far as tasks that are
+likely to end in that time leave capacity for it.  On a small cluster that is hardly ever so, on a
+large one nearly always.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from datetime import timedelta
 
 from micadeal.clock import ZERO, seconds
 from micadeal.fleet.machines import Machine
 from micadeal.jobs.model import Job
-from micadeal.placement.bin_packing import MachineCapacity, allowed, fits_into, size_of
+from micadeal.placement.machine_capacity import (
+    MachineCapacity,
+    RequestKey,
+    allowed,
+    fits_into,
+    request_key,
+)
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.users import Submission
 
 #: A job waits for this share of the time that its fetch would take.
-SHARE_OF_FETCH = 0.5
-#: As in the source: a shorter delay than so many report intervals would not bring a machine.
-LEAST_REPORTS = 1.5
+FETCH_SHARE = 0.5
+#: As in the design: a delay shorter than so many heartbeat intervals would not bring a machine.
+MIN_HEARTBEATS = 1.5
 
 
-class Delay:
-    """One pass's view of where room is about to come free."""
+class DelayScheduling:
+    """One cycle's estimate of where capacity beside a cached image is about to become free."""
 
     def __init__(self, cluster: ClusterState, now: timedelta) -> None:
         self._cluster = cluster
         self._now = now
-        self._by_image: dict[str, list[Machine]] | None = None
-        self._rates: dict[tuple[object, ...], float] = {}
-        #: Tasks that wait already for room on machines that hold an image.
+        self._machines_by_image: dict[str, list[Machine]] | None = None
+        self._rates: dict[RequestKey, float] = {}
+        #: Tasks that wait already for machines that cache an image.
         self._waiting: dict[str, int] = {}
 
-    def passes(self, job: Job, tasks: int, capacity: MachineCapacity) -> bool:
-        """Whether the job, with so many tasks to place, had better wait than fetch its image."""
+    def should_wait(self, job: Job, tasks: int, capacity: MachineCapacity) -> bool:
+        """Return whether the job, with so many tasks to place, had better wait than fetch here."""
         spec = job.spec
         if job.is_service or spec.image in capacity.images or spec.image in capacity.fetching:
-            # What runs until it is cancelled leaves nothing for the next one of its kind.
+            # A service runs until it is cancelled and frees nothing for the next one of its kind.
             return False
-        patience = self._patience(spec, capacity)
-        if patience < self._cluster.workers.heartbeat_interval * LEAST_REPORTS:
+        delay = self._delay(spec, capacity)
+        if delay < self._cluster.workers.heartbeat_interval * MIN_HEARTBEATS:
             return False
-        if job.passed_since is not None and self._now - job.passed_since >= patience:
+        if job.passed_since is not None and self._now - job.passed_since >= delay:
             return False
         before = self._waiting.get(spec.image, 0)
-        if self._rate(spec) * patience.total_seconds() < before + tasks:
+        if self._end_rate(spec) * delay.total_seconds() < before + tasks:
             return False
         self._waiting[spec.image] = before + tasks
         if job.passed_since is None:
             job.passed_since = self._now
         return True
 
-    def _patience(self, spec: Submission, capacity: MachineCapacity) -> timedelta:
+    def _delay(self, spec: Submission, capacity: MachineCapacity) -> timedelta:
         kind = self._cluster.types.get(capacity.machine_type)
         if kind is None or kind.fetch_gb_per_s <= 0:
             return ZERO
-        return seconds(spec.image_gb / kind.fetch_gb_per_s * SHARE_OF_FETCH)
+        return seconds(spec.image_gb / kind.fetch_gb_per_s * FETCH_SHARE)
 
-    def _rate(self, spec: Submission) -> float:
-        """Tasks per second that are likely to end and to leave room for one of this size on a
-        machine that holds its image."""
-        key = (spec.image, *size_of(spec))
+    def _end_rate(self, spec: Submission) -> float:
+        """Return how many tasks per second are likely to end and leave capacity for such a task.
+
+        Only machines that cache its image count.
+        """
+        key = (spec.image, *request_key(spec))
         known = self._rates.get(key)
         if known is not None:
             return known
         rate = 0.0
-        for machine in self._machines().get(spec.image, ()):
+        for estimate_s in self._ending_for(spec):
+            rate += 1.0 / max(estimate_s, 1.0)
+        self._rates[key] = rate
+        return rate
+
+    def _ending_for(self, spec: Submission) -> Iterator[float]:
+        """Yield the estimates of running tasks whose end leaves capacity for such a task."""
+        for machine in self._caching(spec.image):
             shape = machine.shape
             if shape is None or not allowed(spec, machine.machine_type, machine.zone, machine.spot):
                 continue
             for attempt in machine.attempts.values():
                 job = self._cluster.jobs[attempt.job_id]
-                left = job.spec
+                ending = job.spec
                 if not job.is_service and fits_into(
                     spec,
-                    left.cpus + shape.cpus,
-                    left.gpus + shape.gpus,
-                    left.memory_gb + shape.memory_gb,
+                    ending.cpus + shape.cpus,
+                    ending.gpus + shape.gpus,
+                    ending.memory_gb + shape.memory_gb,
                 ):
-                    rate += 1.0 / max(left.estimate_s, 1.0)
-        self._rates[key] = rate
-        return rate
+                    yield ending.estimate_s
 
-    def _machines(self) -> dict[str, list[Machine]]:
-        if self._by_image is None:
-            self._by_image = {}
+    def _caching(self, image: str) -> list[Machine]:
+        """Return the machines in use that cache the image."""
+        if self._machines_by_image is None:
+            self._machines_by_image = {}
             for machine in self._cluster.machines.values():
                 if machine.shape is None or machine.lost or machine.draining:
                     continue
                 if machine.notice_end is None and machine.up:
-                    for image in machine.shape.images:
-                        self._by_image.setdefault(image, []).append(machine)
-        return self._by_image
+                    for cached in machine.shape.images:
+                        self._machines_by_image.setdefault(cached, []).append(machine)
+        return self._machines_by_image.get(image, [])
--- /dev/null
+++ b/micadeal/scheduling/machine_inventory.py
@@ -0,0 +1,149 @@
+"""What the cloud lists, rents and takes back: the leader's side of scale out and scale in."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterable
+from datetime import timedelta
+
+from micadeal.clock import seconds
+from micadeal.fleet.instance_offers import InstanceOffer, InstanceOffers
+from micadeal.fleet.machines import Machine
+from micadeal.scheduling import machine_loss
+from micadeal.scheduling.cluster_state import ClusterState
+from micadeal.scheduling.scale_in import ReturnReason
+from micadeal.wire.cloud import ListedMachine, RentalRequest
+
+#: Machines asked for in one request.
+MAX_PER_RENTAL = 50
+#: Status of a machine in the cloud's list.
+LISTED_BOOTING = "booting"
+LISTED_RUNNING = "running"
+LISTED_FAILED = "failed"
+
+
+class MachineInventory:
+    """Keeps the machines of the cluster state in line with the cloud's answers."""
+
+    def __init__(self, cluster: ClusterState, instance_offers: InstanceOffers) -> None:
+        self._cluster = cluster
+        self._offers = instance_offers
+        #: Whether the cloud's list has been read in this term.
+        self.listed = False
+        #: Rental requests that are not answered yet, one for each offer at most.
+        self.rentals: dict[InstanceOffer, RentalRequest] = {}
+        #: Machines to be returned; each stays until the cloud confirms.
+        self.releases: set[str] = set()
+        self._rental_count = 0
+
+    # -- the cloud's list ------------------------------------------------------------------
+
+    def on_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
+        """Take in the cloud's list of all machines."""
+        self.listed = True
+        present: set[str] = set()
+        for entry in listed:
+            present.add(entry.name)
+            if entry.name not in self._cluster.gone:
+                self._update_listed(entry, now)
+        for machine in self._cluster.machines.values():
+            if machine.name not in present and machine.listed:
+                machine.missing_lists += 1
+
+    def _update_listed(self, entry: ListedMachine, now: timedelta) -> None:
+        rented = now - seconds(entry.age_s)
+        machine = self._cluster.machines.get(entry.name)
+        if machine is None:
+            # Rented by an earlier leader, or by a request that was executed late.
+            machine = Machine(
+                entry.name,
+                entry.address,
+                entry.machine_type,
+                entry.zone,
+                entry.spot,
+                now,
+                rented,
+            )
+            self._cluster.machines[entry.name] = machine
+            self._cluster.changed = True
+        machine.rented = min(machine.rented, rented)
+        machine.address = machine.address or entry.address
+        machine.missing_lists = 0
+        machine.listed = machine.confirmed = True
+        machine.listed_failed |= entry.status == LISTED_FAILED
+        machine.listed_running |= entry.status == LISTED_RUNNING
+        machine.boot_seen |= entry.status == LISTED_BOOTING and not machine.up
+
+    # -- scale out -------------------------------------------------------------------------
+
+    def pending_rentals(self) -> Counter[InstanceOffer]:
+        """Return how many machines are asked for, by offer."""
+        return Counter({offer: request.count for offer, request in self.rentals.items()})
+
+    def request_rentals(self, wanted: Counter[InstanceOffer]) -> None:
+        """Make requests for these machines, where none is under way for their offer."""
+        for offer, count in wanted.most_common():
+            if offer in self.rentals:
+                continue
+            self._rental_count += 1
+            self.rentals[offer] = RentalRequest(
+                f"{self._cluster.token}-{self._rental_count}",
+                offer.machine_type,
+                offer.zone,
+                offer.spot,
+                min(count, MAX_PER_RENTAL),
+            )
+
+    def rented(self, request: RentalRequest, names: list[str], now: timedelta) -> None:
+        """Take in a granted request; fewer machines than asked for count as a refusal of more."""
+        offer = _offer_of(request)
+        self.rentals.pop(offer, None)
+        self._offers.granted(offer)
+        for name in names:
+            if name in self._cluster.gone:
+                continue
+            machine = self._cluster.machines.get(name)
+            if machine is None:
+                machine = self._cluster.machines[name] = Machine(
+                    name, "", request.machine_type, request.zone, request.spot, now, now
+                )
+                machine.boot_seen = True
+            machine.confirmed = True
+        if len(names) < request.count:
+            self._offers.refused(offer, self._cluster.held()[offer], now)
+        self._cluster.changed = True
+
+    def rental_refused(self, request: RentalRequest, now: timedelta) -> None:
+        """Take in a refused request."""
+        offer = _offer_of(request)
+        self.rentals.pop(offer, None)
+        self._offers.refused(offer, self._cluster.held()[offer], now)
+        self._cluster.changed = True
+
+    # -- scale in --------------------------------------------------------------------------
+
+    def return_again(self, names: Iterable[str], now: timedelta) -> None:
+        """Ask the cloud once more to take back machines that an earlier leader was returning.
+
+        Its answer makes certain at once what would otherwise take until their leases expire.
+        """
+        for name in names:
+            machine = self._cluster.machines.get(name)
+            if machine is not None and machine.attempts:
+                self.release(machine, ReturnReason.RETURNED_EARLIER, now)
+
+    def release(self, machine: Machine, reason: str, now: timedelta) -> None:
+        """Have the machine returned."""
+        machine.draining = reason
+        machine.release_requested = now
+        self.releases.add(machine.name)
+
+    def released(self, names: Iterable[str], now: timedelta) -> None:
+        """Take in the cloud's confirmation that these machines are gone."""
+        for name in names:
+            self.releases.discard(name)
+            machine_loss.remove_machine(self._cluster, name, now)
+
+
+def _offer_of(request: RentalRequest) -> InstanceOffer:
+    return InstanceOffer(request.machine_type, request.zone, request.spot)
--- /dev/null
+++ b/micadeal/scheduling/team_shares.py
@@ -0,0 +1,123 @@
+"""Demand, usage and fair share of each team in one scheduling cycle."""
+
+from __future__ import annotations
+
+from collections import Counter
+from datetime import timedelta
+
+from micadeal.jobs.model import Job
+from micadeal.scheduling.bookings import Bookings
+from micadeal.scheduling.capacity_pool import CapacityPool, free_amount
+from micadeal.scheduling.cycle_data import CycleInputs
+from micadeal.scheduling.pending_reasons import BACKING_OFF, GANG_ATTEMPT_ENDING, RUNNING_JOBS_LIMIT
+from micadeal.scheduling.plan import TeamState
+from micadeal.sharing.shares import Claim, booked, fair_shares
+
+
+def runnable_jobs(inputs: CycleInputs) -> list[Job]:
+    """Return the jobs with pending tasks that may start, in the order of their teams' queues.
+
+    Jobs past their team's limit of running jobs are left out (design, 4.7).
+    """
+    cluster = inputs.cluster
+    per_team: Counter[str] = Counter()
+    result: list[Job] = []
+    for job in sorted(_not_deferred(inputs), key=lambda job: _queue_order(inputs, job)):
+        team = job.spec.team
+        # A blocked job has no demand and is none of its team's running jobs.
+        if team not in cluster.teams or job.complete or job.blocked:
+            continue
+        limit = inputs.policy.team(team).running_jobs
+        per_team[team] += 1
+        job.reasons.clear()
+        waiting = job.waiting_count()
+        if not waiting:
+            continue
+        if limit is not None and per_team[team] > limit and not job.attempts:
+            job.reasons[RUNNING_JOBS_LIMIT] = waiting
+        elif job.is_gang and job.attempts:
+            job.reasons[GANG_ATTEMPT_ENDING] = waiting
+        elif inputs.now < job.retry_at:
+            job.reasons[BACKING_OFF] = waiting
+        else:
+            result.append(job)
+    return result
+
+
+def _not_deferred(inputs: CycleInputs) -> list[Job]:
+    """Return all jobs but the deferred ones.
+
+    Those count as no demand, as jobs past a limit do, and are left out before anything is sorted,
+    since there may be many.
+    """
+    deferral = inputs.deferral
+    if deferral is None:
+        return list(inputs.cluster.live_jobs())
+    return [job for job in inputs.cluster.live_jobs() if deferral.held(job, inputs.now) is None]
+
+
+def _queue_order(inputs: CycleInputs, job: Job) -> tuple[int, timedelta, str]:
+    """Return the sort key of a job in its team's queue."""
+    rank, since, job_id = job.order
+    if inputs.policy.team(job.spec.team).order == "submitted":
+        rank = 0
+    deferred_since = None if inputs.deferral is None else inputs.deferral.queued_since(job)
+    if deferred_since is not None:
+        since = max(since, deferred_since)
+    return (rank, since, job_id)
+
+
+def team_states(
+    resource: str, jobs: list[Job], inputs: CycleInputs, pool: CapacityPool, bookings: Bookings
+) -> dict[str, TeamState]:
+    """Return each team's demand, usage and fair share of one resource, by team name.
+
+    ``jobs``: the runnable ones that are counted in this resource.
+    """
+    teams, policy = inputs.cluster.teams, inputs.policy
+    states: dict[str, TeamState] = {}
+    for name, team in teams.items():
+        used = booked(bookings.usage[name], resource)
+        states[name] = TeamState(team.minimum(resource), policy.team(name).weight, used, used)
+    for job in jobs:
+        states[job.spec.team].demand += bookings.waiting(job) * job.units
+    for name, state in states.items():
+        limit = teams[name].limit(resource)
+        if limit is not None:
+            state.demand = min(state.demand, limit)
+    claims = [Claim(state.demand, state.weight, state.minimum) for state in states.values()]
+    shares = fair_shares(claims, _total(resource, states, inputs, pool))
+    for state, share in zip(states.values(), shares, strict=True):
+        state.share = share
+    _count_reserved_machines(resource, states, inputs, pool)
+    return states
+
+
+def _total(
+    resource: str, states: dict[str, TeamState], inputs: CycleInputs, pool: CapacityPool
+) -> float:
+    """Return the amount that is shared: what can be had, not only what is rented now.
+
+    Unless the cloud refuses, machines can be rented for the whole demand.
+    """
+    total: float = sum(
+        kind.gpus if resource == "gpus" else kind.cpus
+        for capacity in pool.capacities
+        if (kind := inputs.cluster.types.get(capacity.machine_type))
+    )
+    demand = sum(state.demand for state in states.values())
+    if inputs.may_rent and not inputs.instance_offers.any_paused(inputs.now):
+        return max(total, demand)
+    return total
+
+
+def _count_reserved_machines(
+    resource: str, states: dict[str, TeamState], inputs: CycleInputs, pool: CapacityPool
+) -> None:
+    """Count what is free on reserved machines as used by the team: nobody else uses it."""
+    for capacity in pool.capacities:
+        if not capacity.reserved:
+            continue
+        job = inputs.cluster.jobs.get(capacity.dedicated_to or "")
+        if job is not None and job.resource == resource:
+            states[job.spec.team].used += max(free_amount(capacity, resource), 0.0)
--- /dev/null
+++ b/micadeal/scheduling/warm_capacity.py
@@ -0,0 +1,65 @@
+"""Warm capacity: machines kept for work that is to start sooner than a machine boots."""
+
+from __future__ import annotations
+
+from collections import Counter
+from heapq import heapify, heappop, heappush
+
+from micadeal.placement.bin_packing import Rank, ZoneRule, is_economical, rank
+from micadeal.placement.machine_capacity import MachineCapacity, allowed
+from micadeal.scheduling.capacity_pool import CapacityPool
+from micadeal.scheduling.plan import ExpectedWork, Plan
+from micadeal.scheduling.scale_out import ScaleOut
+
+#: Expected tasks are not tied to other tasks of a job.
+_NO_ZONES: Counter[str] = Counter()
+
+
+def keep_warm_capacity(
+    work: ExpectedWork, pool: CapacityPool, scale_out: ScaleOut, plan: Plan
+) -> None:
+    """Book capacity for the expected tasks, and plan machines where too little is free.
+
+    Machines are ranked once, and anew only when something was booked on them: with hundreds of
+    expected tasks, ranking all for each took most of a leader's time.
+    """
+    spec = work.spec
+    heap = [
+        (_warm_rank(work, capacity), capacity.order, capacity)
+        for capacity in pool.capacities
+        if capacity.fits(spec)
+        and allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
+        and is_economical(spec, capacity, spot_scarce=False)
+    ]
+    heapify(heap)
+    for _ in range(work.tasks):
+        if heap:
+            capacity = heap[0][2]
+        elif (planned := scale_out.plan_machine(spec, ZoneRule(spec), warm=True)) is not None:
+            capacity = planned
+            heappush(heap, (_warm_rank(work, capacity), capacity.order, capacity))
+        else:
+            return
+        capacity.book(spec)
+        if not capacity.planned:
+            plan.warm.add(capacity.name)
+        # The machine is fuller now, so it ranks better if anything: it is the next to be taken.
+        heappop(heap)
+        if capacity.fits(spec):
+            heappush(heap, (_warm_rank(work, capacity), capacity.order, capacity))
+
+
+def _warm_rank(work: ExpectedWork, capacity: MachineCapacity) -> Rank:
+    """Rank a machine as warm capacity; smaller is better.
+
+    The rest of a machine that is kept anyway costs nothing.  One that caches more of the class's
+    images is worth more, since a fetch takes longer than work of such a class may wait.
+    """
+    shared = capacity.up and (capacity.bound_tasks > 0 or work.spec.spot_allowed)
+    images = len(capacity.images & work.images) if capacity.up else 0
+    return (
+        0 if shared else 1,
+        0 if capacity.up else 1,
+        -images,
+        *rank(work.spec, capacity, _NO_ZONES),
+    )
--- a/micadeal/sharing/__init__.py
+++ b/micadeal/sharing/__init__.py
@@ -1,1 +1,4 @@
-"""The fair scheduler of the design source: shares, handout order, starvation, victims.  Pure."""
+"""Fair sharing after the Hadoop Fair Scheduler design: shares, order, starvation, victims.
+
+Nothing here does I/O.  Section numbers in this package are those of that design document.
+"""
--- a/micadeal/sharing/order.py
+++ b/micadeal/sharing/order.py
@@ -1,9 +1,10 @@
-"""Which team gets the next free slot (source, section 4.4), and which of its jobs (3.5)."""
+"""Order of teams (Fair Scheduler design, section 4.4) and of priorities within a team (3.5)."""
 
 from __future__ import annotations
 
 from micadeal.wire.users import Priority
 
+#: Smaller is served first.
 RANK = {
     Priority.PRODUCTION: 0,
     Priority.HIGH: 1,
@@ -13,8 +14,11 @@
 
 
 def team_key(used: float, minimum: float, weight: float) -> tuple[int, float]:
-    """Sorts teams: those below their minimum first, the furthest below as a fraction of it
-    foremost; then by least running per weight."""
+    """Return the sort key of a team; the smallest gets the next free slot.
+
+    Teams below their minimum come first, the one furthest below it as a fraction of it foremost;
+    the others follow by usage per weight.
+    """
     if used < minimum:
         return (0, used / minimum)
     return (1, used / weight)
--- a/micadeal/sharing/shares.py
+++ b/micadeal/sharing/shares.py
@@ -1,42 +1,47 @@
-"""Fair shares by binary search (source, section 4.6)."""
+"""Fair shares by binary search (Fair Scheduler design, section 4.6)."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-#: The source's number of halvings: the wanted bits of precision.
+#: Halvings of the search interval, as in the design: the bits of precision wanted.
 ITERATIONS = 25
 
+#: What a team books: (cores, accelerators).
+Amounts = tuple[float, float]
+
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What one team brings to the division, all in booked units of one resource."""
+    """What one team brings to the division, in booked units of one resource."""
 
     demand: float
     weight: float
     minimum: float
 
 
-def _used(claims: Sequence[Claim], ratio: float) -> float:
-    return sum(min(c.demand, max(ratio * c.weight, c.minimum)) for c in claims)
-
-
 def fair_shares(claims: Sequence[Claim], total: float) -> list[float]:
-    """Each claim's share: ``min(demand, max(r * weight, minimum))`` with the r that uses ``total``.
+    """Return each claim's share of ``total``, in the order of the claims.
 
-    Minimums count only as far as they are demanded: an inactive team reserves nothing (source,
-    section 3.2).  If they add up to more than there is, they scale down proportionally.
+    A share is ``min(demand, max(r * weight, minimum))`` with the r that uses up ``total``.
+    Minimums count only as far as they are demanded: an inactive team reserves nothing (section
+    3.2).  If they add up to more than ``total``, they scale down proportionally.
     """
-    minimums = [min(c.minimum, c.demand) for c in claims]
-    asked = sum(minimums)
-    if asked > total:
-        return [total * minimum / asked for minimum in minimums]
-    demanded = sum(c.demand for c in claims)
-    if demanded <= total:
-        return [c.demand for c in claims]
+    minimums = [min(claim.minimum, claim.demand) for claim in claims]
+    minimum_sum = sum(minimums)
+    if minimum_sum > total:
+        return [total * minimum / minimum_sum for minimum in minimums]
+    if sum(claim.demand for claim in claims) <= total:
+        return [claim.demand for claim in claims]
+    ratio = _find_ratio(claims, total)
+    return [min(c.demand, max(ratio * c.weight, c.minimum)) for c in claims]
+
+
+def _find_ratio(claims: Sequence[Claim], total: float) -> float:
+    """Return the ratio of share to weight at which the claims use ``total``."""
     low, high = 0.0, 1.0
-    # Some weight is positive, or the doubling would not end; weights are checked to be.
+    # Ends only if some weight is positive, which the settings guarantee.
     while _used(claims, high) < total:
         high *= 2
     for _ in range(ITERATIONS):
@@ -45,9 +50,13 @@
             low = middle
         else:
             high = middle
-    return [min(c.demand, max(high * c.weight, c.minimum)) for c in claims]
+    return high
+
+
+def _used(claims: Sequence[Claim], ratio: float) -> float:
+    return sum(min(c.demand, max(ratio * c.weight, c.minimum)) for c in claims)
 
 
-def booked(amounts: tuple[float, float], resource: str) -> float:
-    """One resource of a team's (cores, accelerators)."""
+def booked(amounts: Amounts, resource: str) -> float:
+    """Return what a team books of one resource."""
     return amounts[1] if resource == "gpus" else amounts[0]
--- a/micadeal/sharing/victims.py
+++ b/micadeal/sharing/victims.py
@@ -1,28 +1,42 @@
-"""Choice of what to kill for a starved task: the newest, gangs whole, no more than needed."""
+"""Choice of victims for a starved task: the newest, gangs whole, no more than needed."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from datetime import timedelta
+from typing import NamedTuple
 
-from micadeal.placement.bin_packing import EPSILON, MachineCapacity
+from micadeal.placement.machine_capacity import EPSILON, MachineCapacity, fits_into
 from micadeal.wire.users import Submission
 
+#: Victims that started within so many seconds of each other count as equally new.
+START_RESOLUTION_S = 10
+
+
+class FreedAmounts(NamedTuple):
+    """What one machine gets back when a victim ends."""
+
+    machine: str
+    cpus: float
+    gpus: float
+    memory_gb: float
+
 
 @dataclass(frozen=True, slots=True)
 class Victim:
-    """One thing that is killed whole: a task, or all tasks of a gang."""
+    """What is preempted as one: a single task, or all tasks of a gang."""
 
     job_id: str
     team: str
     #: 0 production ... 3 low.
     rank: int
     started: timedelta
-    #: Machines it frees, with the amounts per machine: (cpus, gpus, memory).
-    frees: tuple[tuple[str, float, float, float], ...]
+    #: One entry for each task that ends.
+    frees: tuple[FreedAmounts, ...]
     #: Booked units that its team loses.
     units: float
+    #: Index of the task; None: a whole gang.
     index: int | None = None
     #: Whether its progress is saved when it is stopped.
     saves: bool = True
@@ -30,17 +44,22 @@
 
 def may_kill(
     victim: Victim,
-    needy_team: str,
-    needy_rank: int,
+    preemptor_team: str,
+    preemptor_rank: int,
     for_guarantee: bool,
     surplus: dict[str, float],
 ) -> bool:
-    """PROTOCOL, "Preemption", and the design: only from what a team has beyond its minimum."""
-    if victim.team == needy_team:
-        return victim.rank > needy_rank
+    """Return whether the rules allow this victim.
+
+    PROTOCOL, "Preemption", and the design: another team loses only what it has beyond its minimum
+    (``surplus``, in booked units by team).  ``for_guarantee``: the preemptor's team is below its
+    own minimum.
+    """
+    if victim.team == preemptor_team:
+        return victim.rank > preemptor_rank
     if surplus.get(victim.team, 0.0) + EPSILON < victim.units:
         return False
-    return victim.rank > needy_rank or for_guarantee
+    return victim.rank > preemptor_rank or for_guarantee
 
 
 def choose_victims(
@@ -49,39 +68,41 @@
     by_machine: dict[str, list[Victim]],
     permitted: set[int],
 ) -> list[Victim]:
-    """The victims on one machine whose end makes room for one task of ``spec``.
+    """Return victims on one machine whose end frees enough for one task; empty if there are none.
 
-    ``rooms`` are those that the task may use.  Among machines, the one whose oldest victim is the
-    newest, and among equally new ones the one where less work is lost.  ``permitted`` holds the
-    ids of victims that the rules allow.
+    ``capacities`` are those that the task may use, ``permitted`` the ids of victims that the rules
+    allow.  Among machines, the one whose oldest victim is the newest is taken, and among equally
+    new ones the one where less work is lost.
     """
     best: list[Victim] = []
     best_key: tuple[float, ...] = ()
     for capacity in capacities:
-        cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory_gb
-        chosen: list[Victim] = []
-        offers = [v for v in by_machine.get(capacity.name, ()) if id(v) in permitted]
-        for victim in sorted(offers, key=lambda v: v.started, reverse=True):
-            if _enough(spec, cpus, gpus, memory):
-                break
-            for machine, c, g, m in victim.frees:
-                if machine == capacity.name:
-                    cpus, gpus, memory = cpus + c, gpus + g, memory + m
-            chosen.append(victim)
-        if not chosen or not _enough(spec, cpus, gpus, memory):
+        candidates = [v for v in by_machine.get(capacity.name, ()) if id(v) in permitted]
+        chosen = _newest_that_free_enough(spec, capacity, candidates)
+        if not chosen:
             continue
         oldest = min(victim.started for victim in chosen)
         lost = sum(len(v.frees) for v in chosen if not v.saves)
-        # Starts within ten seconds count as equally new: then the cheaper loss decides.
-        key = (oldest.total_seconds() // 10, -lost, -sum(len(v.frees) for v in chosen))
+        stopped = sum(len(v.frees) for v in chosen)
+        key = (oldest.total_seconds() // START_RESOLUTION_S, -lost, -stopped)
         if not best or key > best_key:
             best, best_key = chosen, key
     return best
 
 
-def _enough(spec: Submission, cpus: float, gpus: float, memory: float) -> bool:
-    return (
-        spec.cpus <= cpus + EPSILON
-        and spec.gpus <= gpus + EPSILON
-        and spec.memory_gb <= memory + EPSILON
-    )
+def _newest_that_free_enough(
+    spec: Submission, capacity: MachineCapacity, candidates: list[Victim]
+) -> list[Victim]:
+    """Return as few of the newest candidates as free enough on this machine; empty if none do."""
+    cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
+    chosen: list[Victim] = []
+    for victim in sorted(candidates, key=lambda v: v.started, reverse=True):
+        if fits_into(spec, cpus, gpus, memory_gb):
+            break
+        for freed in victim.frees:
+            if freed.machine == capacity.name:
+                cpus += freed.cpus
+                gpus += freed.gpus
+                memory_gb += freed.memory_gb
+        chosen.append(victim)
+    return chosen if fits_into(spec, cpus, gpus, memory_gb) else []
--- a/tests/test_components.py
+++ b/tests/test_components.py
@@ -23,7 +23,8 @@
 from micadeal.leadership.term import Authority, PeerContact, Term
 from micadeal.operator.platform import InvalidSettingsError, parse
 from micadeal.operator.script import EXAMPLE, InvalidScriptError, evaluate
-from micadeal.placement.bin_packing import MachineCapacity, ZoneRule, choose, choose_gang
+from micadeal.placement.bin_packing import ZoneRule, choose, choose_gang
+from micadeal.placement.machine_capacity import MachineCapacity
 from micadeal.state.budget import Budget
 from micadeal.wire.users import Priority, Shape, Submission
 from tests.fakes.world import TEAMS, settings
--- a/tests/test_delay.py
+++ b/tests/test_delay.py
@@ -4,7 +4,7 @@
 
 from micadeal.clock import seconds
 from micadeal.jobs.model import Job
-from micadeal.scheduling.scheduling_cycle import WAITS_FOR_IMAGE
+from micadeal.scheduling.pending_reasons import WAITS_FOR_IMAGE
 from micadeal.wire.users import Priority, Shape
 from tests.fakes.random_clusters import Picture
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -13,7 +13,7 @@
 from micadeal.operator.platform import Team
 from micadeal.operator.policy import Policy, TeamPolicy
 from micadeal.scheduling.cluster_state import ClusterState
-from micadeal.scheduling.scheduling_cycle import COMES_FREE
+from micadeal.scheduling.pending_reasons import COMES_FREE
 from micadeal.wire.state import EndRecord
 from micadeal.wire.users import Priority, Shape, Status
 from micadeal.wire.workers import TaskState
--- a/tests/test_faulty_jobs.py
+++ b/tests/test_faulty_jobs.py
@@ -6,8 +6,11 @@
 import pytest
 
 from micadeal.clock import seconds
+from micadeal.fleet.instance_offers import InstanceOffers
 from micadeal.fleet.machines import Attempt, Machine
 from micadeal.jobs.model import Job
+from micadeal.scheduling.machine_inventory import MachineInventory
+from micadeal.scheduling.machine_monitor import MachineMonitor
 from tests.fakes.random_clusters import Picture
 from tests.fakes.world import World
 from tests.test_components import spec
@@ -59,8 +62,9 @@
 
 
 def test_errors_point_to_a_machine_only_as_far_as_its_jobs_run_elsewhere() -> None:
-    scheduler = Picture(machines=4, jobs=0).scheduler
-    cluster = scheduler.cluster
+    cluster = Picture(machines=4, jobs=0).cluster
+    inventory = MachineInventory(cluster, InstanceOffers())
+    monitor = MachineMonitor(cluster, inventory, seconds(0))
     machine, other = list(cluster.machines.values())[:2]
     jobs = [Job(spec(job_id=f"req-{n}"), seconds(0), 1) for n in range(3)]
     for job in jobs:
@@ -68,13 +72,13 @@
         job.errors[machine.name] += 1
         machine.errors.add(job.id)
     now = seconds(500)
-    assert scheduler._faulty(machine, now)
+    assert monitor.is_faulty(machine, now)
     jobs[0].errors[other.name] += 1
-    assert not scheduler._faulty(machine, now)
+    assert not monitor.is_faulty(machine, now)
     jobs[1].add(_running(jobs[1], other))
-    assert scheduler._faulty(machine, now)
+    assert monitor.is_faulty(machine, now)
     jobs[1].errors[other.name] += 1
-    assert not scheduler._faulty(machine, now)
+    assert not monitor.is_faulty(machine, now)
 
 
 def _running(job: Job, machine: Machine) -> Attempt:
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -3,13 +3,15 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from typing import Any
 
 import curio
 import pytest
 
 from micadeal.clock import seconds
-from micadeal.scheduling.reservations import GangReservations
+from micadeal.scheduling.cycle_data import TeamResource
+from micadeal.scheduling.reservations import GangReservations, ReservationInputs
 from micadeal.wire.users import Priority, Shape
 from tests.fakes.random_clusters import Picture
 from tests.fakes.world import World
@@ -174,12 +176,17 @@
         shape=Shape.GANG, priority=Priority.STANDARD, tasks=2, gpus=2.0, cpus=14.0, one_zone=True,
         team=picture.teams[0], spot_allowed=True, spread=False, zone=None, machine_types=None,
     )  # fmt: skip
-    gathering, key = GangReservations(), (gang.spec.team, gang.resource)
-    policy, instance_offers = picture.scheduler.policy, picture.scheduler.instance_offers
     now += seconds(60)
     for machine in cluster.machines.values():
         machine.heard = now
-    gathering.look(cluster, instance_offers, policy, [], [], True, now)
-    first = gathering.sets[gang.id]
-    gathering.look(cluster, instance_offers, policy, [key], [], True, now + seconds(1.5))
-    assert gathering.sets[gang.id] == first
+    nobody: frozenset[TeamResource] = frozenset()
+    inputs = ReservationInputs(
+        cluster, picture.scheduler.instance_offers, picture.scheduler.policy,
+        satisfied=nobody, below_guarantee=nobody, spot_scarce=True, now=now,
+    )  # fmt: skip
+    reservations = GangReservations()
+    reservations.refresh(inputs)
+    first = reservations.by_job[gang.id]
+    satisfied = frozenset({(gang.spec.team, gang.resource)})
+    reservations.refresh(replace(inputs, satisfied=satisfied, now=now + seconds(1.5)))
+    assert reservations.by_job[gang.id] == first
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,8 +16,10 @@
 from micadeal.fleet.instance_offers import InstanceOffer
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Team
-from micadeal.placement.bin_packing import MachineCapacity, ZoneRule, choose
-from micadeal.scheduling import explanations, scheduling_cycle
+from micadeal.placement.bin_packing import ZoneRule, choose
+from micadeal.placement.machine_capacity import MachineCapacity
+from micadeal.scheduling import capacity_pool, explanations, gang_placement
+from micadeal.scheduling.capacity_pool import CapacityPool
 from micadeal.scheduling.plan import Plan
 from micadeal.scheduling.scheduling_cycle import SchedulingCycle
 from micadeal.state.limits import Limits
@@ -32,24 +34,14 @@
 # -- the plain way -----------------------------------------------------------------------------
 
 
-class PlainPicker:
-    def __init__(self, plain: PlainPass, job: Job) -> None:
-        self.plain, self.job = plain, job
+class PlainPool(CapacityPool):
+    """Ranks every machine for every task, in the order of the design."""
 
-    def best(self) -> MachineCapacity | None:
-        capacities = self.plain._open_rooms(self.job)
-        rule = self.plain._rule(self.job)
-        return choose(self.job.spec, capacities, rule, self.plain.spot_scarce)
+    def best(self, job: Job) -> MachineCapacity | None:
+        return choose(job.spec, self.candidates(job), self.zone_rule(job), self.spot_scarce)
 
-
-class PlainPass(SchedulingCycle):
-    """Ranks every room for every task, in the order of the source."""
-
-    def _picker(self, job: Job) -> PlainPicker:  # type: ignore[override]
-        return PlainPicker(self, job)
-
-    def _open_rooms(self, job: Job) -> list[MachineCapacity]:
-        if len(job.errors) > scheduling_cycle.MOST_TRIED:
+    def candidates(self, job: Job) -> list[MachineCapacity]:
+        if len(job.errors) > capacity_pool.MAX_AVOIDED_MACHINES:
             return self.capacities
         return [
             capacity for capacity in self.capacities if capacity.name not in job.errors
@@ -72,7 +64,7 @@
             rule.zones[capacity.zone] += 1
             chosen.append(capacity)
         if len(chosen) == spec.tasks:
-            stages = [2 if r.wish else 0 if r.up else 1 for r in chosen]
+            stages = [2 if r.planned else 0 if r.up else 1 for r in chosen]
             missing = sum(1 for r in chosen if spec.image not in r.images)
             cost = (float(max(stages)), float(sum(1 for s in stages if s)), float(missing))
             found.append((cost, chosen))
@@ -98,7 +90,7 @@
         decided = picture.scheduler.plan
         result.append([(p.job_id, p.index, p.attempt) for p in decided.placed])
         result.append(sorted((str(offer), n) for offer, n in decided.rentals.items()))
-        result.append(sorted(decided.held))
+        result.append(sorted(decided.reserved))
         result.append({job.id: dict(job.reasons) for job in picture.cluster.live_jobs()})
         record_writer = RecordWriter(picture.cluster, LIMITS)
         while batches := record_writer.next(picture.now):
@@ -131,8 +123,8 @@
 
     quick = outcome(build())
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("micadeal.scheduling.scheduler.SchedulingCycle", PlainPass)
-        patch.setattr(scheduling_cycle, "choose_gang", plain_gang)
+        patch.setattr("micadeal.scheduling.scheduling_cycle.CapacityPool", PlainPool)
+        patch.setattr(gang_placement, "choose_gang", plain_gang)
         plain = outcome(build())
     assert quick == plain
 
@@ -156,7 +148,7 @@
     class Counting(SchedulingCycle):
         def run(self) -> Plan:
             result = super().run()
-            looked.append(self.looked_at)
+            looked.append(self.pool.examined)
             return result
 
     with pytest.MonkeyPatch.context() as patch:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -10,8 +10,8 @@
 
 from micadeal.sharing.order import team_key
 from micadeal.sharing.shares import Claim, fair_shares
-from micadeal.sharing.starvation import StarvationTimer
-from micadeal.sharing.victims import Victim, may_kill
+from micadeal.sharing.starvation import StarvationTimer, TeamUsage
+from micadeal.sharing.victims import FreedAmounts, Victim, may_kill
 
 ANY = 1000.0
 
@@ -107,8 +107,9 @@
     timer = StarvationTimer(second(0), second(0))
 
     def lacks(at: float, used: float, demand: float) -> tuple[float, bool]:
-        timer.update(second(at), used, demand, minimum=4, share=10)
-        return timer.lacks(second(at), used, demand, 4, 10, second(15), second(30))
+        team = TeamUsage(used, demand, minimum=4, share=10)
+        timer.update(second(at), team)
+        return timer.lacks(second(at), team, second(15), second(30))
 
     assert lacks(0, 4, 20) == (0, False)
     assert lacks(10, 1, 20) == (0, False)
@@ -133,5 +134,5 @@
 def test_what_may_be_killed(
     team: str, rank: int, surplus: float, for_guarantee: bool, allowed: bool
 ) -> None:
-    victim = Victim("req-1", team, rank, second(5), (("m", 1, 1, 1),), 1.0)
+    victim = Victim("req-1", team, rank, second(5), (FreedAmounts("m", 1, 1, 1),), 1.0)
     assert may_kill(victim, "needy", 2, for_guarantee, {team: surplus}) is allowed
