--- a/micadeal/scheduling/machine_monitor.py
+++ b/micadeal/scheduling/machine_monitor.py
@@ -62,14 +62,17 @@
     def _return_or_drain(self, machine: Machine, plan: Plan, now: timedelta) -> None:
         reason = self._scale_in.return_reason(machine, plan, now)
         if reason is not None:
-            log.info("machine returned: machine=%s zone=%s reason=%s",
-                     machine.name, machine.zone, reason)  # fmt: skip
+            log.info(
+                "machine returned: machine=%s zone=%s reason=%s", machine.name, machine.zone, reason
+            )
             self._inventory.release(machine, reason, now)
             self._cluster.changed = True
-        elif machine.draining is None and self.is_faulty(machine, now):
-            log.info("machine drained: machine=%s zone=%s reason=%s",
-                     machine.name, machine.zone, ReturnReason.FAULTY)  # fmt: skip
-            machine.draining = ReturnReason.FAULTY
+        elif machine.errors and machine.draining is None and self.is_faulty(machine, now):
+            reason = ReturnReason.FAULTY
+            log.info(
+                "machine drained: machine=%s zone=%s reason=%s", machine.name, machine.zone, reason
+            )
+            machine.draining = reason
             self._cluster.changed = True
 
     def _request_contact(self, machine: Machine, now: timedelta) -> None:
@@ -79,9 +82,9 @@
         # lost the state service alone could go on answering the worker, and its tasks would be out
         # of our reach.
         lacks_token = bool(machine.attempts) and not machine.has_our_token
-        stopping = any(a.stop is not None for a in machine.attempts.values())
-        due = now >= self._direct_due.get(machine.name, ZERO)
-        if (lacks_token or stopping) and due:
+        if (lacks_token or _has_stopping_task(machine)) and now >= self._direct_due.get(
+            machine.name, ZERO
+        ):
             self._cluster.direct.add(machine.name)
         reachability = machine.reachability
         if reachability.missed and reachability.receives_nothing and reachability.may_ask(now):
@@ -105,3 +108,11 @@
             proven = bool(job.finished) or job.runs_apart(machine.name, now - PROVEN_AFTER)
             points += PROVEN_JOB_POINTS if proven else UNPROVEN_JOB_POINTS
         return points >= FAULTY_POINTS
+
+
+def _has_stopping_task(machine: Machine) -> bool:
+    # A loop, since a generator costs more than everything else that a tick does for most machines.
+    for attempt in machine.attempts.values():  # noqa: SIM110 - see above
+        if attempt.stop is not None:
+            return True
+    return False
