--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -1,27 +1,52 @@
-"""A network of requests: delays, cuts that stay silent, packets held and delivered late."""
+"""A network in memory: delays, lost, held, copied and late requests, lost answers."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Callable, Iterable
 from datetime import timedelta
+from enum import StrEnum
+from typing import NamedTuple
 
 import curio
 
 from micadeal.clock import monotonic
-from micadeal.http.message import Answer, HttpError, Request, error
+from micadeal.http import server
+from micadeal.http.message import Answer, ClientResponse, HttpError, Request, error
+from micadeal.wire.address import SocketAddress
 
-Handler = Callable[[Request], Awaitable[Answer]]
+Handler = server.Handler
 
-SILENT, HOLD, REFUSE = "silent", "hold", "refuse"
+#: How long what a stopped process waits for never comes.
+FOR_EVER_S = 3600.0
+
+
+class CutMode(StrEnum):
+    """What a cut between two hosts does to requests."""
+
+    #: They are lost.
+    SILENT = "silent"
+    #: They are delivered when the cut ends; the sender has given up by then.
+    HOLD = "hold"
+    #: They are refused with 503 while watches wait, as the state service may refuse one controller.
+    REFUSE = "refuse"
+
+
+SILENT, HOLD, REFUSE = CutMode.SILENT, CutMode.HOLD, CutMode.REFUSE
+
+
+class _Sent(NamedTuple):
+    """A request on its way: the sending host, the address and the request."""
+
+    source: str
+    address: str
+    request: Request
 
 
 class FakeNetwork:
-    """Routes requests between hosts by name.
+    """Routes requests between hosts by name; an address belongs to the host that serves it.
 
-    An address belongs to the host that serves it.  A cut between two hosts swallows requests, or
-    holds them: then they are delivered when the cut ends, and nobody hears the answer.  Or the
-    requests are refused with 503 while watches wait, as the state service may refuse one node.
+    The callables get the sending host, the address and the request.
     """
 
     def __init__(self, seed: int) -> None:
@@ -29,106 +54,132 @@
         self._servers: dict[str, tuple[str, Handler]] = {}
         self._cuts: dict[frozenset[str], str] = {}
         self._ended: dict[frozenset[str], curio.Event] = {}
-        #: Hosts that are heard, and hear nothing: what is sent to them is lost.
+        #: Hosts to which nothing gets through, while what they send does.
         self.receives_nothing: set[str] = set()
-        #: Hosts that hear and answer, and are not heard: what they send by themselves is lost.
+        #: Hosts from which no request gets through, while they receive and answer.
         self.mute: set[str] = set()
         #: Whether a request is carried out at once and only its answer is lost.
         self.answer_lost: Callable[[str, str, Request], bool] | None = None
-        #: Copies of requests to come: how much later, and at which address.
+        #: Copies of a request to deliver: how many seconds later, and at which address.
         self.copies: Callable[[str, str, Request], Iterable[tuple[float, str]]] | None = None
-        #: How much later than the ordinary an answer comes, in seconds.
+        #: How many seconds later than usual an answer comes.
         self.slow: Callable[[str, str, Request], float] | None = None
-        #: How much later a request is carried out, in seconds, that gets no answer; None: it does.
+        #: How many seconds later a request is carried out, without an answer; None: as usual.
         self.late: Callable[[str, str, Request], float | None] | None = None
 
     def serve(self, host: str, address: str, handler: Handler) -> None:
+        """Let ``host`` serve ``address`` from now on."""
         self._servers[address] = (host, handler)
 
     def close(self, host: str) -> None:
+        """Let connections to all addresses of ``host`` be refused."""
         for address in [a for a, (owner, _) in self._servers.items() if owner == host]:
             del self._servers[address]
 
     def cut(self, one: str, other: str, mode: str = SILENT) -> None:
-        self._cuts[frozenset((one, other))] = mode
-        self._ended[frozenset((one, other))] = curio.Event()
+        """Begin a cut between two hosts, in both directions."""
+        pair = frozenset((one, other))
+        self._cuts[pair] = mode
+        self._ended[pair] = curio.Event()
 
     async def heal(self, one: str, other: str) -> None:
+        """End the cut between two hosts, if there is one."""
         pair = frozenset((one, other))
         if self._cuts.pop(pair, None) is not None:
             await self._ended[pair].set()
 
-    def seen_from(self, host: str, owner: HostPower | None = None) -> HostNetwork:
-        return HostNetwork(self, host, owner or HostPower())
+    async def heal_all(self) -> None:
+        """End all faults."""
+        self.receives_nothing.clear()
+        self.mute.clear()
+        self.copies = self.slow = self.late = self.answer_lost = None
+        for pair in list(self._cuts):
+            await self.heal(*pair)
 
     async def request(
         self, source: str, address: str, request: Request, timeout: timedelta
-    ) -> tuple[int, bytes]:
+    ) -> ClientResponse:
+        """Deliver a request of ``source`` and return the answer, under the present faults."""
         deadline = monotonic() + timeout
+        sent = _Sent(source, address, request)
         await self._travel()
-        found = self._servers.get(address)
-        if found is None:
+        if address not in self._servers:
             raise HttpError(f"{address}: refused")
-        host, handler = found
+        host, handler = self._servers[address]
         pair = frozenset((source, host))
         mode = self._cuts.get(pair)
         if mode is None and self.copies is not None:
-            for delay, place in self.copies(source, address, request):
-                await curio.spawn(self._deliver_copy, delay, place, request, daemon=True)
+            for delay, place in self.copies(*sent):
+                await curio.spawn(self._deliver_after, delay, place, request, daemon=True)
         if mode == REFUSE and request.path != "/changes":
             await self._travel()
-            refused = error(503, "trouble")
-            return refused.status, refused.body
+            refusal = error(503, "trouble")
+            return ClientResponse(refusal.status, refusal.body)
         if host in self.receives_nothing or source in self.mute:
             mode = SILENT
-        held = self.late(source, address, request) if self.late and mode is None else None
-        if held is not None:
-            await curio.spawn(self._deliver_copy, held, address, request, daemon=True)
-            mode = SILENT
-        if mode is not None:
-            if mode == HOLD:
-                await curio.spawn(self._deliver_late, pair, address, request, daemon=True)
-            await curio.sleep(max((deadline - monotonic()).total_seconds(), 0))
+        if await self._stays_unanswered(mode, pair, sent):
+            await _sleep_until(deadline)
             raise HttpError(f"{address}: no answer in time")
+        reply = await self._answer_in_time(handler, sent, deadline)
+        if self._answer_is_lost(pair, sent):
+            await _sleep_until(deadline)
+            raise HttpError(f"{address}: the answer was lost")
+        await self._travel()
+        return ClientResponse(reply.status, reply.body)
+
+    async def _stays_unanswered(self, mode: str | None, pair: frozenset[str], sent: _Sent) -> bool:
+        """Return whether the sender waits in vain; the request may still be delivered later."""
+        if mode is None and self.late is not None:
+            delay = self.late(*sent)
+            if delay is not None:
+                await curio.spawn(
+                    self._deliver_after, delay, sent.address, sent.request, daemon=True
+                )
+                return True
+        if mode == HOLD:
+            await curio.spawn(self._deliver_when_healed, pair, sent, daemon=True)
+        return mode is not None
+
+    async def _answer_in_time(self, handler: Handler, sent: _Sent, deadline: timedelta) -> Answer:
         try:
             async with curio.timeout_after(max((deadline - monotonic()).total_seconds(), 0.001)):
-                reply = await handler(request)
+                reply = await handler(sent.request)
                 if self.slow is not None:
-                    await curio.sleep(self.slow(source, address, request))
+                    await curio.sleep(self.slow(*sent))
         except curio.TaskTimeout:
-            raise HttpError(f"{address}: no answer in time") from None
-        gone = self.answer_lost is not None and self.answer_lost(source, address, request)
-        if gone or self._cuts.get(pair, REFUSE) != REFUSE or source in self.receives_nothing:
-            await curio.sleep(max((deadline - monotonic()).total_seconds(), 0))
-            raise HttpError(f"{address}: the answer was lost")
-        await self._travel()
-        return reply.status, reply.body
+            raise HttpError(f"{sent.address}: no answer in time") from None
+        return reply
 
-    async def _deliver_copy(self, delay: float, address: str, request: Request) -> None:
-        await curio.sleep(delay)
-        found = self._servers.get(address)
-        if found is not None:
-            await found[1](request)
+    def _answer_is_lost(self, pair: frozenset[str], sent: _Sent) -> bool:
+        if self.answer_lost is not None and self.answer_lost(*sent):
+            return True
+        # A cut may have begun while the request was handled.
+        return self._cuts.get(pair, REFUSE) != REFUSE or sent.source in self.receives_nothing
 
-    async def heal_all(self) -> None:
-        self.receives_nothing.clear()
-        self.mute.clear()
-        self.copies = self.slow = self.late = self.answer_lost = None
-        for pair in list(self._cuts):
-            await self.heal(*pair)
+    async def _deliver_after(self, delay: float, address: str, request: Request) -> None:
+        await curio.sleep(delay)
+        await self._deliver(address, request)
 
-    async def _deliver_late(self, pair: frozenset[str], address: str, request: Request) -> None:
+    async def _deliver_when_healed(self, pair: frozenset[str], sent: _Sent) -> None:
         await self._ended[pair].wait()
-        found = self._servers.get(address)
-        if found is not None:
-            await found[1](request)
+        await self._deliver(sent.address, sent.request)
+
+    async def _deliver(self, address: str, request: Request) -> None:
+        """Let a request be handled of which nobody hears the answer."""
+        if address in self._servers:
+            _, handler = self._servers[address]
+            await handler(request)
 
     async def _travel(self) -> None:
         await curio.sleep(self._random.uniform(0.0005, 0.003))
 
 
+async def _sleep_until(deadline: timedelta) -> None:
+    await curio.sleep(max((deadline - monotonic()).total_seconds(), 0))
+
+
 class HostPower:
-    """Whether a host's process still runs: what is left of a dead one reaches nobody."""
+    """Whether a host's process still runs: what is left of a stopped one reaches nobody."""
 
     def __init__(self) -> None:
         self.on = True
@@ -145,11 +196,13 @@
     def client(self, address: str, keep: int) -> FakeClient:
         return FakeClient(self._network, self._host, self._authority, address)
 
-    def server(self, address: tuple[str, int], handler: Handler, most: int) -> FakeServer:
+    def server(self, address: SocketAddress, handler: Handler, most: int) -> FakeServer:
         return FakeServer(self._network, self._host, f"{address[0]}:{address[1]}", handler)
 
 
 class FakeClient:
+    """Sends requests of one process to one address."""
+
     def __init__(self, network: FakeNetwork, host: str, authority: HostPower, address: str) -> None:
         self._network = network
         self._host = host
@@ -165,25 +218,31 @@
         timeout: timedelta,
         repeatable: bool = True,
     ) -> tuple[int, bytes]:
-        if not self._authority.on:
-            await curio.sleep(3600)
+        await self._stop_if_off()
         path, _, query = target.partition("?")
         request = Request(method, path, query, body)
-        result = await self._network.request(self._host, self._address, request, timeout)
+        response = await self._network.request(self._host, self._address, request, timeout)
+        await self._stop_if_off()
+        return response
+
+    async def _stop_if_off(self) -> None:
         if not self._authority.on:
-            await curio.sleep(3600)
-        return result
+            await curio.sleep(FOR_EVER_S)
 
     async def close(self) -> None:
         pass
 
 
 class FakeServer:
+    """Serves one address of a host."""
+
     def __init__(self, network: FakeNetwork, host: str, address: str, handler: Handler) -> None:
-        self._network, self._host = network, host
-        self._address, self._handler = address, handler
+        self._network = network
+        self._host = host
+        self._address = address
+        self._handler = handler
 
     async def run(self) -> None:
         self._network.serve(self._host, self._address, self._handler)
         while True:
-            await curio.sleep(3600)
+            await curio.sleep(FOR_EVER_S)
--- a/tests/fakes/records_of_previous_versions.py
+++ b/tests/fakes/records_of_previous_versions.py
@@ -1,9 +1,12 @@
-"""Records and messages between controllers as the version before pipelines wrote them.
+"""Records and messages between controllers as the version before job dependencies wrote them.
 
-Written down once by running that version; never to be made anew.
+Recorded once by running that version; never to be regenerated.
 """
 
-WRITTEN = {
+from __future__ import annotations
+
+#: MessagePack as hexadecimal text, by the name of the record or message.
+WRITTEN: dict[str, str] = {
     "leader": ("82aa636f6e74726f6c6c6572a6646f636b2d30a56c6561736507"),
     "job": (
         "82aa7375626d697373696f6ede0014a76e616d655f6964aa7265712d303030343132a46c616e65a5"
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -1,9 +1,9 @@
-"""The state service, from the protocol: transactions, leases, watches, limits, outages."""
+"""The state service in memory: transactions, leases, watches, limits, outages."""
 
 from __future__ import annotations
 
 import json
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qsl, unquote
 
 import curio
@@ -15,17 +15,35 @@
 ADDRESS = "10.2.0.1:2379"
 HOST = "state"
 
+LEASE_CHECK_INTERVAL_S = 0.05
+#: A lease ends this much late.
+LEASE_LATENESS_S = 0.05
+#: A watch looks at least this often whether an outage has ended.
+WATCH_CHECK_INTERVAL_S = 0.5
+CONDITIONS_PER_OPERATION = 4
+
+
+class _Change(NamedTuple):
+    revision: int
+    key: str
+    data: Any
+    deleted: bool
+
 
 class FakeState:
+    """One state service; the tests read and set its public attributes."""
+
     def __init__(self, txn_ops: int = 16, value_bytes: int = 8192) -> None:
+        #: Value, version and lease of each key.
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.revision = 0
         self.outage = False
-        self._events: list[tuple[int, str, Any, bool]] = []
+        self._history: list[_Change] = []
+        #: Duration and end of each lease.
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 0
         self._changed = curio.Event()
-        #: Present limits; a story may lower them.
+        #: Present limits, which a test may lower.
         self.txn_ops = txn_ops
         self.value_bytes = value_bytes
         #: Requests, watches aside.
@@ -38,43 +56,45 @@
         #: Requests refused since there were more, and all changes.
         self.too_many = 0
         self.changes = 0
+        #: Changes left, and when they were counted.
         self._bucket = (0.0, 0.0)
-        #: How long a transaction that records a cancellation is under way.
+        #: How many seconds a transaction that records a cancellation takes.
         self.cancel_delay = 0.0
 
     async def run(self) -> None:
-        """Ends leases; during an outage time stands still for them."""
+        """End leases; during an outage time stands still for them."""
         while True:
-            await curio.sleep(0.05)
+            await curio.sleep(LEASE_CHECK_INTERVAL_S)
             now = monotonic().total_seconds()
             for lease, (ttl, ends) in list(self._leases.items()):
                 if self.outage:
                     self._leases[lease] = (ttl, now + ttl)
-                elif now > ends + 0.05:
+                elif now > ends + LEASE_LATENESS_S:
                     await self._end_lease(lease)
 
     async def _end_lease(self, lease: int) -> None:
         self._leases.pop(lease, None)
-        keys = [key for key, (_, _, owner) in self.keys.items() if owner == lease]
-        if keys:
+        attached = [key for key, (_, _, owner) in self.keys.items() if owner == lease]
+        if attached:
             self.revision += 1
-            for key in keys:
+            for key in attached:
                 del self.keys[key]
-                self._events.append((self.revision, key, None, True))
-            await self._wake()
+                self._history.append(_Change(self.revision, key, None, deleted=True))
+            await self._wake_watches()
 
-    async def _wake(self) -> None:
+    async def _wake_watches(self) -> None:
         changed, self._changed = self._changed, curio.Event()
         await changed.set()
 
     async def handle(self, request: Request) -> Answer:
+        """Answer a request."""
         if request.path == "/changes":
             return await self._watch(request)
         self.requests += 1
         if self.outage:
             return error(503, "trouble")
         if request.path == "/txn":
-            return await self._txn(decode(dict, request.body))
+            return await self._transact(decode(dict, request.body))
         if request.path.startswith("/keys/"):
             return self._get(unquote(request.path.removeprefix("/keys/")))
         if request.path == "/keys":
@@ -84,60 +104,63 @@
     def _get(self, key: str) -> Answer:
         if key not in self.keys:
             return answer(404, {"ledger": self.revision})
-        data, stamp, lease = self.keys[key]
-        return answer(200, {"k": key, "data": data, "stamp": stamp, "permit": lease})
+        data, version, lease = self.keys[key]
+        return answer(200, {"k": key, "data": data, "stamp": version, "permit": lease})
 
     def _range(self, request: Request) -> Answer:
         parameters = dict(parse_qsl(request.query))
         prefix, after = parameters["starts"], parameters.get("after", "")
         most = int(parameters.get("most", "200"))
-        keys = [k for k in sorted(self.keys) if k.startswith(prefix) and k > after]
-        items = [{"k": k, "data": self.keys[k][0], "stamp": self.keys[k][1]} for k in keys[:most]]
+        keys = [key for key in sorted(self.keys) if key.startswith(prefix) and key > after]
+        items = [
+            {"k": key, "data": self.keys[key][0], "stamp": self.keys[key][1]} for key in keys[:most]
+        ]
         return answer(200, {"items": items, "has_next": len(keys) > most, "ledger": self.revision})
 
-    async def _txn(self, txn: dict[str, Any]) -> Answer:
-        changes = txn["then"]
-        if self.cancel_delay and any(
-            c.get("put", "").startswith("end/") and c["data"]["status"] == "cancelled"
-            for c in changes
-        ):
+    async def _transact(self, transaction: dict[str, Any]) -> Answer:
+        conditions, changes = transaction["if"], transaction["then"]
+        if self.cancel_delay and any(map(_records_cancellation, changes)):
             await curio.sleep(self.cancel_delay)
-        if self._exceeds(len(changes)):
+        if self._exceeds_rate(len(changes)):
             return error(429, "too many changes")
-        values = [c["data"] for c in changes if "put" in c]
-        if (
-            len(changes) > self.txn_ops
-            or len(txn["if"]) > 4 * self.txn_ops
-            or any(len(json.dumps(value)) > self.value_bytes for value in values)
-        ):
+        if self._exceeds_size(conditions, changes):
             self.refused += 1
             return error(400, "too large")
         self.largest_txn = max(self.largest_txn, len(changes))
-        failed = [
-            c["k"]
-            for c in txn["if"]
-            if (self.keys[c["k"]][1] if c["k"] in self.keys else 0) != c["stamp"]
-        ]
+        failed = [c["k"] for c in conditions if self._version(c["k"]) != c["stamp"]]
         if failed:
             return answer(409, {"failed": failed, "ledger": self.revision})
-        for change in changes:
-            lease = change.get("permit")
-            if lease is not None and lease not in self._leases:
-                return error(400, "no such lease")
+        leases = {change.get("permit") for change in changes} - {None}
+        if not leases <= self._leases.keys():
+            return error(400, "no such lease")
         if changes:
-            self.revision += 1
-            for change in changes:
-                if "put" in change:
-                    entry = (change["data"], self.revision, change.get("permit"))
-                    self.keys[change["put"]] = entry
-                    self._events.append((self.revision, change["put"], change["data"], False))
-                elif self.keys.pop(change["drop"], None) is not None:
-                    self._events.append((self.revision, change["drop"], None, True))
-            await self._wake()
+            await self._apply(changes)
         return answer(200, {"ledger": self.revision})
 
-    def _exceeds(self, changes: int) -> bool:
-        """Whether so many changes are more than the rate allows now."""
+    def _version(self, key: str) -> int:
+        return self.keys[key][1] if key in self.keys else 0
+
+    def _exceeds_size(self, conditions: list[Any], changes: list[dict[str, Any]]) -> bool:
+        values = [change["data"] for change in changes if "put" in change]
+        return (
+            len(changes) > self.txn_ops
+            or len(conditions) > CONDITIONS_PER_OPERATION * self.txn_ops
+            or any(len(json.dumps(value)) > self.value_bytes for value in values)
+        )
+
+    async def _apply(self, changes: list[dict[str, Any]]) -> None:
+        self.revision += 1
+        for change in changes:
+            if "put" in change:
+                key, data = change["put"], change["data"]
+                self.keys[key] = (data, self.revision, change.get("permit"))
+                self._history.append(_Change(self.revision, key, data, deleted=False))
+            elif self.keys.pop(change["drop"], None) is not None:
+                self._history.append(_Change(self.revision, change["drop"], None, deleted=True))
+        await self._wake_watches()
+
+    def _exceeds_rate(self, changes: int) -> bool:
+        """Count changes; return whether so many are more than the rate allows now."""
         self.changes += changes
         if self.changes_per_s is None or not changes:
             return False
@@ -173,15 +196,26 @@
         until = monotonic().total_seconds() + int(parameters.get("hold_ms", "0")) / 1000
         while True:
             if not self.outage:
-                news = [
-                    {"drop": k, "stamp": r} if gone else {"put": k, "data": data, "stamp": r}
-                    for r, k, data, gone in self._events
-                    if r > after and k.startswith(prefix)
-                ]
+                events = self._events_after(after, prefix)
                 rest = until - monotonic().total_seconds()
-                if news or rest <= 0:
-                    return answer(200, {"ledger": self.revision, "news": news})
+                if events or rest <= 0:
+                    return answer(200, {"ledger": self.revision, "news": events})
             else:
+                # Open watches stay open during an outage.
                 rest = 1.0
-            async with curio.ignore_after(min(max(rest, 0.001), 0.5)):
+            async with curio.ignore_after(min(max(rest, 0.001), WATCH_CHECK_INTERVAL_S)):
                 await self._changed.wait()
+
+    def _events_after(self, revision: int, prefix: str) -> list[dict[str, Any]]:
+        return [
+            {"drop": change.key, "stamp": change.revision}
+            if change.deleted
+            else {"put": change.key, "data": change.data, "stamp": change.revision}
+            for change in self._history
+            if change.revision > revision and change.key.startswith(prefix)
+        ]
+
+
+def _records_cancellation(change: dict[str, Any]) -> bool:
+    key: str = change.get("put", "")
+    return key.startswith("end/") and change["data"]["status"] == "cancelled"
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -16,7 +16,7 @@
 from micadeal.wire.state import PlacedMachine, PlacedRecord, PlacedTask
 from micadeal.wire.users import Shape
 from micadeal.wire.workers import CommandKind, Heartbeat, TaskStatus
-from tests.test_components import spec
+from tests.fakes.submissions import spec
 
 WORKERS = Workers(seconds(2), seconds(14), seconds(50), seconds(6), seconds(34))
 TOKEN = 7
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -18,8 +18,8 @@
 from micadeal.wire.users import Priority, Shape, Status
 from micadeal.wire.workers import TaskState
 from tests.fakes.random_clusters import WORKERS, Picture
+from tests.fakes.submissions import spec
 from tests.fakes.world import COMING, World
-from tests.test_components import spec
 
 SMALL: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
 
--- a/tests/test_faulty_jobs.py
+++ b/tests/test_faulty_jobs.py
@@ -12,8 +12,8 @@
 from micadeal.scheduling.machine_inventory import MachineInventory
 from micadeal.scheduling.machine_monitor import MachineMonitor
 from tests.fakes.random_clusters import Picture
+from tests.fakes.submissions import spec
 from tests.fakes.world import World
-from tests.test_components import spec
 
 
 def test_jobs_with_a_mistake_cost_no_machine_and_few_tries(monkeypatch: pytest.MonkeyPatch) -> None:
--- /dev/null
+++ b/tests/test_finished_tasks.py
@@ -0,0 +1,21 @@
+"""Finished tasks of a job as stored records hold them."""
+
+from __future__ import annotations
+
+from micadeal.clock import ZERO
+from micadeal.jobs.model import CHUNK, Job, to_bits
+from tests.fakes.submissions import spec
+
+
+def test_finished_tasks_survive_being_stored_in_chunks() -> None:
+    largest = spec(tasks=100_000)
+    job = Job(largest, ZERO, 1)
+    finished = {0, 7, 8, CHUNK - 1, CHUNK, 99_999}
+    for index in finished:
+        job.finish(index)
+    loaded = Job(largest, ZERO, 1)
+    for chunk in {index // CHUNK for index in finished}:
+        text = to_bits(job.with_timeout(chunk * CHUNK, CHUNK), chunk * CHUNK)
+        assert len(text) <= 4000
+        loaded.load_bits(chunk * CHUNK, text)
+    assert loaded.finished == finished and loaded.next_waiting() == 1
--- a/tests/test_lost_responses.py
+++ b/tests/test_lost_responses.py
@@ -1,6 +1,6 @@
-"""Only the answer of a request to the state service is lost; what it wrote is there at once.
+"""The state service carries a request out at once, and only its answer is lost.
 
-The writer does not know that, and others read it (docs/fault-interactions.md).
+The writer does not know that, and others read what it wrote (docs/fault-interactions.md).
 """
 
 from __future__ import annotations
@@ -17,32 +17,38 @@
 from tests.fakes import state as state_fake
 from tests.fakes.world import CANCEL_S, COMING, SETTLED, World, leader_of
 
+#: Prefixes of keys, and ``permit`` for requests on leases.
+KINDS = [
+    "job/", "part/", "end/", "placed/", "finished/", "images/", "leaving/", "seat/member/",
+    "seat/held", "seat/level", "leader", "permit",
+]  # fmt: skip
+
 
 def writes(request: Request, kind: str) -> bool:
-    """Whether a request changes a key of a kind, or for ``permit`` a lease."""
+    """Return whether a request changes a key of a kind, or for ``permit`` a lease."""
     if kind == "permit":
         return request.path.startswith("/leases") and request.method != "GET"
     if request.path != "/txn":
         return False
     changes = decode(dict, request.body)["then"]
-    return any(c.get("put", c.get("drop", "")).startswith(kind) for c in changes)
+    return any(change.get("put", change.get("drop", "")).startswith(kind) for change in changes)
 
 
-def lose_half(
-    world: World, kind: str, then: Callable[[str], None] = lambda writer: None
+def lose_every_other_answer(
+    world: World, kind: str, on_loss: Callable[[str], None] = lambda writer: None
 ) -> list[str]:
-    """Of the answers to what writes a key of the kind, every other one; who wrote them."""
+    """Lose every other answer to what writes keys of a kind; returns their writers, as it goes."""
     lost: list[str] = []
-    turn = 0
+    writes_seen = 0
 
     def answer_lost(source: str, address: str, request: Request) -> bool:
-        nonlocal turn
+        nonlocal writes_seen
         if address != state_fake.ADDRESS or not writes(request, kind):
             return False
-        turn += 1
-        if turn % 2:
+        writes_seen += 1
+        if writes_seen % 2:
             lost.append(source)
-            then(source)
+            on_loss(source)
             return True
         return False
 
@@ -50,142 +56,160 @@
     return lost
 
 
-KINDS = [
-    "job/", "part/", "end/", "placed/", "finished/", "images/", "leaving/", "seat/member/",
-    "seat/held", "seat/level", "leader", "permit",
-]  # fmt: skip
+async def run_job_stored_in_parts(world: World, kind: str, run_s: float) -> str:
+    """Submit a short job; for ``part/`` one whose long list is stored in parts."""
+    # Names that hardly compress.
+    names = [sha256(str(number).encode()).hexdigest() for number in range(90)]
+    fields: dict[str, Any] = {"rigs": ["box", *names]} if kind == "part/" else {}
+    return await world.run_job("array", 3, run_s=run_s, image_gb=0.5, **fields)
+
 
+async def restart(world: World, controller: int, after_s: float) -> None:
+    world.crash(controller)
+    await curio.sleep(after_s)
+    await world.start(controller)
 
-@pytest.mark.parametrize("ends", [False, True])
+
+async def fail_over_while_all_workers_are_cut_off(world: World) -> None:
+    """Let the next leader miss many machines at once, so that it returns them."""
+    for worker in world.fleet.workers.values():
+        for controller in range(3):
+            world.network.cut(worker.name, f"c{controller}")
+    await restart(world, leader_of(world), after_s=25)
+
+
+async def run_jobs_through_failovers(
+    world: World, kind: str, crash_writer: bool, writers: list[int]
+) -> list[str]:
+    """Run four jobs, with failovers; ``writers`` are those whose answers were lost, as it goes."""
+    jobs: list[str] = []
+    for turn in range(4):
+        jobs.append(await run_job_stored_in_parts(world, kind, run_s=3.0 + 5 * turn))
+        leader = leader_of(world) if world.leader() is not None else turn % 3
+        # A failover in each turn, of the leader or of the writer right after a lost answer.
+        controller = writers[0] if crash_writer and writers else leader
+        writers.clear()
+        if crash_writer or turn == 2:
+            await restart(world, controller, after_s=0.7)
+        if kind == "leaving/" and turn == 1:
+            await fail_over_while_all_workers_are_cut_off(world)
+        await curio.sleep(5)
+    return jobs
+
+
+@pytest.mark.parametrize("crash_writer", [False, True])
 @pytest.mark.parametrize("kind", KINDS)
-def test_answers_to_writes_of_each_kind_are_lost(
-    monkeypatch: pytest.MonkeyPatch, kind: str, ends: bool
+def test_jobs_are_served_while_answers_to_writes_of_each_kind_are_lost(
+    monkeypatch: pytest.MonkeyPatch, kind: str, crash_writer: bool
 ) -> None:
-    """``ends``: and the writer, once in a while, before it has read back what became of it.  All
-    that was accepted is served, nothing runs twice, and nobody is told anything that others take
-    back."""
+    """All that was accepted is served, nothing runs twice, and no answer is taken back by others.
+
+    ``crash_writer``: the writer crashes, once in a while, before it has read back what became of
+    its write.
+    """
 
-    async def story(world: World) -> None:
-        to_end: list[int] = []
+    async def scenario(world: World) -> None:
+        writers: list[int] = []
         lost: list[str] = []
+
+        def on_loss(writer: str) -> None:
+            writers.append(int(writer[1:]))
+
         if kind == "seat/level":
-            # It is raised once all have shown that they know it.
-            lost = lose_half(world, kind, lambda writer: to_end.append(int(writer[1:])))
-        stays = await world.run_job("daemon", 3, scatter=True, rank="production")
-        cancelled_by_dependency = await world.run_job("daemon", 4, crew="blue")
-        await world.until(
-            lambda: world.running(stays) == 3 and world.running(cancelled_by_dependency) == 4
-        )
+            # It is raised once all controllers have shown that they know it.
+            lost = lose_every_other_answer(world, kind, on_loss)
+        service = await world.run_job("daemon", 3, scatter=True, rank="production")
+        cancelled = await world.run_job("daemon", 4, crew="blue")
+        await world.until(lambda: world.running(service) == 3 and world.running(cancelled) == 4)
         await curio.sleep(SETTLED)
         if kind != "seat/level":
-            lost = lose_half(world, kind, lambda writer: to_end.append(int(writer[1:])))
+            lost = lose_every_other_answer(world, kind, on_loss)
         if kind == "part/":
             world.state.txn_ops, world.state.value_bytes = 5, 2048
-        jobs: list[str] = []
-        for turn in range(4):
-            # A long list that hardly compresses is written in parts.
-            names = [sha256(str(n).encode()).hexdigest() for n in range(90)]
-            fields: dict[str, Any] = {"rigs": ["box", *names]} if kind == "part/" else {}
-            run_s = 3.0 + 5 * turn
-            jobs.append(await world.run_job("array", 3, run_s=run_s, image_gb=0.5, **fields))
-            leader = leader_of(world) if world.leader() is not None else turn % 3
-            # A change of hands each time, by the hand of the story or right after a lost answer.
-            number = to_end[0] if ends and to_end else leader
-            to_end.clear()
-            if ends or turn == 2:
-                world.crash(number)
-                await curio.sleep(0.7)
-                await world.start(number)
-            if kind == "leaving/" and turn == 1:
-                # Out of the next leader's sight, many at once: they are returned.
-                for worker in world.fleet.workers.values():
-                    for node in range(3):
-                        world.network.cut(worker.name, f"c{node}")
-                leader = leader_of(world)
-                world.crash(leader)
-                await curio.sleep(25)
-                await world.start(leader)
-            await curio.sleep(5)
-        assert await world.until_told(cancelled_by_dependency, limit=40) == "cancelled"
-        await world.until(lambda: not world.held(cancelled_by_dependency), limit=CANCEL_S)
+        jobs = await run_jobs_through_failovers(world, kind, crash_writer, writers)
+        assert await world.until_told(cancelled, limit=40) == "cancelled"
+        await world.until(lambda: not world.held(cancelled), limit=CANCEL_S)
         for job in jobs:
             await world.until_done(job)
         assert lost, "no answer of the kind was lost"
         world.network.answer_lost = None
         await curio.sleep(12)
-        for number in range(3):
-            assert await world.status(cancelled_by_dependency, number) == "cancelled"
-            assert {await world.status(job, number) for job in jobs} == {"done"}
-        await world.until(lambda: world.running(stays) == 3)
+        for controller in range(3):
+            assert await world.status(cancelled, controller) == "cancelled"
+            assert {await world.status(job, controller) for job in jobs} == {"done"}
+        await world.until(lambda: world.running(service) == 3)
 
-    World(coming=COMING if kind == "part/" else "").play(monkeypatch, story)
+    World(coming=COMING if kind == "part/" else "").play(monkeypatch, scenario)
 
 
-def test_who_takes_the_seat_without_an_answer_leads(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_controller_that_takes_the_leader_lock_without_an_answer_leads(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Guards work: else each lost answer costs an election, and leases may run out meanwhile."""
 
-    async def story(world: World) -> None:
-        stays = await world.run_job("daemon", 3, scatter=True, rank="production")
-        await world.until(lambda: world.running(stays) == 3)
+    async def scenario(world: World) -> None:
+        service = await world.run_job("daemon", 3, scatter=True, rank="production")
+        await world.until(lambda: world.running(service) == 3)
         await curio.sleep(SETTLED)
         lost: list[str] = []
 
         def answer_lost(source: str, address: str, request: Request) -> bool:
-            lost.extend([source] * (taken := writes(request, "seat/held")))
+            taken = writes(request, "seat/held")
+            lost.extend([source] * taken)
             return taken
 
         world.network.answer_lost = answer_lost
         for _ in range(3):
-            gone = leader_of(world)
+            crashed = leader_of(world)
             term = world.term()
-            world.crash(gone)
+            world.crash(crashed)
             await world.until(lambda term=term: world.term() not in (0, term), limit=5)  # type: ignore[misc]
             job = await world.run_job("array", 1, run_s=2.0, image_gb=0.1, crew="blue")
             await world.until_done(job, 12)
-            await world.start(gone)
+            await world.start(crashed)
             await curio.sleep(2)
         assert len(lost) >= 3
-        assert {world.starts[f"{stays}/{index}"] for index in range(3)} == {1}
+        assert {world.starts[f"{service}/{index}"] for index in range(3)} == {1}
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_repeat_of_settings_whose_answer_was_lost_is_no_conflict_with_itself(
+def test_repeated_settings_whose_answer_was_lost_do_not_conflict_with_themselves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         await world.until(lambda: world.leader() is not None)
-        lost = lose_half(world, "settings")
+        lost = lose_every_other_answer(world, "settings")
         assert (await world.call(0, "POST", "/settings", {"script": "# mine"}))[0] == 503
         assert (await world.call(1, "GET", "/settings"))[1]["script"] == "# mine"
         assert (await world.call(0, "POST", "/settings", {"script": "# mine"}))[0] == 200
         assert lost == ["c0"]
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_cancellation_whose_answer_is_lost_is_told_by_others_and_taken_back_by_none(
+def test_cancellation_whose_answer_was_lost_is_answered_by_others_and_never_taken_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The writer knows nothing for two seconds, and everybody asks at once."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
         await world.until(lambda: world.running(job) == 2)
         await curio.sleep(2)
-        for number in range(3):
+        for controller in range(3):
             job = await world.run_job("daemon", 1, crew="blue", image_gb=0.1)
             await world.until(lambda job=job: world.running(job) == 1)  # type: ignore[misc]
             await curio.sleep(2)
-            lost = lose_half(world, "end/")
-            cancelling = await curio.spawn(world.cancel, job, number)
+            lost = lose_every_other_answer(world, "end/")
+            cancelling = await curio.spawn(world.cancel, job, controller)
             await curio.sleep(0.02)
             for _ in range(20):
                 await world.look(job)
-            assert lost == [f"c{number}"]
+            assert lost == [f"c{controller}"]
             await cancelling.join()
-            assert await world.cancel(job, number) == "cancelled"
+            assert await world.cancel(job, controller) == "cancelled"
             await world.look(job)
             world.network.answer_lost = None
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
--- /dev/null
+++ b/tests/test_state_client.py
@@ -0,0 +1,203 @@
+"""The client of the state service: rate limiting, and the errors that callers tell apart."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+import curio
+import pytest
+
+from micadeal.clock import ZERO, monotonic, seconds
+from micadeal.http.message import Answer, Request, error
+from micadeal.state.budget import Budget
+from micadeal.state.limits import Limits
+from micadeal.state.read_coalescing import VersionCheckCoalescer
+from micadeal.state.service import (
+    ConflictError,
+    LeaseExpiredError,
+    RequestRejectedError,
+    RevisionCompactedError,
+    StateService,
+    StateServiceError,
+    UnavailableError,
+    Urgency,
+)
+from micadeal.wire.state import Condition, Drop, Put
+from tests.fakes import state as state_fake
+from tests.fakes.network import FakeNetwork, HostNetwork, HostPower
+from tests.fakes.state import FakeState
+
+LIMITS = Limits(requests_per_s=100, changes_per_s=50, operations=16, value_bytes=8192)
+
+
+def with_state_service(
+    check: Callable[[StateService, FakeState], Awaitable[None]],
+    handler: Callable[[Request], Awaitable[Answer]] | None = None,
+    limits: Limits = LIMITS,
+) -> None:
+    """Run ``check`` with a client of a state service in memory, or of ``handler``."""
+
+    async def run() -> None:
+        fake = FakeState()
+        network = FakeNetwork(1)
+        network.serve(state_fake.HOST, state_fake.ADDRESS, handler or fake.handle)
+        host = HostNetwork(network, "c0", HostPower())
+        await check(StateService(state_fake.ADDRESS, limits, limits, host), fake)
+
+    curio.run(run)
+
+
+def answers(status: int) -> Callable[[Request], Awaitable[Answer]]:
+    async def handler(request: Request) -> Answer:
+        return error(status, "trouble")
+
+    return handler
+
+
+def test_token_bucket_saves_up_a_burst_and_keeps_a_reserve_for_the_urgent() -> None:
+    budget = Budget(rate=10, burst=10, now=ZERO)
+    assert all(budget.take(1, ZERO) == ZERO for _ in range(10))
+    assert budget.take(1, ZERO) > ZERO
+    assert budget.take(1, seconds(0.2), reserve=5) > ZERO
+    assert budget.take(1, seconds(0.2)) == ZERO
+
+
+def test_request_that_would_wait_too_long_for_the_rate_limit_is_not_sent() -> None:
+    async def check(state: StateService, fake: FakeState) -> None:
+        with pytest.raises(UnavailableError) as refused:
+            for _ in range(1000):
+                await state.get("key", Urgency.USER)
+        assert refused.value.status is None
+        sent = fake.requests
+        await state.get("key", Urgency.LEASE)
+        assert fake.requests == sent + 1
+
+    slow = Limits(requests_per_s=2, changes_per_s=2, operations=16, value_bytes=8192)
+    with_state_service(check, limits=slow)
+
+
+def test_conflict_names_the_keys_that_have_another_version() -> None:
+    async def check(state: StateService, fake: FakeState) -> None:
+        revision = await state.commit([Condition("a", 0)], [Put("a", 1)], Urgency.REST)
+        with pytest.raises(ConflictError) as conflict:
+            conditions = [Condition("a", 0), Condition("b", 0)]
+            await state.commit(conditions, [Drop("a")], Urgency.REST)
+        assert conflict.value.failed_keys == ("a",)
+        changed = await state.changed_keys([Condition("a", revision - 1)], Urgency.USER)
+        assert changed == {"a"}
+        assert await state.changed_keys([Condition("a", revision)], Urgency.USER) == set()
+
+    with_state_service(check)
+
+
+def test_conflict_is_certain_even_if_its_answer_names_no_keys() -> None:
+    async def check(state: StateService, fake: FakeState) -> None:
+        with pytest.raises(ConflictError) as conflict:
+            await state.commit([Condition("a", 1)], [Drop("a")], Urgency.REST)
+        assert conflict.value.failed_keys == ()
+
+    with_state_service(check, handler=answers(409))
+
+
+def test_expired_lease_and_too_large_transaction_are_told_apart() -> None:
+    async def check(state: StateService, fake: FakeState) -> None:
+        lease = await state.new_lease(seconds(5))
+        await state.commit([], [Put("a", 1, lease)], Urgency.LEASE)
+        await state.end_lease(lease)
+        assert await state.get("a") is None
+        with pytest.raises(LeaseExpiredError) as expired:
+            await state.commit([], [Put("a", 1, lease)], Urgency.LEASE)
+        assert expired.value.lease == lease
+        with pytest.raises(LeaseExpiredError) as expired:
+            await state.renew(lease, seconds(1))
+        assert expired.value.lease == lease
+        with pytest.raises(RequestRejectedError, match="too large") as rejected:
+            await state.commit([], [Put("a", "x" * 9000)], Urgency.REST)
+        assert rejected.value.status == 400
+
+    with_state_service(check)
+
+
+@pytest.mark.parametrize(
+    ("status", "kind"),
+    [(429, UnavailableError), (503, UnavailableError), (500, StateServiceError)],
+)
+def test_status_without_result_says_whether_the_request_may_have_been_executed(
+    status: int, kind: type[StateServiceError]
+) -> None:
+    async def check(state: StateService, fake: FakeState) -> None:
+        with pytest.raises(StateServiceError) as failure:
+            await state.commit([], [Drop("a")], Urgency.REST)
+        assert type(failure.value) is kind
+        assert failure.value.status == status
+        assert state.answered is None
+
+    with_state_service(check, handler=answers(status))
+
+
+def test_watch_of_a_compacted_revision_says_which() -> None:
+    async def check(state: StateService, fake: FakeState) -> None:
+        with pytest.raises(RevisionCompactedError) as compacted:
+            await state.changes("job/", 7, seconds(1), state.watch_client())
+        assert (compacted.value.prefix, compacted.value.revision) == ("job/", 7)
+
+    with_state_service(check, handler=answers(410))
+
+
+def test_watch_returns_changes_after_the_revision_of_a_range_read() -> None:
+    async def check(state: StateService, fake: FakeState) -> None:
+        await state.commit([], [Put("job/1", "a"), Put("other", "b")], Urgency.REST)
+        items, revision = await state.range("job/")
+        assert [(item.key, item.value) for item in items] == [("job/1", "a")]
+        await state.commit([], [Drop("job/1"), Put("job/2", "c")], Urgency.REST)
+        response = await state.changes("job/", revision, seconds(1), state.watch_client())
+        assert [(event.put, event.drop) for event in response.events] == [
+            (None, "job/1"),
+            ("job/2", None),
+        ]
+
+    with_state_service(check)
+
+
+def test_version_checks_asked_for_together_share_one_request() -> None:
+    async def check(state: StateService, fake: FakeState) -> None:
+        version = await state.commit([], [Put("a", 1), Put("b", 1)], Urgency.REST)
+        sent = fake.requests
+        coalescer = VersionCheckCoalescer(state)
+        results: dict[tuple[str, int], bool] = {}
+
+        async def ask(key: str, version: int) -> None:
+            results[key, version] = await coalescer.holds(key, version)
+
+        async with curio.TaskGroup() as group:
+            await group.spawn(ask, "a", version)
+            await group.spawn(ask, "b", version - 1)
+            await group.spawn(ask, "b", version)
+        # Of two versions of one key the last is compared; False for the other means "not known".
+        assert results == {("a", version): True, ("b", version - 1): False, ("b", version): True}
+        assert fake.requests == sent + 1
+
+    with_state_service(check)
+
+
+def test_user_request_gives_up_early_once_the_service_is_unreachable(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("micadeal.state.service.UNREACHABLE_AFTER", seconds(0.05))
+
+    async def run() -> None:
+        fake = FakeState()
+        network = FakeNetwork(1)
+        network.serve(state_fake.HOST, state_fake.ADDRESS, fake.handle)
+        host = HostNetwork(network, "c0", HostPower())
+        state = StateService(state_fake.ADDRESS, LIMITS, LIMITS, host)
+        await state.get("key")
+        assert state.answered is not None
+        await curio.sleep(0.1)
+        network.cut("c0", state_fake.HOST)
+        began = monotonic()
+        with pytest.raises(StateServiceError, match="no answer in time"):
+            await state.get("key", Urgency.USER)
+        assert monotonic() - began < seconds(1)
+
+    curio.run(run)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,8 +21,8 @@
 from tests.fakes.previous_versions import forget
 from tests.fakes.random_clusters import Picture
 from tests.fakes.records_of_previous_versions import WRITTEN
+from tests.fakes.submissions import spec
 from tests.fakes.world import COMING, World
-from tests.test_components import spec
 
 MESSAGE_TYPES: dict[str, Any] = {
     "leader": records.LeaderRecord,
