--- /dev/null
+++ b/micadeal/controller/api/dependencies.py
@@ -0,0 +1,90 @@
+"""Whether jobs that a job waits for, directly or through others, are cancelled."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+from micadeal.clock import monotonic
+from micadeal.controller.api.job_reader import JobReader, RecordedJobs
+from micadeal.controller.api.known_answers import KnownAnswers
+from micadeal.jobs.validate import UnschedulableJobError
+from micadeal.state.service import StateServiceError
+from micadeal.wire.users import Submission
+
+#: Of longer lists of prerequisites, those found once are not looked up again: a repetition after
+#: a 503 then gets further.
+MAX_UNCACHED_PREREQUISITES = 16
+#: Jobs further up that are read for one answer at most.
+MAX_ANCESTORS = 400
+
+
+class DependencyReader:
+    """Reads the jobs further up, where the leader may not have recorded a cancellation yet."""
+
+    def __init__(self, reader: JobReader, answers: KnownAnswers, cancel_timeout: timedelta) -> None:
+        self._reader = reader
+        self._answers = answers
+        self._cancel_timeout = cancel_timeout
+        #: All jobs that need one that was cancelled before this instant are recorded cancelled.
+        self.propagated_until: timedelta | None = None
+
+    def cancellations_propagated(self, asked: timedelta) -> bool:
+        """Whether a job's own record is enough for an answer to a question put at ``asked``.
+
+        As long as the leader's word is fresh, whatever was cancelled longer ago than that has been
+        recorded for all jobs after it.
+        """
+        return (
+            self.propagated_until is not None
+            and asked - self.propagated_until < self._cancel_timeout / 2
+        )
+
+    async def has_cancelled_prerequisite(self, spec: Submission) -> bool:
+        """Whether one of the jobs that a new one names is cancelled, or a job further up.
+
+        Raises ``UnschedulableJobError`` if one was never accepted, by reads that begin now, or
+        never ends by itself.  A cancellation that crosses with the submission is found by the
+        leader from the records.
+        """
+        names = list(dict.fromkeys(spec.prerequisites or ()))
+        if len(names) > MAX_UNCACHED_PREREQUISITES:
+            names = [name for name in names if name not in self._answers.accepted]
+        jobs = await self._reader.read_jobs(names)
+        for name in names:
+            job = jobs[name]
+            if job is None:
+                raise UnschedulableJobError(f"{name}, which it waits for, was never accepted")
+            if job.is_service:
+                raise UnschedulableJobError(
+                    f"{name}, which it waits for, is a service and never done"
+                )
+            self._answers.accepted.add(name, None)
+        return _any_cancelled(jobs) or await self.has_cancelled_ancestor(jobs, monotonic())
+
+    async def has_cancelled_ancestor(self, jobs: RecordedJobs, asked: timedelta) -> bool:
+        """Whether one of the jobs, or one further up, is cancelled.
+
+        Guards ``orphaned``: without a fresh word of the leader (no leader for long, an outage) the
+        records of all jobs further up are read.
+        """
+        if self.cancellations_propagated(asked):
+            return False
+        seen = dict(jobs)
+        latest = jobs
+        while latest:
+            if _any_cancelled(latest):
+                return True
+            names = sorted(_prerequisites(latest) - seen.keys())
+            if len(seen) + len(names) > MAX_ANCESTORS:
+                raise StateServiceError("too many jobs further up")
+            latest = await self._reader.read_jobs(names, skip_unreadable=True)
+            seen |= latest
+        return False
+
+
+def _any_cancelled(jobs: RecordedJobs) -> bool:
+    return any(job is not None and job.is_cancelled for job in jobs.values())
+
+
+def _prerequisites(jobs: RecordedJobs) -> set[str]:
+    return {name for job in jobs.values() if job is not None for name in job.prerequisites}
--- /dev/null
+++ b/micadeal/controller/api/end_records.py
@@ -0,0 +1,62 @@
+"""Records of how jobs ended, as users' requests read and write them."""
+
+from __future__ import annotations
+
+import logging
+from datetime import timedelta
+
+from micadeal.clock import seconds, utc_now
+from micadeal.schema.decoding import read_one
+from micadeal.schema.job_records import read_job_record
+from micadeal.schema.keys import ENDS
+from micadeal.state.service import StateService, StateServiceError, Urgency
+from micadeal.wire.codec import MessageFormatError, convert
+from micadeal.wire.state import Condition, Drop, EndRecord, EndStatus, Item, Put
+from micadeal.wire.users import Status
+
+log = logging.getLogger(__name__)
+
+#: Of a transaction that a user waits for.
+USER_WRITE_TIMEOUT: timedelta = seconds(2)
+
+
+class UnreadableRecordError(StateServiceError):
+    """A record can't be read, now or later."""
+
+    def __init__(self, key: str, reason: Exception) -> None:
+        super().__init__(f"unreadable record: key={key} reason={reason}")
+        self.key = key
+        self.reason = reason
+
+
+def decode_end(item: Item) -> EndRecord:
+    """Decode the end of a job; raise ``UnreadableRecordError`` if not even the status can be read.
+
+    Guards ``forgotten``: as long as the record says how the job ended, users are answered that.
+    """
+    record = read_one(item, EndRecord)
+    if record is not None:
+        return record
+    try:
+        return EndRecord(convert(EndStatus, item.value).status)
+    except MessageFormatError as problem:
+        raise UnreadableRecordError(item.key, problem) from None
+
+
+async def write_cancellation(state: StateService, job_id: str, item: Item) -> None:
+    """Turn the record of a job, ``item``, into its end.
+
+    Raises ``ConflictError`` if the job has ended meanwhile, ``StateServiceError`` if the outcome
+    is unknown.
+    """
+    try:
+        spec = (await read_job_record(state, item, Urgency.USER)).submission
+        end = EndRecord.of(Status.CANCELLED, spec, utc_now().timestamp())
+    except MessageFormatError:
+        end = EndRecord(Status.CANCELLED, 0, utc_now().timestamp())
+    await state.commit(
+        [Condition(item.key, item.version), Condition(ENDS + job_id, 0)],
+        [Put(ENDS + job_id, end), Drop(item.key)],
+        Urgency.USER,
+        timeout=USER_WRITE_TIMEOUT,
+    )
--- /dev/null
+++ b/micadeal/controller/api/job_reader.py
@@ -0,0 +1,116 @@
+"""What the state service holds of jobs, by reads that begin with the call."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import curio
+
+from micadeal.controller.api.confirmation import CancellationConfirmer
+from micadeal.controller.api.end_records import UnreadableRecordError, decode_end
+from micadeal.controller.api.known_answers import KnownAnswers
+from micadeal.schema.job_records import read_job_record
+from micadeal.schema.keys import ENDS, JOBS
+from micadeal.state.service import StateService, StateServiceError, Urgency
+from micadeal.wire.codec import MessageFormatError
+from micadeal.wire.state import Item
+from micadeal.wire.users import JobAnswer, Shape, Status
+
+#: Reads for one request under way at once.
+MAX_CONCURRENT_READS = 6
+
+
+@dataclass(frozen=True, slots=True)
+class RecordedJob:
+    """What is recorded of an accepted job."""
+
+    #: Its final status; None: it is neither done nor cancelled.
+    final_status: Status | None
+    is_service: bool = False
+    prerequisites: tuple[str, ...] = ()
+
+    @property
+    def is_cancelled(self) -> bool:
+        """Whether the job's end is recorded as cancelled."""
+        return self.final_status is Status.CANCELLED
+
+
+#: Recorded jobs by id; None: never accepted.
+RecordedJobs = dict[str, RecordedJob | None]
+
+
+class JobReader:
+    """Reads the records of jobs and of their ends."""
+
+    def __init__(
+        self, state: StateService, answers: KnownAnswers, confirmer: CancellationConfirmer
+    ) -> None:
+        self._state = state
+        self._answers = answers
+        self._confirmer = confirmer
+
+    async def read_job(self, job_id: str) -> RecordedJob | None:
+        """Read what is recorded of a job; None: it was never accepted.
+
+        The job's record is read before its end, since it only ever turns from the one into the
+        other.  Raises ``StateServiceError``; ``UnreadableRecordError`` where that will not change.
+        """
+        final = self._answers.final.get(job_id)
+        if final is None:
+            item = await self._state.get(JOBS + job_id)
+            if item is not None:
+                return await self.read_live_job(item)
+            final = await self.read_end(job_id)
+        return None if final is None else RecordedJob(final.status)
+
+    async def read_jobs(self, names: list[str], skip_unreadable: bool = False) -> RecordedJobs:
+        """Read several jobs at once.
+
+        ``skip_unreadable``: jobs whose records can't be read count as unknown.  Else no question
+        about a job after them would ever be answered.
+        """
+        jobs: RecordedJobs = {}
+        problems: list[StateServiceError] = []
+        waiting = list(names)
+
+        async def read_waiting() -> None:
+            while waiting and not problems:
+                name = waiting.pop()
+                try:
+                    jobs[name] = await self.read_job(name)
+                except UnreadableRecordError as problem:
+                    jobs[name] = None
+                    if not skip_unreadable:
+                        problems.append(problem)
+                except StateServiceError as problem:
+                    problems.append(problem)
+
+        async with curio.TaskGroup() as group:
+            for _ in range(min(len(names), MAX_CONCURRENT_READS)):
+                await group.spawn(read_waiting)
+        if problems:
+            raise problems[0]
+        return jobs
+
+    async def read_live_job(self, item: Item) -> RecordedJob:
+        """Decode the record of a job that is neither done nor cancelled, and read its parts."""
+        try:
+            spec = (await read_job_record(self._state, item, Urgency.USER)).submission
+        except MessageFormatError as problem:
+            raise UnreadableRecordError(item.key, problem) from None
+        return RecordedJob(None, spec.shape is Shape.SERVICE, tuple(spec.prerequisites or ()))
+
+    async def read_end(self, job_id: str, cannot_start: bool = False) -> JobAnswer | None:
+        """Read the end of a job, and confirm it if it is a cancellation; None: there is none.
+
+        ``cannot_start``: it is certain that no task of the job can start.
+        """
+        item = await self._state.get(ENDS + job_id)
+        if item is None:
+            return None
+        end = decode_end(item)
+        done = end.tasks if end.status is Status.DONE else None
+        answer = JobAnswer(job_id, end.status, done, 0 if done else None)
+        if end.status is Status.CANCELLED:
+            return await self._confirmer.confirm(answer, cannot_start)
+        return self._answers.remember_final(answer)
--- /dev/null
+++ b/micadeal/controller/api/status.py
@@ -0,0 +1,115 @@
+"""Status of jobs, by reads that begin after the request came."""
+
+from __future__ import annotations
+
+import logging
+from datetime import timedelta
+
+from micadeal.clock import monotonic
+from micadeal.controller.api.dependencies import DependencyReader
+from micadeal.controller.api.end_records import UnreadableRecordError, write_cancellation
+from micadeal.controller.api.job_reader import JobReader
+from micadeal.controller.api.known_answers import KnownAnswers, RecentJobs
+from micadeal.controller.api.responses import no_such_job, state_service_unreachable
+from micadeal.http.message import Answer, answer
+from micadeal.jobs.validate import JOB_ID
+from micadeal.schema.job_records import has_dependencies
+from micadeal.schema.keys import JOBS
+from micadeal.state.read_coalescing import VersionCheckCoalescer
+from micadeal.state.service import ConflictError, StateService, StateServiceError
+from micadeal.wire.state import Item
+from micadeal.wire.users import JobAnswer
+
+log = logging.getLogger(__name__)
+
+
+class JobStatus:
+    """Answers what has become of a job."""
+
+    def __init__(
+        self,
+        state: StateService,
+        answers: KnownAnswers,
+        reader: JobReader,
+        dependencies: DependencyReader,
+    ) -> None:
+        self._state = state
+        self._answers = answers
+        self._reader = reader
+        self._dependencies = dependencies
+        self._version_checks = VersionCheckCoalescer(state)
+        #: Jobs that wait for no others, and the version of their records: as long as that holds
+        #: they are neither done nor cancelled.
+        self._independent_versions: RecentJobs[int] = RecentJobs()
+
+    async def status(self, job_id: str) -> Answer:
+        """Answer a request for the status of a job."""
+        if not JOB_ID.match(job_id):
+            return no_such_job()
+        try:
+            found = await self.look_up(job_id)
+        except StateServiceError:
+            return state_service_unreachable()
+        return no_such_job() if found is None else answer(200, found)
+
+    async def look_up(self, job_id: str) -> JobAnswer | None:
+        """Return the state of a job by reads that begin now; None: it was never accepted.
+
+        Guards ``went_back``: where something newer became known here while the reads were under
+        way, a user may have been answered that by now, and they are made once more.
+        """
+        found = await self._read(job_id)
+        return await self._read(job_id) if self._answers.is_outdated(job_id, found) else found
+
+    async def _read(self, job_id: str) -> JobAnswer | None:
+        """Read the job's record before its end: it only ever turns from one into the other."""
+        if (final := self._answers.final.get(job_id)) is not None:
+            return final
+        asked = monotonic()
+        if await self._is_unchanged(job_id):
+            return self._answers.in_progress(job_id)
+        item = await self._state.get(JOBS + job_id)
+        if item is None:
+            return await self._reader.read_end(job_id)
+        if not has_dependencies(item.value):
+            self._independent_versions.add(job_id, item.version)
+        elif await self._cancel_orphan(job_id, item, asked):
+            # As long as it waited nothing of it could start.
+            return await self._reader.read_end(job_id, cannot_start=True)
+        return self._answers.in_progress(job_id)
+
+    async def _is_unchanged(self, job_id: str) -> bool:
+        """Whether the record of an independent job is still at the version last read."""
+        version = self._independent_versions.get(job_id)
+        if version is None:
+            return False
+        if await self._version_checks.holds(JOBS + job_id, version):
+            return True
+        self._independent_versions.discard(job_id)
+        return False
+
+    async def _cancel_orphan(self, job_id: str, item: Item, asked: timedelta) -> bool:
+        """Whether the job turns out to be over, since a job further up is cancelled.
+
+        Then that is recorded here, in the place of a leader that has not come to it.
+        """
+        if self._dependencies.cancellations_propagated(asked):
+            return False
+        try:
+            job = await self._reader.read_live_job(item)
+        except UnreadableRecordError as problem:
+            # Guards ``forgotten``: the job is known, and whoever leads can't run it either.  With
+            # an error here no question about it would ever be answered.
+            _log_unreadable(problem)
+            return False
+        if not await self._dependencies.has_cancelled_ancestor({job_id: job}, asked):
+            return False
+        try:
+            await write_cancellation(self._state, job_id, item)
+        except ConflictError:
+            log.debug("job ended meanwhile: job=%s", job_id)
+        return True
+
+
+def _log_unreadable(problem: UnreadableRecordError) -> None:
+    log.error("unreadable record: key=%s reason=%s", problem.key, problem.reason)
