--- a/tests/fakes/random_clusters.py
+++ b/tests/fakes/random_clusters.py
@@ -1,5 +1,7 @@
-"""A made-up picture of a large deployment, the same for the same seed: machines up and booting,
-jobs that run and jobs that wait.  For stories about scale and for `bench/profile_pass.py`."""
+"""A random deployment, the same for the same seed: machines and jobs of several teams.
+
+For tests of the scheduler without controllers, and for `bench/profile_pass.py`.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +25,9 @@
 BOX = MachineType("box", 16.0, 2.0, 64.0, 70.0, 0.6, 7.0, 45.0, ZONES, 2.5)
 
 
-class Picture:
+class RandomDeployment:
+    """A scheduler with machines that are up and jobs that wait for its first cycle."""
+
     def __init__(self, machines: int, jobs: int, seed: int = 1, teams: int = 5) -> None:
         self.random = random.Random(seed)
         self.now: timedelta = seconds(100)
@@ -50,6 +54,7 @@
             self.submit()
 
     def submit(self, **fields: object) -> Job:
+        """Submit a service, array or gang of a random size, with these fields of its own."""
         self.count += 1
         kind = self.random.choice(["live", "scan", "scan", "train"])
         values: dict[str, object] = {
@@ -80,7 +85,7 @@
         return job
 
     def heartbeat(self, name: str, done: int = 0) -> None:
-        """The machine's next report: all it was told to run runs, ``done`` of it has ended."""
+        """Send the machine's next heartbeat: all tasks run, but ``done`` of them have ended."""
         machine = self.cluster.machines[name]
         sequence = self.sequences[name] = self.sequences.get(name, 0) + 1
         tasks = [
@@ -95,3 +100,7 @@
                    None, tasks),
             self.now, is_heartbeat=True, full=True,
         )  # fmt: skip
+
+
+#: The former name, which other tests still use.
+Picture = RandomDeployment
--- a/tests/test_delay.py
+++ b/tests/test_delay.py
@@ -1,4 +1,4 @@
-"""Delay scheduling (source, 4.8), with the image in the place of the data."""
+"""Delay scheduling (design, 4.8), with the image in the place of the input data."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from micadeal.jobs.model import Job
 from micadeal.scheduling.pending_reasons import WAITS_FOR_IMAGE
 from micadeal.wire.users import Priority, Shape
-from tests.fakes.random_clusters import Picture
+from tests.fakes.random_clusters import RandomDeployment
 
 SCAN = {
     "job_class": "scan", "shape": Shape.ARRAY, "priority": Priority.STANDARD, "tasks": 1,
@@ -15,55 +15,55 @@
 }  # fmt: skip
 
 
-def busy(machines_with_image: int) -> Picture:
-    """Spot machines that hold the image and are full, and one that is free and does not."""
-    picture = Picture(2 * machines_with_image + 2, 0)
-    job = picture.submit(**(SCAN | {"tasks": 2 * machines_with_image, "estimate_s": 30.0}))
-    picture.scheduler.run_cycle(picture.now)
-    assert len(picture.scheduler.plan.placed) == 2 * machines_with_image
-    picture.cluster.written("placed/7/1", list(job.all_attempts()), picture.now)
+def busy_deployment(machines_with_image: int) -> RandomDeployment:
+    """Return one where spot machines that cache the image are full, and one without it is free."""
+    deployment = RandomDeployment(2 * machines_with_image + 2, 0)
+    job = deployment.submit(**(SCAN | {"tasks": 2 * machines_with_image, "estimate_s": 30.0}))
+    deployment.scheduler.run_cycle(deployment.now)
+    assert len(deployment.scheduler.plan.placed) == 2 * machines_with_image
+    deployment.cluster.written("placed/7/1", list(job.all_attempts()), deployment.now)
     for _ in range(2):
-        for name in picture.cluster.machines:
-            picture.heartbeat(name)
-    picture.now += seconds(30)
-    for name in picture.cluster.machines:
-        picture.heartbeat(name)
-    return picture
+        for name in deployment.cluster.machines:
+            deployment.heartbeat(name)
+    deployment.now += seconds(30)
+    for name in deployment.cluster.machines:
+        deployment.heartbeat(name)
+    return deployment
 
 
-def placed(picture: Picture, job: Job) -> bool:
-    picture.scheduler.run_cycle(picture.now)
+def runs_after_cycle(deployment: RandomDeployment, job: Job) -> bool:
+    deployment.scheduler.run_cycle(deployment.now)
     return bool(job.attempts)
 
 
-def test_a_job_waits_for_its_image_only_where_room_is_about_to_come() -> None:
+def test_a_job_waits_for_its_image_only_if_capacity_frees_soon() -> None:
     """12 GB at 0.6 GB/s are 20 s of fetching: worth 10 s of waiting if a task is likely to end."""
-    few = busy(1)
-    assert placed(few, few.submit(**SCAN)) is True
-    many = busy(20)
+    few = busy_deployment(1)
+    assert runs_after_cycle(few, few.submit(**SCAN)) is True
+    many = busy_deployment(20)
     job = many.submit(**SCAN)
-    assert placed(many, job) is False
+    assert runs_after_cycle(many, job) is False
     assert job.reasons[WAITS_FOR_IMAGE] == 1
     many.now += seconds(9)
     for name in many.cluster.machines:
         many.heartbeat(name)
-    assert placed(many, job) is False
+    assert runs_after_cycle(many, job) is False
     many.now += seconds(2)
     for name in many.cluster.machines:
         many.heartbeat(name)
-    assert placed(many, job) is True
+    assert runs_after_cycle(many, job) is True
 
 
-def test_no_more_tasks_wait_than_room_is_likely_to_come_for() -> None:
+def test_no_more_tasks_wait_than_capacity_is_expected_for() -> None:
     """Guards against a large array that leaves free machines empty."""
-    picture = busy(20)
-    job = picture.submit(**(SCAN | {"tasks": 20}))
-    picture.scheduler.run_cycle(picture.now)
+    deployment = busy_deployment(20)
+    job = deployment.submit(**(SCAN | {"tasks": 20}))
+    deployment.scheduler.run_cycle(deployment.now)
     # 40 tasks of 30 s each: some 13 are likely to end in 10 s, the others need not wait.
     assert len(job.attempts) == 2
 
 
 def test_a_service_does_not_wait_for_its_image() -> None:
-    picture = busy(20)
+    deployment = busy_deployment(20)
     live = {"shape": Shape.SERVICE, "priority": Priority.PRODUCTION, "spot_allowed": True}
-    assert placed(picture, picture.submit(**(SCAN | live))) is True
+    assert runs_after_cycle(deployment, deployment.submit(**(SCAN | live))) is True
--- a/tests/test_faulty_jobs.py
+++ b/tests/test_faulty_jobs.py
@@ -1,4 +1,4 @@
-"""Stories of jobs that were submitted with a mistake, and fail on every machine until cancelled."""
+"""Scenarios of jobs that fail on every machine by their own mistake, until they are cancelled."""
 
 from __future__ import annotations
 
@@ -11,13 +11,16 @@
 from micadeal.jobs.model import Job
 from micadeal.scheduling.machine_inventory import MachineInventory
 from micadeal.scheduling.machine_monitor import MachineMonitor
-from tests.fakes.random_clusters import Picture
+from tests.fakes.random_clusters import RandomDeployment
+from tests.fakes.scenario_steps import current_leader
 from tests.fakes.submissions import spec
 from tests.fakes.world import World
 
 
-def test_jobs_with_a_mistake_cost_no_machine_and_few_tries(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(world: World) -> None:
+def test_jobs_that_always_fail_drain_no_machine_and_are_retried_rarely(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(world: World) -> None:
         good = [await world.run_job("array", 2, run_s=50.0, crew="blue") for _ in range(3)]
         bad = [
             await world.run_job("array", 6, fails=True),
@@ -28,8 +31,7 @@
         await curio.sleep(90)
         tries = sum(world.starts[task] for task in world.starts if task.split("/")[0] in bad)
         assert tries < 60
-        leader = world.leader()
-        assert leader is not None
+        leader = current_leader(world)
         notes = (await world.call(leader, "GET", "/overview"))[1]["notes"]
         assert not any("failed tasks of several jobs" in note for note in notes)
         why = (await world.call(leader, "GET", f"/why/{bad[0]}"))[1]
@@ -40,16 +42,18 @@
             assert await world.cancel(job, 1) == "cancelled"
         await world.until(lambda: not world.cloud.machines, limit=120)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_a_service_that_failed_on_faulty_machines_is_whole_again(
+def test_a_service_regains_all_replicas_after_failures_on_faulty_machines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards replicas: with errors on two machines one task was tried at a time, and a service is
-    never done, so what was lost later was not replaced as long as another replica ran."""
+    """Guards replicas: with errors on two machines one task was tried at a time.
+
+    A service is never done, so a replica lost later was not replaced while another one ran.
+    """
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         world.fleet.faulty |= {"i-000001", "i-000002"}
         service = await world.run_job("daemon", 4, rank="production", scatter=True)
         await world.until(lambda: world.running(service) == 4, limit=200)
@@ -58,11 +62,11 @@
         world.cloud.take(lost)
         await world.until(lambda: world.running(service) == 4, limit=45)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
-def test_errors_point_to_a_machine_only_as_far_as_its_jobs_run_elsewhere() -> None:
-    cluster = Picture(machines=4, jobs=0).cluster
+def test_errors_mark_a_machine_faulty_only_if_its_jobs_run_elsewhere() -> None:
+    cluster = RandomDeployment(machines=4, jobs=0).cluster
     inventory = MachineInventory(cluster, InstanceOffers())
     monitor = MachineMonitor(cluster, inventory, seconds(0))
     machine, other = list(cluster.machines.values())[:2]
@@ -75,13 +79,13 @@
     assert monitor.is_faulty(machine, now)
     jobs[0].errors[other.name] += 1
     assert not monitor.is_faulty(machine, now)
-    jobs[1].add(_running(jobs[1], other))
+    jobs[1].add(_running_attempt(jobs[1], other))
     assert monitor.is_faulty(machine, now)
     jobs[1].errors[other.name] += 1
     assert not monitor.is_faulty(machine, now)
 
 
-def _running(job: Job, machine: Machine) -> Attempt:
+def _running_attempt(job: Job, machine: Machine) -> Attempt:
     attempt = Attempt(job.id, 0, 1, machine.name, seconds(480))
     attempt.running_since = seconds(490)
     return attempt
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Large deployments: the quick ways are held equal to plain ones, and counts guard the effort."""
+"""Large deployments: caches must not change decisions, and counts bound the work of a cycle."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from micadeal.wire.codec import decode, encode
 from micadeal.wire.state import Drop, Put
 from micadeal.wire.users import Priority, Shape, Submission
-from tests.fakes.random_clusters import Picture
+from tests.fakes.random_clusters import ZONES, RandomDeployment
 
 LIMITS = Limits(150, 25, 16, 8192)
 
 
-# -- the plain way -----------------------------------------------------------------------------
+# -- exhaustive search -------------------------------------------------------------------------
 
 
-class PlainPool(CapacityPool):
+class ExhaustivePool(CapacityPool):
     """Ranks every machine for every task, in the order of the design."""
 
     def best(self, job: Job) -> MachineCapacity | None:
@@ -48,7 +48,7 @@
         ] or self.capacities
 
 
-def plain_gang(
+def choose_gang_exhaustively(
     spec: Submission, capacities: Sequence[MachineCapacity], batch: bool
 ) -> list[MachineCapacity] | None:
     found: list[tuple[tuple[float, ...], list[MachineCapacity]]] = []
@@ -78,134 +78,145 @@
     return best
 
 
-def outcome(picture: Picture) -> tuple[object, ...]:
-    """Two passes with reports and ends between them; all that they decided."""
+def run_cycles(deployment: RandomDeployment) -> tuple[object, ...]:
+    """Run cycles with heartbeats and ended tasks between them; return all that they decided."""
     result: list[object] = []
-    for job in picture.cluster.live_jobs():
-        if picture.random.random() < 0.2:
-            # It failed on some machines: as long as there are others, they are not for it.
-            job.errors.update(list(picture.cluster.machines)[::2])
+    for job in deployment.cluster.live_jobs():
+        if deployment.random.random() < 0.2:
+            # It failed on some machines, and avoids them as long as there are others.
+            job.errors.update(list(deployment.cluster.machines)[::2])
     for _ in range(3):
-        picture.scheduler.run_cycle(picture.now)
-        decided = picture.scheduler.plan
+        deployment.scheduler.run_cycle(deployment.now)
+        decided = deployment.scheduler.plan
         result.append([(p.job_id, p.index, p.attempt) for p in decided.placed])
         result.append(sorted((str(offer), n) for offer, n in decided.rentals.items()))
         result.append(sorted(decided.reserved))
-        result.append({job.id: dict(job.reasons) for job in picture.cluster.live_jobs()})
-        record_writer = RecordWriter(picture.cluster, LIMITS)
-        while batches := record_writer.next(picture.now):
+        result.append({job.id: dict(job.reasons) for job in deployment.cluster.live_jobs()})
+        record_writer = RecordWriter(deployment.cluster, LIMITS)
+        while batches := record_writer.next(deployment.now):
             for batch in batches:
-                record_writer.committed(batch, 1, picture.now)
-        picture.now += seconds(3)
-        for name in list(picture.cluster.machines)[:: 1 + picture.random.randrange(3)]:
-            picture.heartbeat(name)
-            picture.heartbeat(name, done=picture.random.randrange(2))
-        picture.submit()
-    where = sorted((a.task, a.number, m.name) for m in picture.cluster.machines.values()
+                record_writer.committed(batch, 1, deployment.now)
+        deployment.now += seconds(3)
+        for name in list(deployment.cluster.machines)[:: 1 + deployment.random.randrange(3)]:
+            deployment.heartbeat(name)
+            deployment.heartbeat(name, done=deployment.random.randrange(2))
+        deployment.submit()
+    where = sorted((a.task, a.number, m.name) for m in deployment.cluster.machines.values()
                    for a in m.attempts.values())  # fmt: skip
     return (*result, where)
 
 
 @settings(derandomize=True, deadline=None, max_examples=25)
 @given(st.integers(0, 10_000), st.integers(0, 40), st.integers(1, 25), st.booleans())
-def test_the_quick_way_hands_out_as_the_plain_one(
+def test_cached_rankings_place_as_an_exhaustive_search(
     seed: int, machines: int, jobs: int, scarce: bool
 ) -> None:
-    """Guards the order of the source: ranking once, and remembering what found no room, must
-    change nothing of what is decided."""
+    """Guards the order of the design.
 
-    def build() -> Picture:
-        picture = Picture(machines, jobs, seed)
+    Ranking machines once, and remembering what found no capacity, must change no decision.
+    """
+
+    def build() -> RandomDeployment:
+        deployment = RandomDeployment(machines, jobs, seed)
         if scarce:
-            for offer in [o for o in _offers(picture) if o.spot]:
-                picture.scheduler.instance_offers.refused(offer, 3, picture.now)
-        return picture
+            for offer in [o for o in _offers(deployment) if o.spot]:
+                deployment.scheduler.instance_offers.refused(offer, 3, deployment.now)
+        return deployment
 
-    quick = outcome(build())
+    cached = run_cycles(build())
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("micadeal.scheduling.scheduling_cycle.CapacityPool", PlainPool)
-        patch.setattr(gang_placement, "choose_gang", plain_gang)
-        plain = outcome(build())
-    assert quick == plain
+        patch.setattr("micadeal.scheduling.scheduling_cycle.CapacityPool", ExhaustivePool)
+        patch.setattr(gang_placement, "choose_gang", choose_gang_exhaustively)
+        exhaustive = run_cycles(build())
+    assert cached == exhaustive
 
 
-def _offers(picture: Picture) -> list[InstanceOffer]:
-    spec = picture.submit(spot_allowed=True, gpus=1.0, cpus=1.0, memory_gb=1.0).spec
+def _offers(deployment: RandomDeployment) -> list[InstanceOffer]:
+    spec = deployment.submit(spot_allowed=True, gpus=1.0, cpus=1.0, memory_gb=1.0).spec
     return [
         offer
-        for offer, _ in picture.scheduler.instance_offers.choices(spec, picture.now, Counter())
+        for offer, _ in deployment.scheduler.instance_offers.choices(
+            spec, deployment.now, Counter()
+        )
     ]
 
 
-# -- effort ------------------------------------------------------------------------------------
+def refuse_rentals(deployment: RandomDeployment, *, spot: bool, existing: int) -> None:
+    """Have the cloud refuse more than the existing machines in every zone."""
+    for zone in ZONES:
+        offer = InstanceOffer("box", zone, spot)
+        deployment.scheduler.instance_offers.refused(offer, existing, deployment.now)
+
+
+# -- work of one cycle -------------------------------------------------------------------------
 
 
-def test_a_pass_does_not_look_at_every_room_for_every_task() -> None:
-    picture = Picture(700, 200)
-    waiting = sum(job.waiting_count() for job in picture.cluster.live_jobs())
-    looked: list[int] = []
+def test_a_cycle_does_not_examine_every_machine_for_every_task() -> None:
+    deployment = RandomDeployment(700, 200)
+    waiting = sum(job.waiting_count() for job in deployment.cluster.live_jobs())
+    examined: list[int] = []
 
-    class Counting(SchedulingCycle):
+    class CountingCycle(SchedulingCycle):
         def run(self) -> Plan:
             result = super().run()
-            looked.append(self.pool.examined)
+            examined.append(self.pool.examined)
             return result
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("micadeal.scheduling.scheduler.SchedulingCycle", Counting)
-        picture.scheduler.run_cycle(picture.now)
-        picture.scheduler.run_cycle(picture.now)
-    # The plain way: one look for each task and room.
+        patch.setattr("micadeal.scheduling.scheduler.SchedulingCycle", CountingCycle)
+        deployment.scheduler.run_cycle(deployment.now)
+        deployment.scheduler.run_cycle(deployment.now)
+    # The exhaustive search examines each machine for each task.
     assert waiting > 3000
-    assert looked[0] < 200 * 700 and looked[1] < 100 * 700
+    assert examined[0] < 200 * 700 and examined[1] < 100 * 700
 
 
-def write_all(record_writer: RecordWriter, picture: Picture) -> list[WriteBatch]:
+def write_all(record_writer: RecordWriter, deployment: RandomDeployment) -> list[WriteBatch]:
     written: list[WriteBatch] = []
-    while batches := record_writer.next(picture.now):
+    while batches := record_writer.next(deployment.now):
         for batch in batches:
-            record_writer.committed(batch, len(written) + 1, picture.now)
+            record_writer.committed(batch, len(written) + 1, deployment.now)
             written.append(batch)
     return written
 
 
-def test_a_burst_of_placements_takes_few_changes_and_none_is_left_behind() -> None:
-    """Guards the limit on changes: a record for each machine took seconds for a large array."""
-    picture = Picture(400, 60)
-    record_writer = RecordWriter(picture.cluster, LIMITS)
-    picture.scheduler.run_cycle(picture.now)
-    placed = len(picture.scheduler.plan.placed)
-    written = [b for b in write_all(record_writer, picture) if b.placed]
+def test_a_burst_of_placements_is_persisted_whole_in_few_operations() -> None:
+    """Guards the limit on operations: a record per machine took seconds for a large array."""
+    deployment = RandomDeployment(400, 60)
+    record_writer = RecordWriter(deployment.cluster, LIMITS)
+    deployment.scheduler.run_cycle(deployment.now)
+    placed = len(deployment.scheduler.plan.placed)
+    written = [b for b in write_all(record_writer, deployment) if b.placed]
     assert placed > 400
     assert sum(len(batch.operations) for batch in written) <= placed / 40
-    assert all(a.durable for m in picture.cluster.machines.values() for a in m.attempts.values())
+    assert all(a.durable for m in deployment.cluster.machines.values() for a in m.attempts.values())
     # As tasks end, records are dropped or merged: what is left names what is left.
     kept: set[str] = {op.key for b in written for op in b.operations}
     for _ in range(40):
-        for name in picture.cluster.machines:
-            picture.heartbeat(name, done=1)
-            picture.heartbeat(name)
-        picture.now += seconds(5)
-        for batch in write_all(record_writer, picture):
+        for name in deployment.cluster.machines:
+            deployment.heartbeat(name, done=1)
+            deployment.heartbeat(name)
+        deployment.now += seconds(5)
+        for batch in write_all(record_writer, deployment):
             kept |= {op.key for op in batch.operations if isinstance(op, Put)}
             kept -= {op.key for op in batch.operations if isinstance(op, Drop)}
-    left = {a.record for m in picture.cluster.machines.values() for a in m.attempts.values()}
+    left = {a.record for m in deployment.cluster.machines.values() for a in m.attempts.values()}
     assert {key for key in kept if key.startswith("placed/")} == left
 
 
-def test_the_overview_of_a_large_deployment_in_trouble_stays_readable() -> None:
-    """Guards the morning status: the longest stuck first, with counts instead of endless lists."""
-    picture = Picture(300, 0)
-    for name in list(picture.cluster.machines)[:200]:
-        picture.cluster.machines[name].notice_end = picture.now + seconds(20)
+def test_the_overview_of_a_large_failing_deployment_stays_short() -> None:
+    """Guards the overview: the longest stuck first, with counts instead of endless lists."""
+    deployment = RandomDeployment(300, 0)
+    for name in list(deployment.cluster.machines)[:200]:
+        deployment.cluster.machines[name].notice_end = deployment.now + seconds(20)
     for number in range(150):
-        picture.now += seconds(0.1)
-        picture.submit(tasks=1, gpus=2.0, cpus=16.0, zone="north", image=f"img-{number}")
-    for offer in _offers(picture):
-        picture.scheduler.instance_offers.refused(offer, 0, picture.now + seconds(85))
-    picture.now += seconds(90)
-    picture.scheduler.run_cycle(picture.now)
-    found = explanations.overview(picture.scheduler, "c0", picture.now, reachability=True)
+        deployment.now += seconds(0.1)
+        deployment.submit(tasks=1, gpus=2.0, cpus=16.0, zone="north", image=f"img-{number}")
+    for offer in _offers(deployment):
+        deployment.scheduler.instance_offers.refused(offer, 0, deployment.now + seconds(85))
+    deployment.now += seconds(90)
+    deployment.scheduler.run_cycle(deployment.now)
+    found = explanations.overview(deployment.scheduler, "c0", deployment.now, reachability=True)
     text = show_overview(decode(dict, encode(found)))
     waits = [job.waiting_s for job in found.stuck]
     assert waits == sorted(waits, reverse=True) and len(waits) == 20
@@ -215,98 +226,100 @@
     assert len(text.splitlines()) < 60
 
 
-def test_nothing_is_stopped_where_the_job_in_need_would_not_go() -> None:
-    """Guards against a task that is started and stopped again in every pass: production work
-    failed on a machine and keeps off it."""
-    picture = Picture(3, 0, 2)
+def test_nothing_is_preempted_on_machines_where_the_preemptor_failed() -> None:
+    """Guards against tasks that are started and stopped again in every cycle.
+
+    Production work that failed on a machine does not go there again.
+    """
+    deployment = RandomDeployment(3, 0, 2)
     for _ in range(3):
-        picture.submit(
+        deployment.submit(
             shape=Shape.ARRAY, priority=Priority.LOW, spot_allowed=True, tasks=2, gpus=1.0,
-            team=picture.teams[0], spread=False, one_zone=False,
+            team=deployment.teams[0], spread=False, one_zone=False,
         )  # fmt: skip
-    picture.scheduler.instance_offers.refused(InstanceOffer("box", "north", True), 0, picture.now)
-    picture.scheduler.instance_offers.refused(InstanceOffer("box", "south", True), 0, picture.now)
-    picture.scheduler.instance_offers.refused(InstanceOffer("box", "west", True), 0, picture.now)
-    picture.scheduler.run_cycle(picture.now)
-    live = picture.submit(
+    refuse_rentals(deployment, spot=True, existing=0)
+    deployment.scheduler.run_cycle(deployment.now)
+    live = deployment.submit(
         shape=Shape.SERVICE, priority=Priority.PRODUCTION, spot_allowed=False, tasks=1, gpus=1.0,
-        team=picture.teams[1], spread=False, one_zone=False,
+        team=deployment.teams[1], spread=False, one_zone=False,
     )  # fmt: skip
-    ordinary = [m.name for m in picture.cluster.machines.values() if not m.spot]
-    assert all(picture.cluster.machines[name].attempts for name in ordinary)
+    ordinary = [m.name for m in deployment.cluster.machines.values() if not m.spot]
+    assert all(deployment.cluster.machines[name].attempts for name in ordinary)
     live.errors.update(ordinary[:1])
-    picture.scheduler.run_cycle(picture.now)
-    killed = {entry[0] for _, victim in picture.scheduler.plan.kills for entry in victim.frees}
+    deployment.scheduler.run_cycle(deployment.now)
+    killed = {entry[0] for _, victim in deployment.scheduler.plan.kills for entry in victim.frees}
     assert killed and ordinary[0] not in killed
 
 
-def test_nothing_is_stopped_on_a_machine_that_is_not_worth_it_afterwards() -> None:
-    """Guards against the same: a starved array that may use spot keeps off an ordinary machine
-    once the gang that was bound to it is stopped there, and the gang takes its place again."""
-    picture = Picture(3, 0, 2)
-    for zone in ("north", "south", "west"):
-        picture.scheduler.instance_offers.refused(InstanceOffer("box", zone, False), 2, picture.now)
-    gang = picture.submit(
+def test_nothing_is_preempted_on_an_on_demand_machine_that_only_victims_need() -> None:
+    """Guards against the same: an array that may use spot does not use on-demand machines alone.
+
+    Once the gang bound to them was stopped, the gang would take its place again.
+    """
+    deployment = RandomDeployment(3, 0, 2)
+    refuse_rentals(deployment, spot=False, existing=2)
+    gang = deployment.submit(
         shape=Shape.GANG, priority=Priority.STANDARD, spot_allowed=False, tasks=2, one_zone=False,
-        spread=False, cpus=14.0, gpus=2.0, memory_gb=50.0, team=picture.teams[0],
+        spread=False, cpus=14.0, gpus=2.0, memory_gb=50.0, team=deployment.teams[0],
     )  # fmt: skip
-    picture.scheduler.run_cycle(picture.now)
+    deployment.scheduler.run_cycle(deployment.now)
     assert len(gang.attempts) == 2
-    array = picture.submit(
+    array = deployment.submit(
         shape=Shape.ARRAY, priority=Priority.STANDARD, spot_allowed=True, tasks=2, one_zone=False,
-        spread=False, cpus=14.0, gpus=2.0, memory_gb=50.0, team=picture.teams[1],
+        spread=False, cpus=14.0, gpus=2.0, memory_gb=50.0, team=deployment.teams[1],
     )  # fmt: skip
-    for name, guarantee in zip(picture.teams, (0.0, 4.0), strict=False):
-        picture.cluster.teams[name] = Team(name, 0.0, guarantee, None, 6.0)
+    for name, guarantee in zip(deployment.teams, (0.0, 4.0), strict=False):
+        deployment.cluster.teams[name] = Team(name, 0.0, guarantee, None, 6.0)
     kills = 0
     for _ in range(40):
-        picture.now += seconds(1)
-        for name in picture.cluster.machines:
-            picture.heartbeat(name)
-        picture.scheduler.run_cycle(picture.now)
-        kills += len(picture.scheduler.plan.kills)
+        deployment.now += seconds(1)
+        for name in deployment.cluster.machines:
+            deployment.heartbeat(name)
+        deployment.scheduler.run_cycle(deployment.now)
+        kills += len(deployment.scheduler.plan.kills)
     assert len(array.attempts) == 1 and array.waiting_count() == 1
     assert kills == 0
 
 
-def test_what_is_cleared_for_a_job_is_not_taken_by_others_meanwhile() -> None:
-    """Guards against the same while a task beside the victim is still saving: the victim, or
-    another of its like, would take the room again, and be stopped in every pass."""
-    picture = Picture(1, 0, 2)
-    for zone in ("north", "south", "west"):
-        picture.scheduler.instance_offers.refused(InstanceOffer("box", zone, False), 1, picture.now)
-        picture.scheduler.instance_offers.refused(InstanceOffer("box", zone, True), 0, picture.now)
-    picture.cluster.teams[picture.teams[0]] = Team(picture.teams[0], 0.0, 0.0, None, 6.0)
+def test_preempted_capacity_is_kept_for_the_preemptor() -> None:
+    """Guards against the same while a task beside the victim is still saving.
+
+    The victim, or another of its kind, would take the capacity again, and be stopped every cycle.
+    """
+    deployment = RandomDeployment(1, 0, 2)
+    refuse_rentals(deployment, spot=False, existing=1)
+    refuse_rentals(deployment, spot=True, existing=0)
+    deployment.cluster.teams[deployment.teams[0]] = Team(deployment.teams[0], 0.0, 0.0, None, 6.0)
     fields: dict[str, object] = {
         "priority": Priority.LOW, "spot_allowed": False, "one_zone": False, "spread": False,
-        "cpus": 5.0, "gpus": 1.0, "memory_gb": 20.0, "save_s": 5.0, "team": picture.teams[0],
+        "cpus": 5.0, "gpus": 1.0, "memory_gb": 20.0, "save_s": 5.0, "team": deployment.teams[0],
     }  # fmt: skip
     for _ in range(2):
-        picture.submit(**fields, shape=Shape.ARRAY, tasks=1)
-    picture.scheduler.run_cycle(picture.now)
-    record_writer, written = RecordWriter(picture.cluster, LIMITS), 0
-    for batch in record_writer.next(picture.now):
-        record_writer.committed(batch, 1, picture.now)
+        deployment.submit(**fields, shape=Shape.ARRAY, tasks=1)
+    deployment.scheduler.run_cycle(deployment.now)
+    record_writer, written = RecordWriter(deployment.cluster, LIMITS), 0
+    for batch in record_writer.next(deployment.now):
+        record_writer.committed(batch, 1, deployment.now)
         written += len(batch.placed)
-    machine = next(iter(picture.cluster.machines.values()))
-    picture.heartbeat(machine.name)
-    picture.heartbeat(machine.name)
+    machine = next(iter(deployment.cluster.machines.values()))
+    deployment.heartbeat(machine.name)
+    deployment.heartbeat(machine.name)
     assert written == 1 and len(machine.attempts) == 2
-    live = picture.submit(
+    live = deployment.submit(
         **(fields | {"cpus": 10.0, "gpus": 2.0, "priority": Priority.PRODUCTION}),
         shape=Shape.SERVICE, tasks=1,
     )  # fmt: skip
     for _ in range(6):
-        picture.submit(**fields, shape=Shape.ARRAY, tasks=1)
+        deployment.submit(**fields, shape=Shape.ARRAY, tasks=1)
     kills = 0
     for step in range(20):
-        picture.now += seconds(0.2)
+        deployment.now += seconds(0.2)
         if step == 5:
             # One of the two has ended, the other one still saves.
-            picture.cluster.release(next(iter(machine.attempts.values())), picture.now)
+            deployment.cluster.release(next(iter(machine.attempts.values())), deployment.now)
         if step == 15:
-            picture.cluster.release(next(iter(machine.attempts.values())), picture.now)
-        picture.scheduler.run_cycle(picture.now)
-        kills += len(picture.scheduler.plan.kills)
+            deployment.cluster.release(next(iter(machine.attempts.values())), deployment.now)
+        deployment.scheduler.run_cycle(deployment.now)
+        kills += len(deployment.scheduler.plan.kills)
     assert len(live.attempts) == 1
     assert kills == 2
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""The source's rules as worked examples, and properties that hold for any teams."""
+"""The rules of the Fair Scheduler design as examples, and properties that hold for any teams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from micadeal.sharing.starvation import StarvationTimer, TeamUsage
 from micadeal.sharing.victims import FreedAmounts, Victim, may_kill
 
-ANY = 1000.0
+#: More demand than there ever is to share.
+UNLIMITED = 1000.0
 
 
 def second(value: float) -> timedelta:
@@ -21,30 +22,34 @@
 
 
 def test_equal_weights_share_equally() -> None:
-    assert fair_shares([Claim(ANY, 1, 0)] * 4, 40) == pytest.approx([10] * 4, rel=1e-5)
+    assert fair_shares([Claim(UNLIMITED, 1, 0)] * 4, 40) == pytest.approx([10] * 4, rel=1e-5)
 
 
 def test_a_weight_of_two_gets_twice_as_much() -> None:
-    assert fair_shares([Claim(ANY, 2, 0), Claim(ANY, 1, 0)], 30) == pytest.approx([20, 10], 1e-5)
+    assert fair_shares([Claim(UNLIMITED, 2, 0), Claim(UNLIMITED, 1, 0)], 30) == pytest.approx(
+        [20, 10], 1e-5
+    )
 
 
 def test_what_a_team_does_not_demand_is_divided_among_the_others() -> None:
-    claims = [Claim(2, 1, 0), Claim(ANY, 1, 0), Claim(ANY, 1, 0)]
+    claims = [Claim(2, 1, 0), Claim(UNLIMITED, 1, 0), Claim(UNLIMITED, 1, 0)]
     assert fair_shares(claims, 20) == pytest.approx([2, 9, 9], 1e-5)
 
 
 def test_a_minimum_above_the_weighted_share_is_kept() -> None:
-    claims = [Claim(ANY, 1, 24), Claim(ANY, 1, 0), Claim(ANY, 1, 0)]
+    claims = [Claim(UNLIMITED, 1, 24), Claim(UNLIMITED, 1, 0), Claim(UNLIMITED, 1, 0)]
     assert fair_shares(claims, 30) == pytest.approx([24, 3, 3], 1e-5)
 
 
 def test_minimums_above_the_total_scale_down_proportionally() -> None:
-    claims = [Claim(ANY, 1, 30), Claim(ANY, 5, 10), Claim(ANY, 1, 0)]
+    claims = [Claim(UNLIMITED, 1, 30), Claim(UNLIMITED, 5, 10), Claim(UNLIMITED, 1, 0)]
     assert fair_shares(claims, 20) == pytest.approx([15, 5, 0])
 
 
 def test_an_idle_team_reserves_nothing() -> None:
-    assert fair_shares([Claim(0, 1, 10), Claim(ANY, 1, 0)], 12) == pytest.approx([0, 12], 1e-5)
+    assert fair_shares([Claim(0, 1, 10), Claim(UNLIMITED, 1, 0)], 12) == pytest.approx(
+        [0, 12], 1e-5
+    )
 
 
 claims_strategy = st.lists(
@@ -103,7 +108,7 @@
     assert sorted([heavy, light, near, far]) == [far, near, light, heavy]
 
 
-def test_starvation_waits_for_its_timer_and_lacks_no_more_than_is_missing() -> None:
+def test_starvation_counts_after_its_timeout_and_only_what_is_missing() -> None:
     timer = StarvationTimer(second(0), second(0))
 
     def lacks(at: float, used: float, demand: float) -> tuple[float, bool]:
@@ -126,13 +131,13 @@
         ("other", 2, 4.0, True, True),  # beyond its own guarantee, to give one
         ("other", 2, 0.5, True, False),  # it would fall below its own
         ("other", 3, 4.0, False, True),  # lower priority
-        ("needy", 2, 4.0, True, False),  # a team does not starve itself of equals
-        ("needy", 3, 0.0, False, True),
+        ("preemptor", 2, 4.0, True, False),  # a team does not starve itself of equals
+        ("preemptor", 3, 0.0, False, True),
         ("other", 0, 9.0, True, True),
     ],
 )
-def test_what_may_be_killed(
+def test_which_victims_the_rules_allow(
     team: str, rank: int, surplus: float, for_guarantee: bool, allowed: bool
 ) -> None:
     victim = Victim("req-1", team, rank, second(5), (FreedAmounts("m", 1, 1, 1),), 1.0)
-    assert may_kill(victim, "needy", 2, for_guarantee, {team: surplus}) is allowed
+    assert may_kill(victim, "preemptor", 2, for_guarantee, {team: surplus}) is allowed
