--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -1,4 +1,4 @@
-"""Two troubles meet: stories with several machines, a rule watched in each (docs/fault-interactions.md)."""
+"""Two faults at a time: several machines, a rule checked (docs/fault-interactions.md)."""
 
 from __future__ import annotations
 
