--- a/micadeal/operator/platform.py
+++ b/micadeal/operator/platform.py
@@ -1,7 +1,6 @@
-"""The settings file that the platform hands over (TOML), decoded and checked.
+"""The platform's settings, read from its file and checked.
 
-The private structs mirror the file: their ``rename`` maps hold the platform's words for what the
-rest of the program names otherwise.  Texts of errors name fields as the file does.
+Texts of errors name fields as the file does.
 """
 
 from __future__ import annotations
@@ -16,6 +15,15 @@
 import msgspec
 
 from micadeal.clock import seconds
+from micadeal.operator.settings_file import (
+    AnnouncedStateLimits,
+    ClusterSection,
+    ObjectiveEntry,
+    SettingsFile,
+    StateServiceLimits,
+    TeamEntry,
+    WorkerTimes,
+)
 from micadeal.state.limits import Limits
 from micadeal.wire.address import parse_address
 
@@ -24,106 +32,6 @@
     """Settings that are refused; the text is one line that names what is missing or wrong."""
 
 
-# -- the file as it is written -----------------------------------------------------------------
-
-
-class _Peer(msgspec.Struct, rename={"name": "member", "zone": "domain", "address": "endpoint"}):
-    name: str
-    zone: str
-    address: str
-
-
-class _Services(msgspec.Struct):
-    cloud: str
-    state: str
-
-
-class _Team(msgspec.Struct):
-    name: str
-    cpus: float = 0.0
-    cpus_max: float = 0.0
-    gpus: float = 0.0
-    gpus_max: float = 0.0
-
-
-class _Objective(msgspec.Struct, rename={"job_class": "class"}):
-    kind: str
-    job_class: str = ""
-    within_s: float = 0.0
-    share: float = 0.0
-
-
-class _Workers(msgspec.Struct):
-    report_s: float
-    lease_s: float
-    gang_wait_s: float
-    gang_peer_s: float
-    cancel_s: float
-
-
-class _NextState(msgspec.Struct):
-    """Limits announced by the state service for later; a limit that is missing stays."""
-
-    rps: float | None = None
-    write_rps: float | None = None
-    value_kb: float | None = None
-    txn_ops: int | None = None
-
-
-class _State(msgspec.Struct):
-    rps: float
-    write_rps: float
-    value_kb: float
-    txn_ops: int
-    next: _NextState | None = None
-
-
-class _Cloud(msgspec.Struct):
-    rps: float
-    list_lag_s: float
-
-
-class _Quota(msgspec.Struct, rename={"core_share": "core_share", "memory_mb": "ram_mb"}):
-    max_connections: int
-    core_share: float = 1.0
-    memory_mb: float = 0.0
-
-
-class _Cluster(msgspec.Struct, rename={"controllers": "size"}):
-    controllers: int
-    zones: list[str]
-    workers: _Workers
-    state: _State
-    cloud: _Cloud
-    quota: _Quota
-    skew_ms: float = 0.0
-    teams: list[_Team] = []
-    objectives: list[_Objective] = []
-
-
-class _File(
-    msgspec.Struct,
-    rename={
-        "name": "member",
-        "zone": "domain",
-        "listen": "api_addr",
-        "mesh": "mesh_addr",
-        "peers": "seeds",
-        "services": "endpoints",
-    },
-):
-    name: str
-    zone: str
-    listen: str
-    mesh: str
-    services: _Services
-    cluster: _Cluster
-    peers: list[_Peer] = []
-
-
-# -- what the program uses ---------------------------------------------------------------------
-
-
 @dataclass(frozen=True, slots=True)
 class Peer:
     """Another controller of the deployment."""
@@ -231,7 +139,7 @@
     Raises ``InvalidSettingsError`` for the first fault.
     """
     try:
-        file = msgspec.convert(tomllib.loads(text), _File)
+        file = msgspec.convert(tomllib.loads(text), SettingsFile)
     except tomllib.TOMLDecodeError as problem:
         raise InvalidSettingsError(f"not TOML: {problem}") from None
     except msgspec.ValidationError as problem:
@@ -242,13 +150,13 @@
 # -- checks ------------------------------------------------------------------------------------
 
 
-def _platform(file: _File) -> Platform:
+def _platform(file: SettingsFile) -> Platform:
     """Check the file in a fixed order, so that of several faults the same one is reported."""
     cluster = file.cluster
     _check_numbers(cluster)
     _check_zones(file)
     _check_timeouts(cluster.workers)
-    teams = {team.name: _team(team) for team in cluster.teams}
+    teams = {team.name: _checked_team(team) for team in cluster.teams}
     state_limits = _state_limits(cluster.state)
     _check_addresses(file)
     return Platform(
@@ -264,14 +172,14 @@
         objectives=tuple(_objective(objective) for objective in cluster.objectives),
         workers=_workers(cluster.workers),
         state_limits=state_limits,
-        sure_limits=_sure_limits(state_limits, cluster.state.next or _NextState()),
+        sure_limits=_sure_limits(state_limits, cluster.state.next or AnnouncedStateLimits()),
         cloud_rps=cluster.cloud.rps,
         list_lag=seconds(cluster.cloud.list_lag_s),
         max_connections=cluster.quota.max_connections,
     )
 
 
-def _check_numbers(cluster: _Cluster) -> None:
+def _check_numbers(cluster: ClusterSection) -> None:
     workers, state = cluster.workers, cluster.state
     _check_positive(
         {
@@ -288,7 +196,7 @@
             "cluster.quota.max_connections": cluster.quota.max_connections,
         }
     )
-    announced = msgspec.structs.asdict(state.next or _NextState())
+    announced = msgspec.structs.asdict(state.next or AnnouncedStateLimits())
     _check_positive(
         {
             f"cluster.state.next.{name}": limit
@@ -305,19 +213,19 @@
             raise InvalidSettingsError(f"{name} must be above 0, not {value}")
 
 
-def _check_zones(file: _File) -> None:
+def _check_zones(file: SettingsFile) -> None:
     if not file.cluster.zones:
         raise InvalidSettingsError("cluster.zones must name at least one zone")
     if file.zone not in file.cluster.zones:
         raise InvalidSettingsError(f"domain {file.zone!r} is not one of cluster.zones")
 
 
-def _check_timeouts(workers: _Workers) -> None:
+def _check_timeouts(workers: WorkerTimes) -> None:
     if workers.lease_s >= workers.cancel_s:
         raise InvalidSettingsError("cluster.workers.cancel_s must be above cluster.workers.lease_s")
 
 
-def _team(team: _Team) -> Team:
+def _checked_team(team: TeamEntry) -> Team:
     """Check a team's amounts; a limit of 0 in the file means none."""
     for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
         value = getattr(team, name)
@@ -330,11 +238,11 @@
     return Team(team.name, team.cpus, team.gpus, team.cpus_max or None, team.gpus_max or None)
 
 
-def _state_limits(state: _State) -> Limits:
+def _state_limits(state: StateServiceLimits) -> Limits:
     return Limits(state.rps, state.write_rps, state.txn_ops, _bytes(state.value_kb))
 
 
-def _sure_limits(now: Limits, announced: _NextState) -> Limits:
+def _sure_limits(now: Limits, announced: AnnouncedStateLimits) -> Limits:
     """Return limits that hold before and after an announced change, which comes without notice."""
     value_bytes = now.value_bytes if announced.value_kb is None else _bytes(announced.value_kb)
     return now.stricter(
@@ -351,7 +259,7 @@
     return int(kilobytes * 1024)
 
 
-def _check_addresses(file: _File) -> None:
+def _check_addresses(file: SettingsFile) -> None:
     _address("endpoints.cloud", file.services.cloud)
     _address("endpoints.state", file.services.state)
     for peer in file.peers:
@@ -365,18 +273,18 @@
         raise InvalidSettingsError(f"{name}: {problem}") from None
 
 
-def _other_controllers(file: _File) -> tuple[Peer, ...]:
+def _other_controllers(file: SettingsFile) -> tuple[Peer, ...]:
     """Return the peers without this controller, which the file lists as well."""
     return tuple(
         Peer(peer.name, peer.zone, peer.address) for peer in file.peers if peer.name != file.name
     )
 
 
-def _objective(objective: _Objective) -> Objective:
+def _objective(objective: ObjectiveEntry) -> Objective:
     return Objective(objective.kind, objective.job_class, seconds(objective.within_s))
 
 
-def _workers(workers: _Workers) -> Workers:
+def _workers(workers: WorkerTimes) -> Workers:
     return Workers(
         heartbeat_interval=seconds(workers.report_s),
         lease=seconds(workers.lease_s),
--- a/micadeal/timing/series.py
+++ b/micadeal/timing/series.py
@@ -154,6 +154,19 @@
             f"{document.quantity} of {document.zone!r} instead of {quantity.value} of {zone!r}"
         )
     _check_unit(document.unit, quantity, previous)
+    series = _checked_series(document, quantity, now, drift)
+    if series.expired(now):
+        raise SeriesExpiredError(
+            f"valid until {series.valid_until.isoformat()}, ends {series.end.isoformat()}"
+        )
+    _check_step(series, previous)
+    return series
+
+
+def _checked_series(
+    document: SeriesDocument, quantity: Quantity, now: datetime, drift: timedelta
+) -> Series:
+    """Check a document's times and values, and convert it."""
     _check_point_count(document)
     _check_time_zones(document)
     # Subtracting datetimes of one local zone ignores its change of clocks: all become UTC first.
@@ -163,8 +176,8 @@
     _check_spacing(starts, interval)
     values = tuple(point.value for point in document.points)
     _check_values(values, starts, quantity)
-    series = Series(
-        zone=zone,
+    return Series(
+        zone=document.zone,
         quantity=quantity,
         unit=document.unit,
         source=document.source,
@@ -175,12 +188,6 @@
         interval=interval,
         values=values,
     )
-    if series.expired(now):
-        raise SeriesExpiredError(
-            f"valid until {series.valid_until.isoformat()}, ends {series.end.isoformat()}"
-        )
-    _check_step(series, previous)
-    return series
 
 
 def _check_unit(unit: str, quantity: Quantity, previous: Series | None) -> None:
