--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -26,7 +26,7 @@
 import pytest
 
 from micadeal.controller.api.cancellations import CancellationBroadcaster
-from micadeal.controller.api.jobs import CancellationSpread
+from micadeal.controller.api.jobs import CancellationConfirmation
 from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.controller.leader import Leader
 from micadeal.controller.outbound import OutboundCalls
@@ -82,8 +82,8 @@
 
 
 def _tells_alone(patch: pytest.MonkeyPatch) -> None:
-    async def alone(self: CancellationBroadcaster, job_id: str) -> CancellationSpread:
-        return CancellationSpread(True, True)
+    async def alone(self: CancellationBroadcaster, job_id: str) -> CancellationConfirmation:
+        return CancellationConfirmation(True, True)
 
     patch.setattr(CancellationBroadcaster, "broadcast", alone)
 
@@ -91,7 +91,7 @@
 def _told_while_tasks_may_start(patch: pytest.MonkeyPatch) -> None:
     broadcast = CancellationBroadcaster.broadcast
 
-    async def settled(self: CancellationBroadcaster, job_id: str) -> CancellationSpread:
+    async def settled(self: CancellationBroadcaster, job_id: str) -> CancellationConfirmation:
         return (await broadcast(self, job_id))._replace(settled=True)
 
     async def nothing_starts(self: CancellationBroadcaster, job_id: str) -> bool:
--- a/bench/flexible_start_savings.py
+++ b/bench/flexible_start_savings.py
@@ -126,8 +126,8 @@
         self.scheduler = Scheduler(cluster, InstanceOffers(), policy, [], seconds(0))
         self.scheduler.set_catalog([BOX])
         if timing:
-            self.scheduler.holding = Deferral(cluster, UTC, seconds(5))
-            self.scheduler.holding.learn(night.earlier())
+            self.scheduler.deferral = Deferral(cluster, UTC, seconds(5))
+            self.scheduler.deferral.learn(night.earlier())
         self.record_writer = RecordWriter(cluster, Limits(1000, 1000, 100, 65536))
         self.until = night.lost_at if lost else timedelta.max
         self.jobs = {job.spec.job_id: job for job in night.asked}
@@ -147,10 +147,10 @@
             while coming and coming[0].at <= now:
                 job = coming.pop(0)
                 self.scheduler.job_added(Job(job.spec, job.at, 1), now)
-            holding = self.scheduler.holding
-            if holding and now < self.until and (fed is None or now - fed >= QUARTER):
+            deferral = self.scheduler.deferral
+            if deferral and now < self.until and (fed is None or now - fed >= QUARTER):
                 fed = now
-                holding.take(self.night.series(now))
+                deferral.take(self.night.series(now))
             self._cloud(now)
             for name in list(self.up):
                 self._on_heartbeat(name, now)
--- a/bench/model_follower_leases/decisions.py
+++ b/bench/model_follower_leases/decisions.py
@@ -56,7 +56,7 @@
     if leader_forgotten:
         forget_leader(follower_leases)
     ping = Ping("c0" if leading_token else "", False, leading_token, wants_consent, True)
-    word = follower_leases.word(ping, leading=False, state_reachable=False, now=NOW)
+    word = follower_leases.promise(ping, leading=False, state_reachable=False, now=NOW)
     promise = Promise(
         age=round(word.age_ms / 1000),
         synced=word.synced,
@@ -90,7 +90,7 @@
 def answer_worker_as_follower(controller: ControllerId) -> FollowerAnswer | None:
     """Let a controller answer the worker without a leader; None: it may not."""
     follower_leases = unpack(controller)
-    response = follower_leases.answer(HEARTBEAT, state_reachable=False, now=NOW)
+    response = follower_leases.renew(HEARTBEAT, state_reachable=False, now=NOW)
     if response is None:
         return None
     return FollowerAnswer(pack(follower_leases), bool(response.commands))
--- a/bench/model_rollout.py
+++ b/bench/model_rollout.py
@@ -38,8 +38,8 @@
 from micadeal.rollout.feature_level import Build
 from micadeal.rollout.leader_lock import LeaderLock
 from micadeal.rollout.membership import PeerObservation, Process
-from micadeal.schema.keys import LEADER, LEADER_LOCK, LEVEL, LOCK_HOLDER
-from micadeal.wire.state import Condition, Drop, Item, Put
+from micadeal.schema.keys import LEADER, LEADER_LOCK_PREFIX, LEVEL, LOCK_HOLDER
+from micadeal.wire.state import Condition, Delete, Item, Put
 
 NOW = seconds(1000)
 #: What a process may be: the highest level that it knows; none for a version before levels.
@@ -94,7 +94,9 @@
 
 
 def _leader_lock(store: tuple[Any, ...], _: int) -> LeaderLock:
-    return _read(tuple(entry[:3] for entry in store if entry[0].startswith((LEADER, LEADER_LOCK))))
+    return _read(
+        tuple(entry[:3] for entry in store if entry[0].startswith((LEADER, LEADER_LOCK_PREFIX)))
+    )
 
 
 @cache
@@ -107,7 +109,7 @@
     i: int,
     node: Controller,
     conditions: list[Condition],
-    changes: list[Put | Drop],
+    changes: list[Put | Delete],
     wins: bool = False,
 ) -> Flight:
     return Flight(
@@ -267,7 +269,9 @@
 
 
 def _kept(state: State) -> tuple[Any, ...]:
-    return tuple(entry for entry in state.store if entry[0].startswith((LEADER, LEADER_LOCK)))
+    return tuple(
+        entry for entry in state.store if entry[0].startswith((LEADER, LEADER_LOCK_PREFIX))
+    )
 
 
 def _lead(state: State, i: int, node: Controller) -> Iterator[State | None]:
@@ -321,7 +325,7 @@
 def _write(state: State, i: int, node: Controller, layout: int) -> State | None:
     if not state.writes:
         return None
-    change: list[Put | Drop] = [Put(f"{DATA}{layout}", 1)]
+    change: list[Put | Delete] = [Put(f"{DATA}{layout}", 1)]
     flight = _flight(i, node, [Condition(LEADER, node.fence)], change)
     return _send(state, flight, writes=state.writes - 1)
 
@@ -331,7 +335,7 @@
         target = f"{DATA}{leader_lock.level.writes}"
         if key.startswith(DATA) and key != target:
             conditions = [Condition(LEADER, node.fence), Condition(key, version)]
-            return _send(state, _flight(i, node, conditions, [Put(target, 1), Drop(key)]))
+            return _send(state, _flight(i, node, conditions, [Put(target, 1), Delete(key)]))
     return None
 
 
--- a/bench/profile_pass.py
+++ b/bench/profile_pass.py
@@ -25,7 +25,7 @@
 from micadeal.state.limits import Limits
 from micadeal.timing.series import Quantity, Series
 from micadeal.wire.users import Priority, Shape
-from tests.fakes.random_clusters import Picture
+from tests.fakes.random_clusters import RandomDeployment
 
 
 def timed(what: str, times: int, work: Callable[[], object]) -> None:
@@ -36,19 +36,19 @@
     click.echo(f"{what:<44}{spent:10.2f} ms")
 
 
-def hold_many(picture: Picture, held: int, step: Callable[[], None]) -> None:
+def hold_many(picture: RandomDeployment, held: int, step: Callable[[], None]) -> None:
     """Passes without and with a held queue, turn by turn, and what choosing its windows takes."""
     scheduler = picture.scheduler
     utc_now = datetime(2026, 12, 1, 20, 0, tzinfo=UTC)
-    holding = Deferral(picture.cluster, UTC, seconds(5))
+    deferral = Deferral(picture.cluster, UTC, seconds(5))
     prices = tuple(0.3 if hour < 5 or hour > 9 else 0.1 for hour in range(24))
     day = timedelta(days=1)
-    holding.take(
+    deferral.take(
         Series("north", Quantity.PRICE, "EUR/kWh", "bench", utc_now, utc_now + day, utc_now,
                utc_now,
                timedelta(hours=1), prices)
     )  # fmt: skip
-    holding.learn([("nightly", 1.0)] * 100)
+    deferral.learn([("nightly", 1.0)] * 100)
     scheduler.policy = replace(scheduler.policy, flexible={"nightly": Flexible()})
     without: list[float] = []
     beside: list[float] = []
@@ -65,7 +65,7 @@
             job_class="nightly", tasks=1, shape=Shape.ARRAY, priority=Priority.LOW, team="team-0",
             gpus=0.1, deadline_s=36_000.0 + number, estimate_s=600.0 + number % 7 * 600,
         )  # fmt: skip
-    scheduler.holding = holding
+    scheduler.deferral = deferral
     turns = held // AT_ONCE + 1
     timed("windows: one turn", turns, lambda: scheduler.hold(picture.now, utc_now))
     counted = scheduler.state_counts(picture.now)["held"]
@@ -82,7 +82,7 @@
 @click.option("--profile", is_flag=True, help="List the costliest functions as well.")
 def main(machines: int, jobs: int, held: int, profile: bool) -> None:
     """Time the parts of a leader's work."""
-    picture = Picture(machines, jobs)
+    picture = RandomDeployment(machines, jobs)
     scheduler, cluster = picture.scheduler, picture.cluster
     record_writer = RecordWriter(cluster, Limits(150, 25, 16, 8192))
     profiler = cProfile.Profile()
--- a/micadeal/controller/api/cancellations.py
+++ b/micadeal/controller/api/cancellations.py
@@ -6,7 +6,7 @@
 
 from micadeal.actor import MailboxFullError
 from micadeal.clock import ZERO, monotonic, seconds
-from micadeal.controller.api.jobs import CancellationSpread
+from micadeal.controller.api.jobs import CancellationConfirmation
 from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.controller.known_leader import QUERY_TIMEOUT, KnownLeader
 from micadeal.controller.messages import HasRemainingTasks, JobCancelled, MayTasksStart
@@ -41,11 +41,11 @@
         self._undelivered: list[str] = []
         self.waiting_for_starts = 0
 
-    async def broadcast(self, job_id: str) -> CancellationSpread:
+    async def broadcast(self, job_id: str) -> CancellationConfirmation:
         """Make a cancellation known to the leader and to the other controllers."""
         needed = 0
         if self._follower_leases is not None:
-            self._follower_leases.note(job_id, monotonic())
+            self._follower_leases.add_cancellation(job_id, monotonic())
             needed = self._follower_leases.timing.majority - 1
         actor = self._leader.actor
         if actor is not None:
@@ -59,14 +59,14 @@
             else:
                 may_start = job_id not in self._all_started()
             settled = not may_start and not any(may_start_by_peer.values())
-            return CancellationSpread(True, settled)
+            return CancellationConfirmation(True, settled)
         # Without a majority, a leader may confirm the cancellation alone once nothing of the job
         # is left that any other controller could keep alive.
         try:
             remaining = actor is None or await actor.ask(HasRemainingTasks(job_id), QUERY_TIMEOUT)
         except (MailboxFullError, TimeoutError):
             remaining = True
-        return CancellationSpread(not remaining, not remaining)
+        return CancellationConfirmation(not remaining, not remaining)
 
     async def tell_leader(self, job_ids: Iterable[str]) -> bool:
         """Tell the leader's actor of cancellations, if this controller leads.
--- a/micadeal/controller/api/confirmation.py
+++ b/micadeal/controller/api/confirmation.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 
-class CancellationSpread(NamedTuple):
+class CancellationConfirmation(NamedTuple):
     """How far a cancellation has got."""
 
     #: So many controllers know of it that a user may be answered, as far as that goes.
@@ -39,7 +39,7 @@
     def __init__(
         self,
         answers: KnownAnswers,
-        spread: Callable[[str], Awaitable[CancellationSpread]],
+        spread: Callable[[str], Awaitable[CancellationConfirmation]],
         cancel_timeout: timedelta,
     ) -> None:
         """Confirm by ``spread``, which makes a cancellation known to the other controllers.
--- a/micadeal/controller/api/end_records.py
+++ b/micadeal/controller/api/end_records.py
@@ -6,12 +6,12 @@
 from datetime import timedelta
 
 from micadeal.clock import seconds, utc_now
-from micadeal.schema.decoding import read_one
+from micadeal.schema.decoding import decode_item
 from micadeal.schema.job_records import read_job_record
 from micadeal.schema.keys import ENDS
 from micadeal.state.service import StateService, StateServiceError, Urgency
 from micadeal.wire.codec import MessageFormatError, convert
-from micadeal.wire.state import Condition, Drop, EndRecord, EndStatus, Item, Put
+from micadeal.wire.state import Condition, Delete, EndRecord, EndStatus, Item, Put
 from micadeal.wire.users import Status
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
 
     Guards ``forgotten``: as long as the record says how the job ended, users are answered that.
     """
-    record = read_one(item, EndRecord)
+    record = decode_item(item, EndRecord)
     if record is not None:
         return record
     try:
@@ -56,7 +56,7 @@
         end = EndRecord(Status.CANCELLED, 0, utc_now().timestamp())
     await state.commit(
         [Condition(item.key, item.version), Condition(ENDS + job_id, 0)],
-        [Put(ENDS + job_id, end), Drop(item.key)],
+        [Put(ENDS + job_id, end), Delete(item.key)],
         Urgency.USER,
         timeout=USER_WRITE_TIMEOUT,
     )
--- a/micadeal/controller/api/heartbeats.py
+++ b/micadeal/controller/api/heartbeats.py
@@ -134,11 +134,11 @@
         """Answer in the place of a leader that can't be reached; None: that is not allowed."""
         if self._follower_leases is None or self._leader.actor is not None:
             return None
-        if self._feature_levels.acts_at < FeatureLevel.FENCED:
+        if self._feature_levels.effective_level < FeatureLevel.FENCED:
             # Some controllers may not know yet that leases are renewed by followers, or may be
             # about to return to a version that does not.
             return None
-        return self._follower_leases.answer(heartbeat, self._state_contact.reachable(), monotonic())
+        return self._follower_leases.renew(heartbeat, self._state_contact.reachable(), monotonic())
 
     async def _hold(self, heartbeat: Heartbeat, tried: str | None, refused: Answer) -> Answer:
         """Hold a heartbeat for a short time until somebody can answer it.
--- a/micadeal/controller/api/jobs.py
+++ b/micadeal/controller/api/jobs.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 
 from micadeal.controller.api.cancellation import JobCancellation
-from micadeal.controller.api.confirmation import CancellationConfirmer, CancellationSpread
+from micadeal.controller.api.confirmation import CancellationConfirmation, CancellationConfirmer
 from micadeal.controller.api.dependencies import DependencyReader
 from micadeal.controller.api.job_reader import JobReader
 from micadeal.controller.api.known_answers import KnownAnswers
@@ -24,7 +24,7 @@
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.peers import Counts
 
-__all__ = ["CancellationSpread", "JobApi"]
+__all__ = ["CancellationConfirmation", "JobApi"]
 
 
 class JobApi:
@@ -34,7 +34,7 @@
         self,
         state: StateService,
         teams: dict[str, Team],
-        spread: Callable[[str], Awaitable[CancellationSpread]],
+        spread: Callable[[str], Awaitable[CancellationConfirmation]],
         cancel_time: timedelta,
     ) -> None:
         """Serve the users of one controller.
--- a/micadeal/controller/api/peers.py
+++ b/micadeal/controller/api/peers.py
@@ -97,7 +97,7 @@
 
     async def _ping(self, request: Request) -> Answer:
         ping = decode(Ping, request.body)
-        self._feature_levels.told(ping.leading_token, ping.process)
+        self._feature_levels.on_leader_ping(ping.leading_token, ping.process)
         if ping.leading_token > 0 and not ping.reading:
             self._on_leader_announced(ping.controller, ping.leading_token)
         progress = await self._progress(ping)
@@ -117,7 +117,7 @@
                 reaches=self._peer_links.reaches(),
                 cascade_age_ms=progress.cascade_age_ms,
                 renewal_promise=promise,
-                process=self._feature_levels.introduction(monotonic()),
+                process=self._feature_levels.own_process(monotonic()),
                 all_started=progress.all_started,
             ),
         )
@@ -141,7 +141,7 @@
         if self._follower_leases is None:
             return None
         leading = self._leader.actor is not None
-        return self._follower_leases.word(
+        return self._follower_leases.promise(
             ping, leading, self._state_contact.reachable(), monotonic()
         )
 
@@ -159,7 +159,7 @@
     async def _notice(self, request: Request) -> Answer:
         job_id = decode(CancellationNotice, request.body).job_id
         if self._follower_leases is not None:
-            self._follower_leases.note(job_id, monotonic())
+            self._follower_leases.add_cancellation(job_id, monotonic())
         self._jobs.over(job_id)
         if self._leader.actor is None:
             return answer(200, True)
--- a/micadeal/controller/api/readiness.py
+++ b/micadeal/controller/api/readiness.py
@@ -59,8 +59,8 @@
     def _reason_not_ready(self) -> str | None:
         if not self._catalog_known():
             return "the machine types are not known yet"
-        if self.shutting_down or self._feature_levels.misfit is not None:
-            return self._feature_levels.misfit or SHUTTING_DOWN
+        if self.shutting_down or self._feature_levels.permanent_refusal is not None:
+            return self._feature_levels.permanent_refusal or SHUTTING_DOWN
         contact_age = self._state_contact.age()
         if contact_age is not None and contact_age < MAX_STATE_CONTACT_AGE:
             return None
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -79,7 +79,7 @@
         self._network = network or TcpNetwork()
         self._platform = platform
         self._state = StateService(
-            platform.state_address, platform.state_limits, platform.sure_limits, self._network
+            platform.state_address, platform.state_limits, platform.guaranteed_limits, self._network
         )
         self._state_contact = StateContact(self._state)
         self._cloud = Cloud(platform.cloud_address, platform.cloud_rps, self._network)
@@ -235,9 +235,9 @@
     ) -> None:
         match event:
             case LeaderLockRead(leader_lock):
-                self._feature_levels.seen(leader_lock)
+                self._feature_levels.on_leader_lock_read(leader_lock)
             case Elected(term, leader_lock):
-                self._feature_levels.seen(leader_lock)
+                self._feature_levels.on_leader_lock_read(leader_lock)
                 await self._begin_term(term)
             case LeaderLeaseRenewed(_, valid_until):
                 await self._leader.tell(LeaderLeaseExtended(valid_until))
@@ -262,7 +262,9 @@
         )
         known = InitialKnowledge(
             machine_types=self._job_api.types,
-            cancelled_jobs=() if self._follower_leases is None else self._follower_leases.told(),
+            cancelled_jobs=()
+            if self._follower_leases is None
+            else self._follower_leases.cancelled_jobs(),
             all_started=self._job_api.all_started(),
         )
         self._leader.actor = Leader(config, term, known)
--- a/micadeal/controller/feature_level_updater.py
+++ b/micadeal/controller/feature_level_updater.py
@@ -56,7 +56,7 @@
         #: The records may differ from what we know: the outcome of a change is unknown.
         self._outcome_unknown = False
 
-    def look_again(self) -> None:
+    def refresh_before_next_step(self) -> None:
         """Read the records again before the next step."""
         self._outcome_unknown = True
 
@@ -83,7 +83,7 @@
         leader_lock = await read_leader_lock(self._state)
         self._outcome_unknown = False
         if leader_lock.token == self._term.token:
-            self._feature_levels.seen(leader_lock)
+            self._feature_levels.on_leader_lock_read(leader_lock)
             if leader_lock.fence != self._fence:
                 self._fence = leader_lock.fence
                 await self._tell(
--- a/micadeal/controller/feature_levels.py
+++ b/micadeal/controller/feature_levels.py
@@ -75,7 +75,7 @@
 
     # -- records ---------------------------------------------------------------------------
 
-    def seen(self, leader_lock: LeaderLock) -> None:
+    def on_leader_lock_read(self, leader_lock: LeaderLock) -> None:
         """Take over the records as just read, unless newer ones are known."""
         if self._leader_lock is not None and leader_lock.revision < self._leader_lock.revision:
             return
@@ -104,21 +104,21 @@
         return self._refusal
 
     @property
-    def misfit(self) -> str | None:
+    def permanent_refusal(self) -> str | None:
         """The same as ``refusal``, but None where the reason will pass by itself."""
         return None if self._leader_lock is None else self._refusal
 
     # -- between controllers ---------------------------------------------------------------
 
-    def introduction(self, now: timedelta) -> peers.Process:
+    def own_process(self, now: timedelta) -> peers.Process:
         """Return what we say of our own process in pings and answers."""
         build = self.process.build
         age_ms = (now - self._started_at).total_seconds() * 1000
         return peers.Process(
-            self.process.id, build.name, build.lowest, build.highest, age_ms, self.acts_at
+            self.process.id, build.name, build.lowest, build.highest, age_ms, self.effective_level
         )
 
-    def told(self, token: int, process: peers.Process | None) -> None:
+    def on_leader_ping(self, token: int, process: peers.Process | None) -> None:
         """Take over the level that the leader of a term acts by, from its ping.
 
         ``process`` is None for a version that knows no levels: it acts by the first.
@@ -148,7 +148,7 @@
             log.info("controller restarted: controller=%s build=%s", name, build)
 
     @property
-    def acts_at(self) -> int:
+    def effective_level(self) -> int:
         """The level that we write and act by: never ahead of the leader that contacted us."""
         recorded = self.record.writes
         leader = self._leader_level
@@ -184,7 +184,7 @@
                 log.debug("feature level change waits: reason=%s", wait)
         self._waits = waits
 
-    def line(self, now: timedelta) -> peers.LevelLine:
+    def level_line(self, now: timedelta) -> peers.LevelLine:
         """Return the level and all members as the overview shows them."""
         record = self.record
         age_s = max(utc_now().timestamp() - record.since, 0.0) if record.since else 0.0
--- a/micadeal/controller/follower_leases.py
+++ b/micadeal/controller/follower_leases.py
@@ -58,7 +58,7 @@
 
     # -- cancellations ---------------------------------------------------------------------
 
-    def note(self, job_id: str, now: timedelta, age: timedelta = ZERO) -> bool:
+    def add_cancellation(self, job_id: str, now: timedelta, age: timedelta = ZERO) -> bool:
         """Add a cancellation to the list; return whether it was not on it yet."""
         if job_id in self._cancellations or not JOB_ID.match(job_id):
             return False
@@ -75,7 +75,7 @@
         for job_id in old:
             del self._cancellations[job_id]
 
-    def told(self) -> tuple[str, ...]:
+    def cancelled_jobs(self) -> tuple[str, ...]:
         """Return the ids of all jobs on the list of cancellations."""
         return tuple(self._cancellations)
 
@@ -107,7 +107,7 @@
         if not leading_token and not state_reachable:
             message.wants_consent = self._state.token
 
-    def word(
+    def promise(
         self, ping: peers.Ping, leading: bool, state_reachable: bool, now: timedelta
     ) -> peers.RenewalPromise:
         """Return our part of the answer to a ping.
@@ -174,7 +174,7 @@
         return [
             job_id
             for job_id, age_ms in promise.cancellations.items()
-            if self.note(job_id, now, _duration(age_ms))
+            if self.add_cancellation(job_id, now, _duration(age_ms))
         ]
 
     def views(self) -> tuple[PeerRenewalView, ...]:
@@ -183,7 +183,7 @@
 
     # -- workers ---------------------------------------------------------------------------
 
-    def answer(
+    def renew(
         self, heartbeat: Heartbeat, state_reachable: bool, now: timedelta
     ) -> HeartbeatResponse | None:
         """Return the response to a worker in place of the leader; None: we must not give one."""
--- a/micadeal/controller/job_end_reader.py
+++ b/micadeal/controller/job_end_reader.py
@@ -48,7 +48,7 @@
         if rescan or dependencies.changed:
             self._pending = [
                 job_id
-                for job_id in dependencies.unread(monotonic())
+                for job_id in dependencies.ends_to_read(monotonic())
                 if job_id not in self._in_flight
             ]
             if not (self._pending or self._in_flight or dependencies.cancelled_by_dependency):
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -112,7 +112,7 @@
             TermCallbacks(
                 tell=self.tell_unbounded,
                 resign=config.resign,
-                fence_changed=self._level_updater.look_again,
+                fence_changed=self._level_updater.refresh_before_next_step,
                 has_full_authority=lambda: self._authority.current() is Authority.FULL,
             ),
         )
@@ -335,7 +335,7 @@
     def _on_job_end_loaded(self, message: messages.JobEndLoaded, now: timedelta) -> None:
         self._job_ends.completed(message.job_id)
         if message.end is None:
-            self._cluster.dependencies.not_found(message.job_id, now)
+            self._cluster.dependencies.end_not_found(message.job_id, now)
         else:
             self._cluster.job_ended(message.job_id, message.end, now)
 
@@ -384,8 +384,8 @@
             self._scheduler,
             self._platform.name,
             now,
-            reachability=self._authority.current() is Authority.FULL,
+            state_reachable=self._authority.current() is Authority.FULL,
         )
-        overview.level = self._feature_levels.line(now)
+        overview.level = self._feature_levels.level_line(now)
         overview.notes = sorted([*overview.notes, *self._zone_observer.notes(now)])
         return overview
--- a/micadeal/controller/messages.py
+++ b/micadeal/controller/messages.py
@@ -19,9 +19,9 @@
     FinishedRecord,
     ImagesRecord,
     Item,
-    LeavingRecord,
     LevelRecord,
     PlacedRecord,
+    ReturnedMachinesRecord,
 )
 from micadeal.wire.workers import Heartbeat
 
@@ -120,7 +120,7 @@
     jobs: list[Item]
     placed: list[VersionedRecord[PlacedRecord]]
     images: list[VersionedRecord[ImagesRecord]]
-    draining: list[VersionedRecord[LeavingRecord]]
+    draining: list[VersionedRecord[ReturnedMachinesRecord]]
     finished: list[VersionedRecord[FinishedRecord]]
     parts: list[Item]
     ended: dict[str, EndRecord]
--- a/micadeal/controller/peer_links.py
+++ b/micadeal/controller/peer_links.py
@@ -15,7 +15,7 @@
 from micadeal.controller.feature_levels import FeatureLevels
 from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.http.message import HttpError
-from micadeal.http.network import AnyClient, Network
+from micadeal.http.network import HttpClient, Network
 from micadeal.leadership.term import PeerContact
 from micadeal.operator.platform import Peer
 from micadeal.rollout.membership import PRESENCE_TIMEOUT
@@ -48,9 +48,9 @@
     """The connections to one peer and its last answer to a ping."""
 
     peer: Peer
-    client: AnyClient
+    client: HttpClient
     #: Separate, so that other requests don't delay pings.
-    ping_client: AnyClient
+    ping_client: HttpClient
     heard_at: timedelta | None = None
     pong: Pong | None = None
     contact: PeerContact | None = None
@@ -135,7 +135,7 @@
         message = Ping(self._name, wants_counts=self.leader == link.peer.name)
         message.leading_token = leading_token
         message.reading = self._loading()
-        message.process = self._feature_levels.introduction(asked_at)
+        message.process = self._feature_levels.own_process(asked_at)
         if self._follower_leases is not None:
             self._follower_leases.prepare_ping(
                 message, leading_token, self._state_reachable(), asked_at
--- a/micadeal/controller/persistence/batches.py
+++ b/micadeal/controller/persistence/batches.py
@@ -7,9 +7,9 @@
 
 from micadeal.fleet.machines import Attempt
 from micadeal.state.service import Urgency
-from micadeal.wire.state import Condition, Drop, EndRecord, Put
+from micadeal.wire.state import Condition, Delete, EndRecord, Put
 
-Operation = Put | Drop
+Operation = Put | Delete
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
 
     def drop(self, key: str) -> None:
         """Add a key to be dropped."""
-        self.operations.append(Drop(key))
+        self.operations.append(Delete(key))
 
     def build(self, conditions: tuple[Condition, ...], urgency: Urgency) -> WriteBatch:
         """Return the batch of all that was added."""
--- a/micadeal/controller/persistence/finished_chunks.py
+++ b/micadeal/controller/persistence/finished_chunks.py
@@ -7,7 +7,7 @@
 
 from micadeal.controller.persistence.batches import BatchDraft, FinishedTasksWrite
 from micadeal.controller.persistence.writer_context import WriteLimits
-from micadeal.jobs.model import CHUNK, SMALL_CHUNK, Job, to_bits
+from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, to_bits
 from micadeal.schema.keys import DONE, FINISHED
 from micadeal.wire.state import FinishedRecord
 
@@ -46,7 +46,7 @@
 
     def tasks(self, job: Job, number: int) -> frozenset[int]:
         """Return the job's finished tasks in a chunk."""
-        return job.with_timeout(number * self.tasks_per_chunk, self.tasks_per_chunk)
+        return job.finished_in_chunk(number * self.tasks_per_chunk, self.tasks_per_chunk)
 
     def chunk(self, job: Job, number: int) -> FinishedChunk:
         """Return a chunk with all tasks of it that are finished by now."""
@@ -56,6 +56,6 @@
 
 
 #: Read by all versions; too large for state services with lower limits than at first.
-LARGE_CHUNKS = ChunkLayout(DONE, CHUNK)
+LARGE_CHUNKS = ChunkLayout(DONE, TASKS_PER_CHUNK)
 #: Written where a large chunk does not fit, and from level ``FENCED`` on always.
-SMALL_CHUNKS = ChunkLayout(FINISHED, SMALL_CHUNK)
+SMALL_CHUNKS = ChunkLayout(FINISHED, TASKS_PER_SMALL_CHUNK)
--- a/micadeal/controller/persistence/finished_tasks.py
+++ b/micadeal/controller/persistence/finished_tasks.py
@@ -15,8 +15,8 @@
 )
 from micadeal.controller.persistence.writer_context import WriterContext
 from micadeal.jobs.model import Job
-from micadeal.schema.keys import job_of
-from micadeal.wire.state import Drop
+from micadeal.schema.keys import job_id_of_key
+from micadeal.wire.state import Delete
 
 #: Finished tasks of a job are collected for this long before they are written.
 COLLECT_TIME = seconds(1)
@@ -77,8 +77,8 @@
     def committed(self, batch: WriteBatch) -> None:
         """Take over which tasks are durable, and which chunks are gone."""
         for operation in batch.operations:
-            if isinstance(operation, Drop) and operation.key.startswith(FINISHED_PREFIXES):
-                job = self._cluster.jobs.get(job_of(operation.key))
+            if isinstance(operation, Delete) and operation.key.startswith(FINISHED_PREFIXES):
+                job = self._cluster.jobs.get(job_id_of_key(operation.key))
                 if job is not None:
                     job.record_keys.discard(operation.key)
         for write in batch.finished:
@@ -91,5 +91,5 @@
     def _drop_written(self, batch: WriteBatch, write: FinishedTasksWrite) -> None:
         """Drop chunks of a job that ended while they were written: nothing else would."""
         for operation in batch.operations:
-            if job_of(operation.key) == write.job_id:
+            if job_id_of_key(operation.key) == write.job_id:
                 self._keys.schedule_drop(operation.key)
--- a/micadeal/controller/persistence/job_ends.py
+++ b/micadeal/controller/persistence/job_ends.py
@@ -9,7 +9,7 @@
 from micadeal.controller.persistence.batches import BatchDraft, JobEndWrite, WriteBatch
 from micadeal.controller.persistence.writer_context import WriterContext
 from micadeal.jobs.model import Job
-from micadeal.schema.decoding import read_one
+from micadeal.schema.decoding import decode_item
 from micadeal.schema.keys import ENDS, JOBS
 from micadeal.state.service import Urgency
 from micadeal.wire.state import Condition, EndRecord, Item
@@ -94,7 +94,7 @@
         if job is None or item is None:
             return
         self._keys.schedule_job_drops(job)
-        record = read_one(item, EndRecord)
+        record = decode_item(item, EndRecord)
         if record is None:
             self._cluster.job_gone(end.job_id, now)
         else:
--- a/micadeal/controller/persistence/layout_migration.py
+++ b/micadeal/controller/persistence/layout_migration.py
@@ -18,7 +18,7 @@
 )
 from micadeal.controller.persistence.writer_context import WriterContext
 from micadeal.rollout.migration import MigrationBacklog
-from micadeal.schema.keys import DONE, FINISHED, OLD_PLACED
+from micadeal.schema.keys import DONE, FINISHED, MACHINE_PLACEMENTS
 from micadeal.wire.state import LevelRecord, Put
 
 #: Minimum time between two records that are rewritten.
@@ -48,7 +48,9 @@
         if level.level == level.oldest:
             return MigrationBacklog()
         keys = [
-            key for key in self._keys.versions if key.startswith((*FINISHED_PREFIXES, OLD_PLACED))
+            key
+            for key in self._keys.versions
+            if key.startswith((*FINISHED_PREFIXES, MACHINE_PLACEMENTS))
         ]
         small = sum(key.startswith(FINISHED) for key in keys)
         if self._context.writes_fenced_layouts:
@@ -84,7 +86,7 @@
     def _merge_old_placements(self, now: timedelta) -> None:
         """Have placements of the old layout merged, as if something of them were gone."""
         for key in self._cluster.records:
-            if key.startswith(OLD_PLACED):
+            if key.startswith(MACHINE_PLACEMENTS):
                 self._cluster.shrunk.setdefault(key, now)
 
     def _rewrite_chunk(self, draft: BatchDraft, key: str) -> None:
--- a/micadeal/controller/persistence/placements.py
+++ b/micadeal/controller/persistence/placements.py
@@ -18,7 +18,7 @@
 from micadeal.schema.keys import PLACED
 from micadeal.state.service import Urgency
 from micadeal.wire.codec import convert
-from micadeal.wire.state import Drop, Item, PlacedRecord
+from micadeal.wire.state import Delete, Item, PlacedRecord
 
 #: A record that names attempts which are gone is merged after this time.
 MERGE_DELAY = seconds(4)
@@ -80,7 +80,7 @@
         written = {write.key for write in batch.placed}
         for operation in batch.operations:
             emptied = operation.key.startswith(PLACED) and operation.key not in written
-            if isinstance(operation, Drop) or emptied:
+            if isinstance(operation, Delete) or emptied:
                 self._cluster.record_gone(operation.key)
 
     def failed(self, batch: WriteBatch, items: Mapping[str, Item | None], now: timedelta) -> None:
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -24,7 +24,7 @@
 from micadeal.schema.decoding import VersionedRecord
 from micadeal.state.limits import Limits
 from micadeal.state.service import Urgency
-from micadeal.wire.state import ImagesRecord, Item, LeavingRecord, LevelRecord
+from micadeal.wire.state import ImagesRecord, Item, LevelRecord, ReturnedMachinesRecord
 
 #: How often batches of what can wait are prepared.
 DEFERRED_INTERVAL = seconds(0.25)
@@ -106,7 +106,9 @@
         """Take over a page of images that an earlier leader has written."""
         self._images.load(key, record, now)
 
-    def load_leaving(self, found: VersionedRecord[LeavingRecord], now: timedelta) -> list[str]:
+    def load_leaving(
+        self, found: VersionedRecord[ReturnedMachinesRecord], now: timedelta
+    ) -> list[str]:
         """Return the machines that an earlier leader was returning until a moment ago."""
         return self._returned_machines.load(found, now)
 
--- a/micadeal/controller/persistence/returned_machines.py
+++ b/micadeal/controller/persistence/returned_machines.py
@@ -14,7 +14,7 @@
 from micadeal.controller.persistence.writer_context import WriterContext
 from micadeal.schema.decoding import VersionedRecord
 from micadeal.schema.keys import LEAVING
-from micadeal.wire.state import LeavingRecord
+from micadeal.wire.state import ReturnedMachinesRecord
 
 #: So many machines returned at once are worth a record.
 MIN_MACHINES = 3
@@ -34,7 +34,7 @@
         #: All machines that this term has named.
         self._named: set[str] = set()
 
-    def load(self, loaded: VersionedRecord[LeavingRecord], now: timedelta) -> list[str]:
+    def load(self, loaded: VersionedRecord[ReturnedMachinesRecord], now: timedelta) -> list[str]:
         """Return the machines that an earlier leader was returning less than 40 s ago."""
         self._keys.versions[loaded.key] = loaded.version
         self._recorded_at[loaded.key] = now
@@ -53,7 +53,7 @@
             self._named.update(names)
             key = f"{LEAVING}{self._cluster.token}/{len(self._named)}"
             self._recorded_at[key] = now
-            draft.put(key, LeavingRecord(utc_now().timestamp(), names))
+            draft.put(key, ReturnedMachinesRecord(utc_now().timestamp(), names))
         for key, since in list(self._recorded_at.items()):
             if now - since > RETENTION:
                 del self._recorded_at[key]
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -12,7 +12,7 @@
 from micadeal.clock import monotonic_at
 from micadeal.controller.messages import StateLoaded
 from micadeal.controller.persistence.record_writer import RecordWriter
-from micadeal.jobs.model import CHUNK, SMALL_CHUNK, Job
+from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job
 from micadeal.operator.policy import Policy
 from micadeal.operator.script import policy_from_values
 from micadeal.scheduling import takeover
@@ -120,7 +120,7 @@
         if chunk.record is None:
             # Its tasks run once more: a worker that has kept a result gives it at once.
             return
-        first_task = int(chunk_number) * (SMALL_CHUNK if small else CHUNK)
+        first_task = int(chunk_number) * (TASKS_PER_SMALL_CHUNK if small else TASKS_PER_CHUNK)
         try:
             job.load_bits(first_task, chunk.record.bits)
         except ValueError as problem:
--- a/micadeal/controller/watchers.py
+++ b/micadeal/controller/watchers.py
@@ -25,7 +25,7 @@
 )
 from micadeal.fleet.cloud import LIST_EVERY, Cloud
 from micadeal.rollout.feature_level import FeatureLevel
-from micadeal.schema.decoding import VersionedRecord, read, read_one, read_placed
+from micadeal.schema.decoding import VersionedRecord, decode_item, decode_placements, read
 from micadeal.schema.job_records import part_keys
 from micadeal.schema.keys import (
     DONE,
@@ -34,7 +34,7 @@
     IMAGES,
     JOBS,
     LEAVING,
-    OLD_PLACED,
+    MACHINE_PLACEMENTS,
     PARTS,
     PLACED,
     SETTINGS,
@@ -49,8 +49,8 @@
     FinishedRecord,
     ImagesRecord,
     Item,
-    LeavingRecord,
     PlacedRecord,
+    ReturnedMachinesRecord,
 )
 
 log = logging.getLogger(__name__)
@@ -123,7 +123,7 @@
         accepted between the two reads would lack its parts.
         """
         requested_at = monotonic()
-        older = (OLD_PLACED, DONE) if self._oldest_level < FeatureLevel.FENCED else ()
+        older = (MACHINE_PLACEMENTS, DONE) if self._oldest_level < FeatureLevel.FENCED else ()
         prefixes = (PLACED, IMAGES, LEAVING, FINISHED, *older)
         results: dict[str, list[Item] | StateServiceError] = {}
 
@@ -147,12 +147,12 @@
                 raise result
             return result
 
-        placed = read_placed(items(PLACED) + items(OLD_PLACED))
+        placed = decode_placements(items(PLACED) + items(MACHINE_PLACEMENTS))
         loaded = StateLoaded(
             jobs=jobs,
             placed=placed,
             images=read(items(IMAGES), ImagesRecord),
-            draining=read(items(LEAVING), LeavingRecord),
+            draining=read(items(LEAVING), ReturnedMachinesRecord),
             finished=read(items(DONE) + items(FINISHED), FinishedRecord),
             parts=parts,
             ended=await self._read_ends_of_placed(jobs, placed),
@@ -180,7 +180,7 @@
         ends: dict[str, EndRecord] = {}
         for job_id in sorted(ended_jobs):
             item = await self._state.get(ENDS + job_id, Urgency.LEASE)
-            end = None if item is None else read_one(item, EndRecord)
+            end = None if item is None else decode_item(item, EndRecord)
             if end is not None:
                 ends[job_id] = end
         return ends
@@ -263,5 +263,5 @@
         if item is None:
             log.info("dependency is neither alive nor ended: job=%s", job_id)
         else:
-            end = read_one(item, EndRecord)
+            end = decode_item(item, EndRecord)
         await self._tell(JobEndLoaded(job_id, end))
--- a/micadeal/fleet/cloud.py
+++ b/micadeal/fleet/cloud.py
@@ -10,7 +10,7 @@
 from micadeal.clock import ZERO, monotonic, seconds
 from micadeal.http.message import HttpError
 from micadeal.http.network import Network
-from micadeal.state.budget import Budget
+from micadeal.state.budget import TokenBucket
 from micadeal.timeouts import sleep
 from micadeal.wire.cloud import (
     Catalog,
@@ -85,7 +85,7 @@
     def __init__(self, address: str, rps: float, network: Network) -> None:
         """``rps``: requests a second that the cloud allows."""
         self._client = network.client(address, MAX_CONNECTIONS)
-        self._budget = Budget(rps * RATE_SHARE, rps * BURST_SHARE, monotonic())
+        self._budget = TokenBucket(rps * RATE_SHARE, rps * BURST_SHARE, monotonic())
 
     async def catalog(self) -> list[MachineType]:
         """Return the machine types that can be rented.
@@ -140,7 +140,7 @@
             await sleep(wait)
         try:
             status, answer = await self._client.request(
-                method, target, body, timeout=REQUEST_TIMEOUT, repeatable=True
+                method, target, body, timeout=REQUEST_TIMEOUT, idempotent=True
             )
         except HttpError as problem:
             raise CloudUnreachableError(problem) from None
--- a/micadeal/http/client.py
+++ b/micadeal/http/client.py
@@ -39,12 +39,12 @@
         body: bytes = b"",
         *,
         timeout: timedelta,
-        repeatable: bool = True,
+        idempotent: bool = True,
     ) -> ClientResponse:
         """Send one request and return its response; ``HttpError`` if there is none in time."""
         try:
             async with curio.timeout_after(max(timeout.total_seconds(), MIN_TIMEOUT_S)):
-                return await self._exchange(method, target, body, repeatable)
+                return await self._exchange(method, target, body, idempotent)
         except curio.TaskTimeout:
             # The idle connections are as likely to be dead: start afresh.
             await self.close()
@@ -56,7 +56,7 @@
             await self._idle.pop().close()
 
     async def _exchange(
-        self, method: str, target: str, body: bytes, repeatable: bool
+        self, method: str, target: str, body: bytes, idempotent: bool
     ) -> ClientResponse:
         while True:
             fresh = not self._idle
@@ -65,7 +65,7 @@
                 response = await connection.exchange(self._host, method, target, body)
             except (OSError, h11.ProtocolError) as failure:
                 await connection.close()
-                if fresh or not repeatable:
+                if fresh or not idempotent:
                     raise HttpError(f"{self._host}: {failure}") from None
                 continue
             except curio.CancelledError:
--- a/micadeal/http/network.py
+++ b/micadeal/http/network.py
@@ -10,7 +10,7 @@
 from micadeal.wire.address import SocketAddress
 
 
-class AnyClient(Protocol):
+class HttpClient(Protocol):
     """Sends requests to one address."""
 
     async def request(
@@ -20,7 +20,7 @@
         body: bytes = b"",
         *,
         timeout: timedelta,
-        repeatable: bool = True,
+        idempotent: bool = True,
     ) -> tuple[int, bytes]:
         """Send one request and return status and body of its response.
 
@@ -35,7 +35,7 @@
         ...
 
 
-class AnyServer(Protocol):
+class HttpServer(Protocol):
     """Serves one address."""
 
     async def run(self) -> None:
@@ -46,11 +46,11 @@
 class Network(Protocol):
     """Creates clients and servers."""
 
-    def client(self, address: str, keep: int) -> AnyClient:
+    def client(self, address: str, keep: int) -> HttpClient:
         """Return a client of ``address`` that keeps up to ``keep`` idle connections open."""
         ...
 
-    def server(self, address: SocketAddress, handler: Handler, most: int) -> AnyServer:
+    def server(self, address: SocketAddress, handler: Handler, most: int) -> HttpServer:
         """Return a server of ``address`` that takes up to ``most`` connections at a time."""
         ...
 
@@ -58,10 +58,10 @@
 class TcpNetwork:
     """The real network."""
 
-    def client(self, address: str, keep: int) -> AnyClient:
+    def client(self, address: str, keep: int) -> HttpClient:
         """Return a client of ``address`` that keeps up to ``keep`` idle connections open."""
         return Client(address, keep)
 
-    def server(self, address: SocketAddress, handler: Handler, most: int) -> AnyServer:
+    def server(self, address: SocketAddress, handler: Handler, most: int) -> HttpServer:
         """Return a server of ``address`` that takes up to ``most`` connections at a time."""
         return Server(address, handler, most)
--- a/micadeal/jobs/dependencies.py
+++ b/micadeal/jobs/dependencies.py
@@ -101,18 +101,18 @@
             if (prerequisite := self.jobs.get(name)) is not None:
                 self._propagate(prerequisite)
 
-    def not_found(self, name: str, now: timedelta) -> None:
+    def end_not_found(self, name: str, now: timedelta) -> None:
         """Note that no readable end was found: it is damaged, or the job only seems to be over."""
         self._retry_at[name] = now + END_RETRY_INTERVAL
 
-    def look_again(self, name: str) -> None:
+    def retry_end(self, name: str) -> None:
         """Lift the wait before the next read of an end, since something happened to the job."""
         self._retry_at.pop(name, None)
         self.changed = True
 
     # -- queries ---------------------------------------------------------------------------
 
-    def unread(self, now: timedelta) -> list[str]:
+    def ends_to_read(self, now: timedelta) -> list[str]:
         """Return the jobs that have dependents, are not alive, and whose end is to be read."""
         self.changed = False
         return [
--- a/micadeal/jobs/model.py
+++ b/micadeal/jobs/model.py
@@ -15,10 +15,10 @@
 from micadeal.wire.users import Priority, Shape, Submission
 
 #: Tasks per chunk of the finished set under ``done/``: 3000 bytes, 4000 as base64.
-CHUNK = 24_000
+TASKS_PER_CHUNK = 24_000
 #: Tasks per chunk under ``finished/``, used where a ``done/`` chunk is too large for the state
 #: service: 500 bytes, 668 as base64.
-SMALL_CHUNK = 4_000
+TASKS_PER_SMALL_CHUNK = 4_000
 #: Deadlines and estimates are cut to this many seconds, so that sums stay within ``timedelta``.
 MAX_DURATION_S = 1e9
 #: From errors on this many machines on, the job itself is suspected rather than the machines.
@@ -57,7 +57,7 @@
     last_progress: timedelta = ZERO
     #: Since when the job has declined machines that lack its image (delay scheduling); None if it
     #: last started on a machine that has it.
-    passed_since: timedelta | None = None
+    declined_since: timedelta | None = None
     #: Why tasks could not be placed in the last scheduling cycle: tasks by reason.
     reasons: Counter[str] = field(default_factory=Counter)
     #: Prerequisites that are not recorded done (``jobs/dependencies.py``).
@@ -158,19 +158,19 @@
         return self.spec.checkpoint_s > 0
 
     @property
-    def unbegun(self) -> bool:
+    def not_begun(self) -> bool:
         """Whether no task is finished or on a machine."""
         return not self.attempts and not self.finished
 
     @property
-    def suspect(self) -> bool:
+    def suspected_faulty(self) -> bool:
         """Whether the job failed on several machines with no success since.
 
         Most likely the fault is its own, and its errors are no evidence against the machines.
         """
         return len(self.errors) >= SUSPECT_MACHINES
 
-    def runs_apart(self, machine: str, since: timedelta) -> bool:
+    def runs_on_other_machine(self, machine: str, since: timedelta) -> bool:
         """Whether a task has been running on another machine since the given instant."""
         return any(
             attempt.machine != machine
@@ -259,7 +259,7 @@
         """Whether all tasks are finished; a service never is."""
         return not self.is_service and len(self.finished) >= self.spec.tasks
 
-    def with_timeout(self, start: int, size: int) -> frozenset[int]:
+    def finished_in_chunk(self, start: int, size: int) -> frozenset[int]:
         """Return the finished tasks of the chunk of ``size`` tasks from ``start`` on."""
         return frozenset(index for index in self.finished if start <= index < start + size)
 
--- a/micadeal/leadership/election.py
+++ b/micadeal/leadership/election.py
@@ -12,7 +12,7 @@
 from micadeal.rollout import leader_lock as leader_locks
 from micadeal.rollout.leader_lock import LeaderLock
 from micadeal.rollout.membership import Process
-from micadeal.schema.keys import LEADER, LEADER_LOCK, MEMBER
+from micadeal.schema.keys import LEADER, LEADER_LOCK_PREFIX, MEMBER
 from micadeal.state.service import (
     ConflictError,
     LeaseExpiredError,
@@ -20,7 +20,7 @@
     StateService,
     StateServiceError,
     Urgency,
-    lease_end,
+    lease_valid_until,
 )
 from micadeal.timeouts import sleep
 from micadeal.wire.codec import MessageFormatError
@@ -91,7 +91,7 @@
 
 async def read_leader_lock(state: StateService) -> LeaderLock:
     """Read the lock, the feature level and the member records from the state service."""
-    items, revision = await state.range(LEADER_LOCK, Urgency.LEASE)
+    items, revision = await state.range(LEADER_LOCK_PREFIX, Urgency.LEASE)
     leader = await state.get(LEADER, Urgency.LEASE)
     return leader_locks.read(items if leader is None else [leader, *items], revision)
 
@@ -161,7 +161,7 @@
             if leader_lock.leader.controller == self._name:
                 # Held by our previous process, or by a transaction of ours that was applied
                 # without a response: that term is over, and no one need wait for its lease.
-                await self._state.end_lease(leader_lock.lease)
+                await self._state.revoke_lease(leader_lock.lease)
                 await sleep(RELEASE_DELAY)
                 return
             await self._listener(LeaderObserved(leader_lock.leader.controller, leader_lock.token))
@@ -187,7 +187,7 @@
     async def _await_change(self, leader_lock: LeaderLock) -> None:
         """Return when the lock may have changed, at the latest after an idle watch timed out."""
         # The key that changes when a term ends has this prefix.
-        prefix = LEADER_LOCK if leader_lock.fenced else LEADER
+        prefix = LEADER_LOCK_PREFIX if leader_lock.fenced else LEADER
         after = leader_lock.revision
         while True:
             try:
@@ -210,13 +210,13 @@
             if leader_lock.taken or not self._is_eligible(leader_lock):
                 return
         sent_at = monotonic()
-        lease = await self._state.new_lease(LEASE_DURATION)
+        lease = await self._state.grant_lease(LEASE_DURATION)
         token = await self._acquire(leader_lock, lease)
         if token is None:
             return
         if self._is_candidate:
             self._resign_reason = None
-        term = Term(token, lease, lease_end(sent_at, LEASE_DURATION), None, token)
+        term = Term(token, lease, lease_valid_until(sent_at, LEASE_DURATION), None, token)
         log.info("elected as leader: token=%d", token)
         await self._listener(Elected(term, leader_lock))
         reason = await self._keep_lease(term, sent_at)
@@ -229,7 +229,7 @@
         try:
             return await self._state.commit(conditions, changes, Urgency.LEASE, ACQUIRE_TIMEOUT)
         except ConflictError:
-            await self._state.end_lease(lease)
+            await self._state.revoke_lease(lease)
             return None
         except StateServiceError as problem:
             # Guards against seconds without a leader where responses are lost: no one else knows
@@ -252,18 +252,20 @@
                 await sleep(min(due - monotonic(), RESIGN_POLL_INTERVAL))
             if self._resign_reason is not None:
                 try:
-                    await self._state.end_lease(term.lease)
+                    await self._state.revoke_lease(term.lease)
                 except StateServiceError:
                     log.debug("lease not released, it will expire: token=%d", term.token)
                 return self._resign_reason
             sent_at = monotonic()
             due = sent_at + RENEW_INTERVAL
             try:
-                await self._state.renew(term.lease, timeout=RENEW_TIMEOUT)
+                await self._state.renew_lease(term.lease, timeout=RENEW_TIMEOUT)
             except LeaseExpiredError:
                 return "the lease has run out"
             except StateServiceError as problem:
                 log.debug("lease renewal failed: token=%d reason=%s", term.token, problem)
                 due = monotonic() + RENEW_RETRY_DELAY
                 continue
-            await self._listener(LeaderLeaseRenewed(term.token, lease_end(sent_at, LEASE_DURATION)))
+            await self._listener(
+                LeaderLeaseRenewed(term.token, lease_valid_until(sent_at, LEASE_DURATION))
+            )
--- a/micadeal/operator/platform.py
+++ b/micadeal/operator/platform.py
@@ -72,7 +72,7 @@
     #: A task of a gang exits if the gang was not complete within this time.
     gang_wait: timedelta
     #: Within this time the tasks of a gang notice that one of them is gone.
-    gang_peer: timedelta
+    gang_peer_timeout: timedelta
     #: When a user is told of a cancellation, all tasks must be gone within this time
     #: (``ran_cancelled``); longer than the lease.
     cancel_timeout: timedelta
@@ -86,7 +86,7 @@
     kind: str
     job_class: str
     #: The time in which it is to be met.
-    with_timeout: timedelta
+    target: timedelta
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
     #: Limits of the state service today.
     state_limits: Limits
     #: The lower of each of today's limits and those announced.
-    sure_limits: Limits
+    guaranteed_limits: Limits
     #: Requests to the cloud's API, per second.
     cloud_rps: float
     #: Usual delay of the cloud's list of machines; at times it is twice that.
@@ -172,7 +172,7 @@
         objectives=tuple(_objective(objective) for objective in cluster.objectives),
         workers=_workers(cluster.workers),
         state_limits=state_limits,
-        sure_limits=_sure_limits(state_limits, cluster.state.next or AnnouncedStateLimits()),
+        guaranteed_limits=_sure_limits(state_limits, cluster.state.next or AnnouncedStateLimits()),
         cloud_rps=cluster.cloud.rps,
         list_lag=seconds(cluster.cloud.list_lag_s),
         max_connections=cluster.quota.max_connections,
@@ -289,6 +289,6 @@
         heartbeat_interval=seconds(workers.report_s),
         lease=seconds(workers.lease_s),
         gang_wait=seconds(workers.gang_wait_s),
-        gang_peer=seconds(workers.gang_peer_s),
+        gang_peer_timeout=seconds(workers.gang_peer_s),
         cancel_timeout=seconds(workers.cancel_s),
     )
--- a/micadeal/rollout/leader_lock.py
+++ b/micadeal/rollout/leader_lock.py
@@ -28,7 +28,7 @@
 from micadeal.wire.codec import MessageFormatError, convert
 from micadeal.wire.state import (
     Condition,
-    Drop,
+    Delete,
     Item,
     LeaderRecord,
     LevelRecord,
@@ -38,7 +38,7 @@
 )
 
 #: The conditions and the changes of a transaction.
-Transaction = tuple[list[Condition], list[Put | Drop]]
+Transaction = tuple[list[Condition], list[Put | Delete]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -189,11 +189,11 @@
     members = (MEMBER + member for member in depends_on)
     conditions = [leader_lock.unchanged(key) for key in (LEADER, LEVEL, *members)]
     leader = LeaderRecord(name, lease, token)
-    changes: list[Put | Drop] = [Put(LEVEL, record)]
+    changes: list[Put | Delete] = [Put(LEVEL, record)]
     if record.level >= FeatureLevel.FENCED:
         changes += [Put(LEADER, leader), Put(LOCK_HOLDER, LockHolderRecord(name, lease), lease)]
     else:
         changes.append(Put(LEADER, leader, lease))
         if LOCK_HOLDER in leader_lock.versions:
-            changes.append(Drop(LOCK_HOLDER))
+            changes.append(Delete(LOCK_HOLDER))
     return conditions, changes
--- a/micadeal/scheduling/arrivals.py
+++ b/micadeal/scheduling/arrivals.py
@@ -91,7 +91,7 @@
         result: list[ExpectedWork] = []
         for objective in self._objectives:
             entry = self._by_class.get(objective.job_class)
-            if entry is None or entry.spec is None or objective.with_timeout >= seconds(boot_s):
+            if entry is None or entry.spec is None or objective.target >= seconds(boot_s):
                 continue
             # A burst must not pass for a rate for long: the median over the windows counts.
             rate = sorted(entry.rate(now, window) for window in ARRIVAL_WINDOWS)[MEDIAN_INDEX]
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -135,7 +135,7 @@
 
         Which of the two it is, for jobs that depend on it, is read from its end.
         """
-        self.dependencies.look_again(job_id)
+        self.dependencies.retry_end(job_id)
         job = self.jobs.get(job_id)
         if job is None or job.over:
             return
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -20,7 +20,13 @@
 from micadeal.sharing.shares import booked
 from micadeal.timing.estimate_errors import EstimateErrors
 from micadeal.timing.series import Quantity, Series
-from micadeal.timing.shift import Hold, Keeper, Pools, Work, latest_safe_start
+from micadeal.timing.shift import (
+    DeferrableJob,
+    Hold,
+    HoldTracker,
+    PoolCapacities,
+    latest_safe_start,
+)
 from micadeal.timing.signal import SLOT, Profile, Signal, cost_curve
 from micadeal.wire.users import Submission
 
@@ -54,7 +60,7 @@
         self._drift = drift
         self._signals: dict[tuple[str, Quantity], Signal] = {}
         self._errors = EstimateErrors()
-        self._keepers: dict[str, Keeper] = {}
+        self._keepers: dict[str, HoldTracker] = {}
         #: The last refresh, on the monotonic clock (None: due at once) and in UTC.
         self._refreshed_at: timedelta | None = None
         self._refreshed_utc = datetime.min
@@ -121,8 +127,10 @@
         by_class = self._deferrable_by_class()
         all_jobs = [job for jobs in by_class.values() for job in jobs]
         shares = {_pool(job): _share(job, self._teams) for job in all_jobs}
-        pools = Pools({name: share for name, share in shares.items() if math.isfinite(share)})
-        self._keepers = {name: self._keepers.get(name) or Keeper() for name in by_class}
+        pools = PoolCapacities(
+            {name: share for name, share in shares.items() if math.isfinite(share)}
+        )
+        self._keepers = {name: self._keepers.get(name) or HoldTracker() for name in by_class}
         for name, jobs in by_class.items():
             curve = cost_curve(self._weighted(policy.flexible[name]), utc_now, utc_now + HORIZON)
             self._keepers[name].begin({job.id for job in jobs}, curve, utc_now, pools)
@@ -171,7 +179,7 @@
             weighted += [(signal, weight / len(signals)) for signal in signals]
         return weighted
 
-    def _work(self, job: Job) -> Work:
+    def _work(self, job: Job) -> DeferrableJob:
         """Describe the job to the choice of windows."""
         spec = job.spec
         assert job.latest is not None
@@ -192,7 +200,7 @@
         # Full slots: jobs of like length share their list of windows.
         rounded = SLOT * math.ceil(max(duration / SLOT, 1.0))
         horizon = self._refreshed_utc + HORIZON
-        return Work(job.id, parallel, rounded, min(latest, horizon), _pool(job))
+        return DeferrableJob(job.id, parallel, rounded, min(latest, horizon), _pool(job))
 
     def _start_overhead(self, spec: Submission) -> timedelta:
         """Return how long a start may take: boot, image fetch, and margins."""
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -51,14 +51,14 @@
         delay = self._delay(spec, capacity)
         if delay < self._cluster.workers.heartbeat_interval * MIN_HEARTBEATS:
             return False
-        if job.passed_since is not None and self._now - job.passed_since >= delay:
+        if job.declined_since is not None and self._now - job.declined_since >= delay:
             return False
         before = self._waiting.get(spec.image, 0)
         if self._end_rate(spec) * delay.total_seconds() < before + tasks:
             return False
         self._waiting[spec.image] = before + tasks
-        if job.passed_since is None:
-            job.passed_since = self._now
+        if job.declined_since is None:
+            job.declined_since = self._now
         return True
 
     def _delay(self, spec: Submission, capacity: MachineCapacity) -> timedelta:
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -49,10 +49,10 @@
     )
 
 
-def overview(scheduler: Scheduler, leader: str, now: timedelta, reachability: bool) -> Overview:
+def overview(scheduler: Scheduler, leader: str, now: timedelta, state_reachable: bool) -> Overview:
     """Return the state of the deployment at a glance.
 
-    ``leader``: name of this controller; ``reachability``: whether it reaches the state service.
+    ``leader``: name of this controller; ``state_reachable``: whether it reaches the state service.
     """
     cluster = scheduler.cluster
     stuck = _stuck_jobs(scheduler, now)
@@ -61,7 +61,7 @@
         leader,
         cluster.token,
         (now - cluster.began).total_seconds(),
-        reachability,
+        state_reachable,
         _team_lines(scheduler),
         dict(scheduler.state_counts(now)),
         stuck_lines,
@@ -123,7 +123,7 @@
         if not failing and (waited < STUCK_AFTER or job.attempts or not job.waiting_count()):
             continue
         # A deferred job is pending by intention, and ``why`` tells until when.
-        if scheduler.holding is None or scheduler.holding.held(job, now) is None:
+        if scheduler.deferral is None or scheduler.deferral.held(job, now) is None:
             stuck.append(_StuckEntry(waited, job))
     stuck.sort(key=lambda entry: (-entry.waited, entry.job.id))
     return stuck
--- a/micadeal/scheduling/job_reasons.py
+++ b/micadeal/scheduling/job_reasons.py
@@ -37,7 +37,7 @@
         reasons.append(Reason(f"it has the priority of {job.lifted_by}, which needs it"))
     if job.blocked:
         return reasons
-    hold = scheduler.holding.held(job, now) if scheduler.holding is not None else None
+    hold = scheduler.deferral.held(job, now) if scheduler.deferral is not None else None
     if hold is not None:
         return [*reasons, *_deferral_reasons(hold)]
     reasons += [Reason(text, tasks) for text, tasks in job.reasons.most_common()]
@@ -71,7 +71,7 @@
     if not job.errors:
         return []
     text = f"it failed {sum(job.errors.values())} times on {len(job.errors)} machines"
-    if job.suspect:
+    if job.suspected_faulty:
         text += ", most likely by its own mistake"
     if job.retry_at > now:
         text += f"; next try in {(job.retry_at - now).total_seconds():.0f} s"
--- a/micadeal/scheduling/machine_monitor.py
+++ b/micadeal/scheduling/machine_monitor.py
@@ -103,9 +103,11 @@
         points = 0
         for job_id in machine.errors:
             job = self._cluster.jobs.get(job_id)
-            if job is None or job.suspect:
+            if job is None or job.suspected_faulty:
                 continue
-            proven = bool(job.finished) or job.runs_apart(machine.name, now - PROVEN_AFTER)
+            proven = bool(job.finished) or job.runs_on_other_machine(
+                machine.name, now - PROVEN_AFTER
+            )
             points += PROVEN_JOB_POINTS if proven else UNPROVEN_JOB_POINTS
         return points >= FAULTY_POINTS
 
--- a/micadeal/scheduling/preemption_demand.py
+++ b/micadeal/scheduling/preemption_demand.py
@@ -77,7 +77,7 @@
                 continue
             seen.add(job.id)
             # Nothing is preempted for what fails everywhere.
-            preemptor = None if job.suspect else self._preemptor(job)
+            preemptor = None if job.suspected_faulty else self._preemptor(job)
             if preemptor is not None:
                 result.append(preemptor)
         return result
--- a/micadeal/scheduling/reservations.py
+++ b/micadeal/scheduling/reservations.py
@@ -146,7 +146,7 @@
         earliest = min(inputs.policy.gather_after, inputs.policy.minimum_timeout)
         for job in cluster.live_jobs():
             # Cheapest test first: there may be many jobs.
-            if inputs.now - job.ready < earliest or not job.unbegun or job.errors:
+            if inputs.now - job.ready < earliest or not job.not_begun or job.errors:
                 continue
             if not self._has_waited_enough(job, inputs) or not _wants_reservation(job, inputs):
                 continue
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -76,7 +76,7 @@
         #: Of the last cycle.
         self.plan = Plan()
         #: Defers flexible work to better hours; None: that is switched off.
-        self.holding: Deferral | None = None
+        self.deferral: Deferral | None = None
         #: Teams whose last start went to their longest waiting job.
         self._served_by_age: set[str] = set()
         self._inventory = MachineInventory(cluster, instance_offers)
@@ -186,9 +186,9 @@
 
     def hold(self, now: timedelta, utc_now: datetime) -> None:
         """Decide which jobs are deferred; before a cycle, where timing is switched on."""
-        if self.holding is not None:
+        if self.deferral is not None:
             urgent = self._arrivals.urgent_classes
-            self.holding.refresh(self.policy, self.plan.teams, urgent, now, utc_now)
+            self.deferral.refresh(self.policy, self.plan.teams, urgent, now, utc_now)
 
     def run_cycle(self, now: timedelta) -> None:
         """Run a scheduling cycle and apply its plan to the cluster state."""
@@ -213,7 +213,7 @@
             may_rent=self.listed and now - self.cluster.began >= MACHINE_COUNT_TIMEOUT,
             # Else what is asked for would be rented twice.
             pending_rentals=self._inventory.pending_rentals(),
-            deferral=self.holding,
+            deferral=self.deferral,
             served_by_age=self._served_by_age,
         )
 
@@ -288,4 +288,4 @@
 
     def state_counts(self, now: timedelta) -> Counter[str]:
         """Return how many jobs there are in each state."""
-        return job_state_counts(self.cluster, self.holding, now)
+        return job_state_counts(self.cluster, self.deferral, now)
--- a/micadeal/scheduling/scheduling_cycle.py
+++ b/micadeal/scheduling/scheduling_cycle.py
@@ -126,5 +126,5 @@
         if queue[0].spec.team in self._inputs.served_by_age:
             return None
         patience, now = self._inputs.policy.gather_late, self._inputs.now
-        waiting = [job for job in queue[1:] if job.unbegun and now - job.ready >= patience]
+        waiting = [job for job in queue[1:] if job.not_begun and now - job.ready >= patience]
         return min(waiting, key=lambda job: (job.ready, job.id), default=None)
--- a/micadeal/scheduling/task_placement.py
+++ b/micadeal/scheduling/task_placement.py
@@ -43,7 +43,7 @@
         if reason := self._bookings.limit_reason(job, 1):
             job.reasons[reason] += waiting
             return 0.0
-        if job.suspect and job.attempts:
+        if job.suspected_faulty and job.attempts:
             job.reasons[ONE_TASK_AT_A_TIME] += waiting
             return 0.0
         capacity = self._pool.best(job)
--- a/micadeal/schema/decoding.py
+++ b/micadeal/schema/decoding.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from micadeal.schema.keys import OLD_PLACED
+from micadeal.schema.keys import MACHINE_PLACEMENTS
 from micadeal.wire.codec import MessageFormatError, convert
 from micadeal.wire.state import Item, MachineRecord, PlacedRecord
 
@@ -31,10 +31,10 @@
 
 def read(items: Iterable[Item], kind: type[T]) -> list[VersionedRecord[T]]:
     """Decode items that all hold records of one kind."""
-    return [VersionedRecord(item.key, item.version, read_one(item, kind)) for item in items]
+    return [VersionedRecord(item.key, item.version, decode_item(item, kind)) for item in items]
 
 
-def read_one(item: Item, kind: type[T]) -> T | None:
+def decode_item(item: Item, kind: type[T]) -> T | None:
     """Decode one item; None if its value is not such a record."""
     try:
         return convert(kind, item.value)
@@ -44,18 +44,18 @@
     return None
 
 
-def read_placed(items: Iterable[Item]) -> list[VersionedRecord[PlacedRecord]]:
+def decode_placements(items: Iterable[Item]) -> list[VersionedRecord[PlacedRecord]]:
     """Decode records of placements in either layout, by their keys."""
     records: list[VersionedRecord[PlacedRecord]] = []
     for item in items:
-        if item.key.startswith(OLD_PLACED):
+        if item.key.startswith(MACHINE_PLACEMENTS):
             record = _read_old_placed(item)
         else:
-            record = read_one(item, PlacedRecord)
+            record = decode_item(item, PlacedRecord)
         records.append(VersionedRecord(item.key, item.version, record))
     return records
 
 
 def _read_old_placed(item: Item) -> PlacedRecord | None:
-    record = read_one(item, MachineRecord)
-    return None if record is None else record.placed(item.key.removeprefix(OLD_PLACED))
+    record = decode_item(item, MachineRecord)
+    return None if record is None else record.placed(item.key.removeprefix(MACHINE_PLACEMENTS))
--- a/micadeal/schema/keys.py
+++ b/micadeal/schema/keys.py
@@ -10,7 +10,7 @@
 #: again, as fast as they are answered.
 LEADER = "leader"
 #: The leader lock (rollout/leader_lock.py): everything that an election reads at once.
-LEADER_LOCK = "seat/"
+LEADER_LOCK_PREFIX = "seat/"
 #: Who holds the lock, attached to the holder's lease (``LockHolderRecord``).
 LOCK_HOLDER = "seat/held"
 #: The feature level in force (``LevelRecord``).
@@ -32,15 +32,15 @@
 PLACED = "placed/"
 #: The same in the layout of the first versions, by machine (``MachineRecord``): read at feature
 #: level 0, and replaced as they change.
-OLD_PLACED = "machine/"
+MACHINE_PLACEMENTS = "machine/"
 #: Images that machines are likely to hold, by page (``ImagesRecord``).
 IMAGES = "images/"
-#: Machines that the cloud is asked to end, by token and number (``LeavingRecord``).
+#: Machines that the cloud is asked to end, by token and number (``ReturnedMachinesRecord``).
 LEAVING = "leaving/"
 #: The operators' script (``SettingsRecord``).
 SETTINGS = "settings"
 
 
-def job_of(key: str) -> str:
+def job_id_of_key(key: str) -> str:
     """Return the id of the job that a key under ``DONE`` or ``FINISHED`` belongs to."""
     return key.split("/")[1]
--- a/micadeal/state/budget.py
+++ b/micadeal/state/budget.py
@@ -8,7 +8,7 @@
 WAIT_MARGIN_S = 0.001
 
 
-class Budget:
+class TokenBucket:
     """A token bucket that refills at ``rate`` units per second and holds at most ``burst`` units.
 
     It reads no clock and never sleeps: the caller passes the present time.
--- a/micadeal/state/rate_limiter.py
+++ b/micadeal/state/rate_limiter.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 
 from micadeal.clock import ZERO, monotonic
-from micadeal.state.budget import Budget
+from micadeal.state.budget import TokenBucket
 from micadeal.state.errors import UnavailableError
 from micadeal.state.limits import Limits
 from micadeal.timeouts import sleep
@@ -44,8 +44,8 @@
     def __init__(self, limits: Limits, now: timedelta) -> None:
         requests = limits.requests_per_s * REQUESTS_SHARE
         changes = limits.changes_per_s * CHANGES_SHARE
-        self._requests = Budget(requests, requests, now)
-        self._changes = Budget(changes, changes, now)
+        self._requests = TokenBucket(requests, requests, now)
+        self._changes = TokenBucket(changes, changes, now)
 
     async def acquire(self, changes: int, urgency: Urgency, deadline: timedelta) -> None:
         """Wait until one request with so many changes may be sent.
@@ -59,7 +59,7 @@
             await self._take(self._changes, changes, urgency, deadline)
 
     @staticmethod
-    async def _take(budget: Budget, units: int, urgency: Urgency, deadline: timedelta) -> None:
+    async def _take(budget: TokenBucket, units: int, urgency: Urgency, deadline: timedelta) -> None:
         reserve = budget.burst * RESERVE_PER_STEP * urgency
         while (wait := budget.take(units, monotonic(), reserve)) != ZERO:
             if monotonic() + wait > deadline:
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -10,7 +10,7 @@
 
 from micadeal.clock import monotonic, seconds
 from micadeal.http.message import ClientResponse, HttpError
-from micadeal.http.network import AnyClient, Network
+from micadeal.http.network import HttpClient, Network
 from micadeal.state.errors import (
     ConflictError,
     LeaseExpiredError,
@@ -24,10 +24,10 @@
 from micadeal.wire.codec import MessageFormatError, decode, encode
 from micadeal.wire.state import (
     Condition,
-    Drop,
-    Failed,
+    Delete,
+    FailedConditions,
     Item,
-    LeaseAnswer,
+    LeaseGrant,
     LeaseRequest,
     Page,
     Put,
@@ -45,7 +45,7 @@
     "StateServiceError",
     "UnavailableError",
     "Urgency",
-    "lease_end",
+    "lease_valid_until",
 ]
 
 T = TypeVar("T")
@@ -131,7 +131,7 @@
     async def commit(
         self,
         conditions: Sequence[Condition],
-        changes: Sequence[Put | Drop],
+        changes: Sequence[Put | Delete],
         urgency: Urgency,
         timeout: timedelta = REQUEST_TIMEOUT,
     ) -> int:
@@ -158,22 +158,22 @@
         body = encode(Transaction(list(conditions), []))
         response = await self._request("POST", "/txn", body, urgency=urgency)
         if response.status == HTTPStatus.CONFLICT:
-            return set(_decode(Failed, response.body).failed)
+            return set(_decode(FailedConditions, response.body).failed)
         _raise_if_rejected(response)
         _decode_ok(Revision, response)
         return set()
 
-    async def new_lease(self, ttl: timedelta) -> int:
+    async def grant_lease(self, ttl: timedelta) -> int:
         """Obtain a lease that expires ``ttl`` after its last renewal, and return its id."""
         body = encode(LeaseRequest(round(ttl.total_seconds() * 1000)))
         response = await self._request("POST", "/leases", body, urgency=Urgency.LEASE)
-        return _decode_ok(LeaseAnswer, response).lease
+        return _decode_ok(LeaseGrant, response).lease
 
-    async def renew(self, lease: int, timeout: timedelta) -> None:
+    async def renew_lease(self, lease: int, timeout: timedelta) -> None:
         """Give a lease its full time again; ``LeaseExpiredError`` if it is gone.
 
         The time counts from when the service executes the request: count it from before this call
-        (``lease_end``).
+        (``lease_valid_until``).
         """
         response = await self._request(
             "POST", f"/leases/{lease}/renew", urgency=Urgency.LEASE, timeout=timeout
@@ -183,12 +183,12 @@
         if response.status != HTTPStatus.OK:
             raise _unexpected(response.status)
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease, which removes the keys attached to it; a lease that is gone is fine."""
         await self._request("DELETE", f"/leases/{lease}", urgency=Urgency.LEASE)
 
     async def changes(
-        self, prefix: str, after: int, hold: timedelta, client: AnyClient
+        self, prefix: str, after: int, hold: timedelta, client: HttpClient
     ) -> WatchResponse:
         """Wait up to ``hold`` for changes under ``prefix`` after a revision, and return them.
 
@@ -205,7 +205,7 @@
             raise RevisionCompactedError(prefix, after)
         return _decode_ok(WatchResponse, response)
 
-    def watch_client(self) -> AnyClient:
+    def watch_client(self) -> HttpClient:
         """Return a client with a connection of its own, for one watch."""
         return self._network.client(self._address, 1)
 
@@ -218,7 +218,7 @@
         urgency: Urgency,
         changes: int = 0,
         timeout: timedelta = REQUEST_TIMEOUT,
-        client: AnyClient | None = None,
+        client: HttpClient | None = None,
     ) -> ClientResponse:
         """Send one request within the rate limits.
 
@@ -234,7 +234,7 @@
         await self._rate_limiter.acquire(changes, urgency, monotonic() + rate_limit_timeout)
         try:
             status, answer = await (client or self._client).request(
-                method, target, body, timeout=timeout, repeatable=method == "GET"
+                method, target, body, timeout=timeout, idempotent=method == "GET"
             )
         except HttpError as error:
             raise StateServiceError(str(error)) from None
@@ -256,7 +256,9 @@
         return self._answered is not None and monotonic() - self._answered > UNREACHABLE_AFTER
 
 
-def lease_end(sent: timedelta, ttl: timedelta, margin: timedelta = LEASE_MARGIN) -> timedelta:
+def lease_valid_until(
+    sent: timedelta, ttl: timedelta, margin: timedelta = LEASE_MARGIN
+) -> timedelta:
     """Return until when a lease certainly holds, by our own clock.
 
     ``sent`` is when the request that created or renewed it was sent.
@@ -291,12 +293,12 @@
 def _failed_keys(body: bytes) -> Sequence[str]:
     """Return the keys that a 409 names; none if it can't be read, since the conflict is certain."""
     try:
-        return decode(Failed, body).failed
+        return decode(FailedConditions, body).failed
     except MessageFormatError:
         return ()
 
 
-def _only_lease(changes: Sequence[Put | Drop]) -> int | None:
+def _only_lease(changes: Sequence[Put | Delete]) -> int | None:
     """Return the lease that the puts are attached to, None if there are several."""
     leases = {change.lease for change in changes if isinstance(change, Put)} - {None}
     return leases.pop() if len(leases) == 1 else None
--- a/micadeal/timing/shift.py
+++ b/micadeal/timing/shift.py
@@ -2,7 +2,7 @@
 
 A hold sets the latest start, not the earliest: if its window becomes dearer, uncertain or full,
 the job is released earlier.  Only the windows chosen last and the released jobs are remembered
-(``Keeper``), so that a forecast that alternates does not move work to and fro.
+(``HoldTracker``), so that a forecast that alternates does not move work to and fro.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class DeferrableJob:
     """A job that could be held."""
 
     job_id: str
@@ -40,7 +40,7 @@
     pool: str = ""
 
 
-class Pools:
+class PoolCapacities:
     """Capacity that held work may use at one time, by pool; pools not named are unlimited.
 
     Slots are the pieces of the cost curves.
@@ -52,13 +52,13 @@
         self._capacity = capacity
         self._used: dict[tuple[str, int], float] = {}
 
-    def take(self, work: Work, slots: range) -> None:
+    def take(self, work: DeferrableJob, slots: range) -> None:
         """Count a job's units as used during the slots."""
         for slot in slots:
             key = (work.pool, slot)
             self._used[key] = self._used.get(key, 0.0) + work.units
 
-    def fits(self, work: Work, slots: range) -> bool:
+    def fits(self, work: DeferrableJob, slots: range) -> bool:
         """Whether a job's units are free during all of the slots."""
         capacity = self._capacity.get(work.pool)
         if capacity is None:
@@ -118,14 +118,14 @@
     beyond the curve's end, since costs are unknown there.
     """
 
-    def __init__(self, curve: CostCurve, now: datetime, pools: Pools) -> None:
+    def __init__(self, curve: CostCurve, now: datetime, pools: PoolCapacities) -> None:
         self._curve = curve
         self._now = now
         self._pools = pools
         #: Starts by cost, cheapest first, for each duration: many jobs share one.
         self._candidates: dict[timedelta, list[_Candidate]] = {}
 
-    def choose(self, work: Work, previous: Hold | None) -> Hold | None:
+    def choose(self, work: DeferrableJob, previous: Hold | None) -> Hold | None:
         """Return the hold for a job, None to start it now; its capacity is taken either way."""
         known = self._now + work.duration <= self._curve.end
         start = self._best_start(work, previous) if known and work.latest > self._now else None
@@ -134,10 +134,10 @@
             return None
         return Hold(start, work.latest, self._saving(work, start))
 
-    def _slots(self, work: Work, start: datetime) -> range:
+    def _slots(self, work: DeferrableJob, start: datetime) -> range:
         return range(self._curve.index(start), self._curve.index(start + work.duration) + 1)
 
-    def _saving(self, work: Work, start: datetime) -> float:
+    def _saving(self, work: DeferrableJob, start: datetime) -> float:
         cost_now = self._curve.cost(self._now, work.duration)
         if cost_now <= 0:
             return 1.0
@@ -155,7 +155,7 @@
             )
         return candidates
 
-    def _best_start(self, work: Work, previous: Hold | None) -> datetime | None:
+    def _best_start(self, work: DeferrableJob, previous: Hold | None) -> datetime | None:
         cost_now = self._curve.cost(self._now, work.duration)
         scale = abs(cost_now) or 1.0
         best = self._cheapest(work, cost_now - MIN_SAVING * scale)
@@ -169,7 +169,7 @@
         keep = best.start is None or previous_cost - best.cost <= SWITCH_SHARE * scale
         return previous.until if keep else best.start
 
-    def _cheapest(self, work: Work, bound: float) -> _Choice:
+    def _cheapest(self, work: DeferrableJob, bound: float) -> _Choice:
         """Return the cheapest safe start with capacity left that costs less than ``bound``."""
         best = _Choice(bound, None)
         for candidate in self._candidates_for(work.duration):
@@ -183,13 +183,13 @@
             return _Choice(cost_at_latest, work.latest)
         return best
 
-    def _is_open(self, work: Work, start: datetime) -> bool:
+    def _is_open(self, work: DeferrableJob, start: datetime) -> bool:
         """Whether the costs of a window are known and its capacity is free."""
         known = start + work.duration <= self._curve.end
         return known and self._pools.fits(work, self._slots(work, start))
 
 
-class Keeper:
+class HoldTracker:
     """The holds of one leader's term.  Work that was released once is not held again.
 
     A later leader decides anew from the same records and series.  Its holds have the same latest
@@ -205,7 +205,7 @@
         self._planner: Planner | None = None
 
     def begin(
-        self, names: Collection[str], curve: CostCurve | None, now: datetime, pools: Pools
+        self, names: Collection[str], curve: CostCurve | None, now: datetime, pools: PoolCapacities
     ) -> None:
         """Start a new round of decisions, made by ``consider`` for one job after the other.
 
@@ -224,7 +224,7 @@
         }
         self.latest = {name: latest for name, latest in self.latest.items() if name in names}
 
-    def consider(self, work: Work, now: datetime) -> None:
+    def consider(self, work: DeferrableJob, now: datetime) -> None:
         """Decide on one job, beside those decided before it in this round.
 
         Jobs are to come in the order of their latest starts, so that later deadlines give way.  A
--- a/micadeal/wire/state.py
+++ b/micadeal/wire/state.py
@@ -57,7 +57,7 @@
     lease: int | None = None
 
 
-class Drop(msgspec.Struct, rename={"key": "drop"}):
+class Delete(msgspec.Struct, rename={"key": "drop"}):
     """A change of a ``Transaction``: delete a key."""
 
     key: str
@@ -70,7 +70,7 @@
     """
 
     conditions: list[Condition]
-    changes: list[Put | Drop] = []
+    changes: list[Put | Delete] = []
 
 
 class Revision(msgspec.Struct, rename={"revision": "ledger"}):
@@ -79,7 +79,7 @@
     revision: int = 0
 
 
-class Failed(msgspec.Struct):
+class FailedConditions(msgspec.Struct):
     """The answer, status 409, to a ``Transaction``: the keys that have another version."""
 
     failed: list[str]
@@ -92,7 +92,7 @@
     ttl_ms: int
 
 
-class LeaseAnswer(msgspec.Struct, rename={"lease": "permit"}):
+class LeaseGrant(msgspec.Struct, rename={"lease": "permit"}):
     """The answer to a ``LeaseRequest``."""
 
     #: Id of the new lease.
@@ -310,7 +310,7 @@
     machines: dict[str, list[str]]
 
 
-class LeavingRecord(msgspec.Struct):
+class ReturnedMachinesRecord(msgspec.Struct):
     """Under ``leaving/<token>/<number>``: machines with tasks that the cloud is asked to end.
 
     Only a hint for the next leader, which asks again at once instead of waiting until it hears of
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -36,9 +36,9 @@
     FinishedRecord,
     ImagesRecord,
     Item,
-    LeavingRecord,
     LevelRecord,
     PlacedRecord,
+    ReturnedMachinesRecord,
     Transaction,
 )
 from micadeal.wire.workers import Command, DirectCommands, Heartbeat
@@ -282,7 +282,7 @@
         finished = read(under("done/") + under("finished/"), FinishedRecord)
         images, draining = (
             read(under("images/"), ImagesRecord),
-            read(under("leaving/"), LeavingRecord),
+            read(under("leaving/"), ReturnedMachinesRecord),
         )
         loaded = StateLoaded(
             under("job/"), placed, images, draining, finished, [], ended, None, self.now
@@ -381,10 +381,10 @@
         self.record_writer.failed(changes, found, self.now)
 
     def _read_ends(self) -> None:
-        for name in self.cluster.dependencies.unread(self.now):
+        for name in self.cluster.dependencies.ends_to_read(self.now):
             found = self.store.get(f"end/{name}")
             if found is None:
-                self.cluster.dependencies.not_found(name, self.now)
+                self.cluster.dependencies.end_not_found(name, self.now)
             else:
                 self.cluster.job_ended(name, convert(EndRecord, found.value), self.now)
 
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -178,7 +178,7 @@
     await curio.sleep(max((deadline - monotonic()).total_seconds(), 0))
 
 
-class HostPower:
+class HostProcess:
     """Whether a host's process still runs: what is left of a stopped one reaches nobody."""
 
     def __init__(self) -> None:
@@ -188,13 +188,13 @@
 class HostNetwork:
     """The network as one process sees it."""
 
-    def __init__(self, network: FakeNetwork, host: str, authority: HostPower) -> None:
+    def __init__(self, network: FakeNetwork, host: str, process: HostProcess) -> None:
         self._network = network
         self._host = host
-        self._authority = authority
+        self._process = process
 
     def client(self, address: str, keep: int) -> FakeClient:
-        return FakeClient(self._network, self._host, self._authority, address)
+        return FakeClient(self._network, self._host, self._process, address)
 
     def server(self, address: SocketAddress, handler: Handler, most: int) -> FakeServer:
         return FakeServer(self._network, self._host, f"{address[0]}:{address[1]}", handler)
@@ -203,10 +203,10 @@
 class FakeClient:
     """Sends requests of one process to one address."""
 
-    def __init__(self, network: FakeNetwork, host: str, authority: HostPower, address: str) -> None:
+    def __init__(self, network: FakeNetwork, host: str, process: HostProcess, address: str) -> None:
         self._network = network
         self._host = host
-        self._authority = authority
+        self._process = process
         self._address = address
 
     async def request(
@@ -216,7 +216,7 @@
         body: bytes = b"",
         *,
         timeout: timedelta,
-        repeatable: bool = True,
+        idempotent: bool = True,
     ) -> tuple[int, bytes]:
         await self._stop_if_off()
         path, _, query = target.partition("?")
@@ -226,7 +226,7 @@
         return response
 
     async def _stop_if_off(self) -> None:
-        if not self._authority.on:
+        if not self._process.on:
             await curio.sleep(FOR_EVER_S)
 
     async def close(self) -> None:
--- a/tests/fakes/previous_versions.py
+++ b/tests/fakes/previous_versions.py
@@ -29,7 +29,7 @@
     StateService,
     StateServiceError,
     Urgency,
-    lease_end,
+    lease_valid_until,
 )
 from micadeal.timeouts import sleep
 from micadeal.wire.codec import decode, encode
@@ -63,7 +63,7 @@
     keys: tuple[str, ...] = UNKNOWN_KEYS
 
     def client(self, address: str, keep: int) -> FakeClient:
-        client = _Client(self._network, self._host, self._authority, address)
+        client = _Client(self._network, self._host, self._process, address)
         client.reader = self
         return client
 
@@ -96,10 +96,10 @@
         body: bytes = b"",
         *,
         timeout: timedelta,
-        repeatable: bool = True,
+        idempotent: bool = True,
     ) -> tuple[int, bytes]:
         status, reply = await super().request(
-            method, target, self.reader.forget(body), timeout=timeout, repeatable=repeatable
+            method, target, self.reader.forget(body), timeout=timeout, idempotent=idempotent
         )
         if any(f"starts={key}" in target for key in self.reader.keys):
             return status, encode({"items": [], "has_next": False, "ledger": 0})
@@ -119,7 +119,7 @@
         return None
 
     @property
-    def acts_at(self) -> int:
+    def effective_level(self) -> int:
         return int(self.renews_leases)
 
 
@@ -146,7 +146,7 @@
         if item is None:
             await self._campaign()
         elif item.value["controller"] == self._name:
-            await self._state.end_lease(item.value["lease"])
+            await self._state.revoke_lease(item.value["lease"])
         else:
             await self._listener(LeaderObserved(item.value["controller"], item.version))
             await self._await_change(item.version)
@@ -161,13 +161,13 @@
 
     async def _campaign(self) -> None:
         sent_at, ttl = monotonic(), seconds(3)
-        lease = await self._state.new_lease(ttl)
+        lease = await self._state.grant_lease(ttl)
         record = {"controller": self._name, "lease": lease}
         token = await self._state.commit(
             [Condition("leader", 0)], [Put("leader", record, lease)], Urgency.LEASE
         )
         self._resigned = False
-        term = Term(token, lease, lease_end(sent_at, ttl), sent_at, token)
+        term = Term(token, lease, lease_valid_until(sent_at, ttl), sent_at, token)
         await self._listener(Elected(term, LeaderLock(token)))
         await self._keep_lease(token, lease)
         await self._listener(LeadershipLost(token, "the lease has run out"))
@@ -177,23 +177,23 @@
             await sleep(seconds(0.7))
             sent_at = monotonic()
             try:
-                await self._state.renew(lease, timeout=seconds(0.9))
+                await self._state.renew_lease(lease, timeout=seconds(0.9))
             except LeaseExpiredError:
                 return
             except StateServiceError:
                 continue
-            await self._listener(LeaderLeaseRenewed(token, lease_end(sent_at, seconds(3))))
-        await self._state.end_lease(lease)
+            await self._listener(LeaderLeaseRenewed(token, lease_valid_until(sent_at, seconds(3))))
+        await self._state.revoke_lease(lease)
 
 
 class EarlierNode(Controller):
     """A process of a version before levels.
 
-    ``stands_in``: it is of the last one before them, which renews leases as a follower.
+    ``renews_leases``: it is of the last one before them, which renews leases as a follower.
     """
 
-    def __init__(self, *args: Any, stands_in: bool = False, **kwargs: Any) -> None:
-        self._stands_in = stands_in
+    def __init__(self, *args: Any, renews_leases: bool = False, **kwargs: Any) -> None:
+        self._stands_in = renews_leases
         super().__init__(*args, **kwargs)
         election: Any = EarlierElection(self._platform.name, self._state, self._on_election)
         self._election = election
--- a/tests/fakes/random_clusters.py
+++ b/tests/fakes/random_clusters.py
@@ -100,7 +100,3 @@
                    None, tasks),
             self.now, is_heartbeat=True, full=True,
         )  # fmt: skip
-
-
-#: The former name, which other tests still use.
-Picture = RandomDeployment
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -20,7 +20,7 @@
 from tests.fakes import state as state_fake
 from tests.fakes.cloud import FakeCloud, Rented
 from tests.fakes.kernel import run_stepped
-from tests.fakes.network import FakeNetwork, HostNetwork, HostPower
+from tests.fakes.network import FakeNetwork, HostNetwork, HostProcess
 from tests.fakes.previous_versions import EarlierNetwork, EarlierNode, UnlevelledNetwork
 from tests.fakes.state import FakeState
 from tests.fakes.workers import FakeWorker, Fleet, Held, Job
@@ -160,7 +160,7 @@
         self.done: set[str] = set()
         self.limits = {"red": 8.0, "blue": 12.0}
         self.nodes: dict[int, Controller] = {}
-        self._powers: dict[str, HostPower] = {}
+        self._powers: dict[str, HostProcess] = {}
         self._jobs = 0
 
     # -- life ------------------------------------------------------------------------------
@@ -219,7 +219,7 @@
         """``earlier``: it knows no more than the version in production before pipelines;
         ``unlevelled``: than the last one before levels; ``build``: which levels it knows."""
         name = f"c{number}"
-        authority = self._powers[name] = HostPower()
+        authority = self._powers[name] = HostProcess()
         changes = self.state.changes_per_s or CHANGES_PER_S
         platform = parse(settings(number, self.teams, self.coming, without, changes))
         node: Controller
@@ -227,7 +227,7 @@
             kind = EarlierNetwork if earlier else UnlevelledNetwork
             network = kind(self.network, name, authority)
             options = Options(renew_leases_as_follower=unlevelled)
-            node = EarlierNode(platform, network, options, stands_in=unlevelled)
+            node = EarlierNode(platform, network, options, renews_leases=unlevelled)
         else:
             host = HostNetwork(self.network, name, authority)
             node = Controller(
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -17,7 +17,7 @@
 from micadeal.wire.state import EndRecord
 from micadeal.wire.users import Priority, Shape, Status
 from micadeal.wire.workers import TaskState
-from tests.fakes.random_clusters import WORKERS, Picture
+from tests.fakes.random_clusters import WORKERS, RandomDeployment
 from tests.fakes.submissions import spec
 from tests.fakes.world import COMING, World
 
@@ -307,12 +307,12 @@
     # The next leader never knew them: it asks for their ends, and comes to the same.
     later = _job(3, 1, 2, submitted=-100.0)
     other = _cluster(later)
-    assert sorted(other.dependencies.unread(now)) == ["req-1", "req-2"]
+    assert sorted(other.dependencies.ends_to_read(now)) == ["req-1", "req-2"]
     for name, age in (("req-1", 50.0), ("req-2", 20.0)):
         other.job_ended(name, EndRecord(Status.DONE, 1, told - age), now)
     assert not later.blocked
     assert abs((now - later.ready).total_seconds() - 20.0) < 0.5
-    assert other.dependencies.unread(now) == []
+    assert other.dependencies.ends_to_read(now) == []
 
 
 def test_records_with_circular_dependencies_do_no_harm() -> None:
@@ -325,7 +325,7 @@
 
 
 def test_blocked_job_has_no_demand_and_is_not_a_running_job() -> None:
-    picture = Picture(6, 0, 4, teams=1)
+    picture = RandomDeployment(6, 0, 4, teams=1)
     team = picture.teams[0]
     fields: dict[str, Any] = {
         "shape": Shape.ARRAY, "team": team, "gpus": 0.0, "cpus": 4.0, "spot_allowed": True,
@@ -344,7 +344,7 @@
 
 def test_short_tasks_wait_for_capacity_that_frees_up_before_a_machine_boots() -> None:
     """Guards against machines rented for tasks of some seconds, whose accelerators stay idle."""
-    picture = Picture(2, 0, 4, teams=1)
+    picture = RandomDeployment(2, 0, 4, teams=1)
     picture.cluster.teams["team-0"] = Team("team-0")
     fields: dict[str, Any] = {
         "shape": Shape.ARRAY, "team": "team-0", "gpus": 0.0, "cpus": 4.0, "spot_allowed": True,
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -54,7 +54,7 @@
 
 def test_names_of_keys() -> None:
     assert keys.LEADER == "leader"
-    assert keys.LEADER_LOCK == "seat/"
+    assert keys.LEADER_LOCK_PREFIX == "seat/"
     assert keys.LOCK_HOLDER == "seat/held"
     assert keys.LEVEL == "seat/level"
     assert keys.MEMBER == "seat/member/"
@@ -64,13 +64,13 @@
     assert keys.DONE == "done/"
     assert keys.FINISHED == "finished/"
     assert keys.PLACED == "placed/"
-    assert keys.OLD_PLACED == "machine/"
+    assert keys.MACHINE_PLACEMENTS == "machine/"
     assert keys.IMAGES == "images/"
     assert keys.LEAVING == "leaving/"
     assert keys.SETTINGS == "settings"
     assert part_key("req-000412", 3) == "part/req-000412/3"
-    assert keys.job_of("done/req-000412/7") == "req-000412"
-    assert keys.job_of("finished/req-000412/7") == "req-000412"
+    assert keys.job_id_of_key("done/req-000412/7") == "req-000412"
+    assert keys.job_id_of_key("finished/req-000412/7") == "req-000412"
 
 
 #: Seen as a few jobs run, with each number written as ``#``.
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -96,7 +96,7 @@
     once it is certain that it is gone, what waits gets its room."""
 
     async def story(world: World) -> None:
-        cancelled_by_dependency = [
+        cancelled = [
             await world.run_job("daemon", 4, crew="red"),
             await world.run_job("gang", 4, run_s=500.0, crew="blue", bookmark_s=5.0, stow_s=1.0),
             await world.run_job("daemon", 4, crew="blue"),
@@ -105,14 +105,12 @@
             await world.run_job("daemon", 4, crew="red"),
             await world.run_job("daemon", 4, crew="blue"),
         ]
-        await world.until(
-            lambda: all(world.running(job) == 4 for job in cancelled_by_dependency + stays)
-        )
+        await world.until(lambda: all(world.running(job) == 4 for job in cancelled + stays))
         waits = [await world.run_job("array", 4, run_s=10.0, crew=c) for c in ("red", "blue")]
         await curio.sleep(SETTLED)
         assert not any(world.held(job) for job in waits)
         leader = leader_of(world)
-        machines = {w.name: w for job in cancelled_by_dependency for w, _ in world.held(job)}
+        machines = {w.name: w for job in cancelled for w, _ in world.held(job)}
         for name in list(machines)[: len(machines) * 2 // 3]:
             if how == "hang":
                 machines[name].hanging = True
@@ -122,7 +120,7 @@
         world.crash(leader)
         tellers = [
             await curio.spawn(world.until_told, job, leader + 1 + n)
-            for n, job in enumerate(cancelled_by_dependency)
+            for n, job in enumerate(cancelled)
         ]
         await curio.sleep(9)
         assert world.leader() not in (None, leader)
@@ -134,9 +132,7 @@
         await world.network.heal_all()
         await world.start(leader)
         assert {await teller.join() for teller in tellers} == {"cancelled"}
-        await world.until(
-            lambda: not any(world.held(job) for job in cancelled_by_dependency), limit=CANCEL_S
-        )
+        await world.until(lambda: not any(world.held(job) for job in cancelled), limit=CANCEL_S)
         for job in waits:
             await world.until_done(job, NEGLECTED_S)
         await world.until(lambda: all(world.running(job) == 4 for job in stays))
@@ -151,20 +147,20 @@
     place before that is certain, and then it is."""
 
     async def story(world: World) -> None:
-        cancelled_by_dependency = await world.run_job("daemon", 8, crew="red")
-        await world.until(lambda: world.running(cancelled_by_dependency) == 8)
+        cancelled = await world.run_job("daemon", 8, crew="red")
+        await world.until(lambda: world.running(cancelled) == 8)
         waits = await world.run_job("array", 8, run_s=6.0, crew="red")
         await curio.sleep(SETTLED)
         leader = leader_of(world)
-        for worker, _ in world.held(cancelled_by_dependency):
+        for worker, _ in world.held(cancelled):
             for number in range(3):
                 world.network.cut(worker.name, f"c{number}", SILENT)
         await curio.sleep(1)
         world.crash(leader)
-        assert await world.until_told(cancelled_by_dependency, leader + 1) == "cancelled"
+        assert await world.until_told(cancelled, leader + 1) == "cancelled"
         await curio.sleep(LEASE_S / 2)
         # Their tasks go on, by leases of their own.
-        assert len(world.held(cancelled_by_dependency)) == 8 and not world.held(waits)
+        assert len(world.held(cancelled)) == 8 and not world.held(waits)
         await world.until_done(waits, NEGLECTED_S)
 
     World(capacity=20).play(monkeypatch, story)
@@ -398,19 +394,17 @@
 
     async def story(world: World) -> None:
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
-        cancelled_by_dependency = await world.run_job("daemon", 4, crew="blue")
+        cancelled = await world.run_job("daemon", 4, crew="blue")
         array = await world.run_job("array", 2, run_s=70.0, crew="red")
-        await world.until(
-            lambda: world.running(stays) == 3 and world.running(cancelled_by_dependency) == 4
-        )
+        await world.until(lambda: world.running(stays) == 3 and world.running(cancelled) == 4)
         await world.until(lambda: world.running(array) == 2)
         await curio.sleep(SETTLED)
         leader = leader_of(world)
-        mute = {w.name for w, _ in (*world.held(cancelled_by_dependency), *world.held(array))}
+        mute = {w.name for w, _ in (*world.held(cancelled), *world.held(array))}
         world.network.mute |= mute
         await curio.sleep(3)
-        assert await world.until_told(cancelled_by_dependency, leader + 1) == "cancelled"
-        await world.until(lambda: not world.held(cancelled_by_dependency), limit=4)
+        assert await world.until_told(cancelled, leader + 1) == "cancelled"
+        await world.until(lambda: not world.held(cancelled), limit=4)
         world.crash(leader)
         await curio.sleep(LEASE_S + 12)
         await world.start(leader)
@@ -435,24 +429,20 @@
         await world.until(lambda: world.running(stays) == 3)
         await curio.sleep(SETTLED)
         jobs: list[str] = []
-        cancelled_by_dependency: list[str] = []
+        cancelled: list[str] = []
         terms = {world.term()}
         number = leader_of(world)
         for turn in range(10):
             if not world.state.outage:
                 jobs.append(await world.run_job("array", 2, run_s=14.0, crew="blue", image_gb=1.0))
-                cancelled_by_dependency.append(
-                    await world.run_job("daemon", 1, crew="red", **SMALL)
-                )
+                cancelled.append(await world.run_job("daemon", 1, crew="red", **SMALL))
             if outage and turn % 3 == 1:
                 world.state.outage = True
             world.crash(number)
             await curio.sleep(0.5)
             await world.start(number)
-            if len(cancelled_by_dependency) > 2:
-                await curio.spawn(
-                    world.until_told, cancelled_by_dependency.pop(0), number + 1, daemon=True
-                )
+            if len(cancelled) > 2:
+                await curio.spawn(world.until_told, cancelled.pop(0), number + 1, daemon=True)
             await curio.sleep(4)
             world.state.outage = False
             await world.until(lambda: world.term() not in {0, *terms}, limit=10)
@@ -476,10 +466,8 @@
     async def story(world: World) -> None:
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
         bound = await world.run_job("array", 4, run_s=50.0, depot="north", crew="blue")
-        cancelled_by_dependency = await world.run_job("daemon", 3, scatter=True, crew="red")
-        await world.until(
-            lambda: world.running(stays) == 3 and world.running(cancelled_by_dependency) == 3
-        )
+        cancelled = await world.run_job("daemon", 3, scatter=True, crew="red")
+        await world.until(lambda: world.running(stays) == 3 and world.running(cancelled) == 3)
         await world.until(lambda: world.running(bound) == 4)
         await curio.sleep(SETTLED)
         inside = ["c0", *(w.name for w in world.fleet.workers.values() if w.zone == "north")]
@@ -489,7 +477,7 @@
             for other in outside:
                 world.network.cut(one, other, SILENT)
         await curio.sleep(1)
-        assert await world.until_told(cancelled_by_dependency, 1) == "cancelled"
+        assert await world.until_told(cancelled, 1) == "cancelled"
         await curio.sleep(LEASE_S * 2)
         late = await world.run_job("array", 2, run_s=5.0, depot="north", crew="blue")
         for one in inside:
@@ -515,23 +503,21 @@
         array = await world.run_job("array", 3, run_s=30.0, depot="south", crew="blue")
         await world.until(lambda: world.running(stays) == 3 and world.running(array) == 3)
         await curio.sleep(SETTLED)
-        cancelled_by_dependency = await world.run_job("daemon", 2, crew="red", image_gb=4.0)
+        cancelled = await world.run_job("daemon", 2, crew="red", image_gb=4.0)
         if seen:
-            await world.until(lambda: world.running(cancelled_by_dependency) == 2)
+            await world.until(lambda: world.running(cancelled) == 2)
             await curio.sleep(2)
-        said = await world.cancel(cancelled_by_dependency, 2)
+        said = await world.cancel(cancelled, 2)
         for number in range(3):
             world.crash(number)
         await curio.sleep(LEASE_S + 8)
         assert not world.held()
         for number in range(3):
             await world.start(number)
-        assert (
-            said == "cancelled" or await world.until_told(cancelled_by_dependency, 0) == "cancelled"
-        )
+        assert said == "cancelled" or await world.until_told(cancelled, 0) == "cancelled"
         await world.until_done(array, NEGLECTED_S)
         await world.until(lambda: world.running(stays) == 3, limit=NEGLECTED_S)
-        assert not world.held(cancelled_by_dependency)
+        assert not world.held(cancelled)
 
     World(capacity=20).play(monkeypatch, story)
 
@@ -557,12 +543,12 @@
 
         world.network.slow = slow
         jobs: list[str] = []
-        cancelled_by_dependency: list[str] = []
+        cancelled: list[str] = []
         for number in range(18):
             crew, rank = ("red", "blue")[number % 2], ("low", "standard", "high")[number % 3]
             job = world.job("array", 2, run_s=12.0, crew=crew, rank=rank, image_gb=1.0)
             await world.submit(job)
-            (cancelled_by_dependency if number % 5 == 4 else jobs).append(job)
+            (cancelled if number % 5 == 4 else jobs).append(job)
             for other in range(3):
                 await curio.spawn(world.status, job, other, daemon=True)
             if number == 9:
@@ -574,8 +560,6 @@
         world.network.slow = None
         for job in jobs:
             await world.until_done(job, 200)
-        assert all(
-            world.told.final[job] in ("cancelled", "done") for job in cancelled_by_dependency
-        )
+        assert all(world.told.final[job] in ("cancelled", "done") for job in cancelled)
 
     World(capacity=3).play(monkeypatch, story)
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -16,19 +16,17 @@
 async def two_jobs(world: World) -> tuple[str, str]:
     """A settled deployment with a job that is to stay and one that is to be cancelled."""
     stays = await world.run_job("daemon", 3, scatter=True, rank="production")
-    cancelled_by_dependency = await world.run_job("daemon", 4, crew="blue")
-    await world.until(
-        lambda: world.running(stays) == 3 and world.running(cancelled_by_dependency) == 4
-    )
+    cancelled = await world.run_job("daemon", 4, crew="blue")
+    await world.until(lambda: world.running(stays) == 3 and world.running(cancelled) == 4)
     await curio.sleep(SETTLED)
-    return stays, cancelled_by_dependency
+    return stays, cancelled
 
 
-async def sit_out_an_outage(world: World, stays: str, cancelled_by_dependency: str) -> None:
+async def sit_out_an_outage(world: World, stays: str, cancelled: str) -> None:
     """It begins, and goes on for longer than a cancellation may take."""
     world.state.outage = True
     await curio.sleep(CANCEL_S + 8)
-    assert not world.held(cancelled_by_dependency)
+    assert not world.held(cancelled)
     assert world.running(stays) == 3
 
 
@@ -52,7 +50,7 @@
     that were read before the job was over come late, or not at all as long as it lasts."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         gone = leader_of(world)
 
         def slow(source: str, address: str, request: Request) -> float:
@@ -64,11 +62,11 @@
         await world.until(lambda: world.leader() not in (None, gone))
         leader = leader_of(world)
         await curio.sleep(0.1)
-        assert await world.cancel(cancelled_by_dependency, 3 - gone - leader) == "cancelled"
+        assert await world.cancel(cancelled, 3 - gone - leader) == "cancelled"
         await curio.sleep(1.3)
         world.network.cut(f"c{leader}", "state", REFUSE)
         await curio.sleep(0.3)
-        await sit_out_an_outage(world, stays, cancelled_by_dependency)
+        await sit_out_an_outage(world, stays, cancelled)
 
     World().play(monkeypatch, story)
 
@@ -82,24 +80,24 @@
     through the later one, though workers of one zone reach nobody else."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         old = leader_of(world)
         world.network.cut(f"c{old}", "state", REFUSE)
         if not peers:
             for other in range(3):
                 if other != old:
                     world.network.cut(f"c{old}", f"c{other}")
-        apart = world.held(cancelled_by_dependency)[0][0]
+        apart = world.held(cancelled)[0][0]
         for other in range(3):
             if other != old:
                 world.network.cut(apart.name, f"c{other}")
         await world.until(lambda: world.leader() not in (None, old))
         leader = leader_of(world)
-        assert await world.cancel(cancelled_by_dependency, leader) == "cancelled"
+        assert await world.cancel(cancelled, leader) == "cancelled"
         if peers:
             await world.until(lambda: world.nodes[old]._leader.name == f"c{leader}", limit=4)
         await curio.sleep(CANCEL_S)
-        assert not world.held(cancelled_by_dependency)
+        assert not world.held(cancelled)
         if peers:
             # Over the mesh.
             assert apart.token == world.state.keys["seat/held"][1]
@@ -116,7 +114,7 @@
     250 tasks ended at once."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         old = leader_of(world)
         world.network.slow = lambda source, address, request: (
             60.0 if request.path == "/keys" and "starts=job/" in request.query else 0.0
@@ -129,8 +127,8 @@
         for number in (old, other):
             world.network.cut(f"c{number}", "state", REFUSE)
         await world.until(lambda: world.leader() == later)
-        assert await world.cancel(cancelled_by_dependency, later) == "cancelled"
-        await sit_out_an_outage(world, stays, cancelled_by_dependency)
+        assert await world.cancel(cancelled, later) == "cancelled"
+        await sit_out_an_outage(world, stays, cancelled)
         await world.network.heal_all()
         world.state.outage = False
         await curio.sleep(LEASE_S)
@@ -146,7 +144,7 @@
     service.  The others are old enough to have kept lists for long, whoever heard them do so."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         old = leader_of(world)
         later, other = (old + 1) % 3, (old + 2) % 3
         world.network.slow = lambda source, address, request: (
@@ -156,7 +154,7 @@
         await curio.sleep(1)
         await world.start(later)
         await curio.sleep(3)
-        assert await world.cancel(cancelled_by_dependency, other) == "cancelled"
+        assert await world.cancel(cancelled, other) == "cancelled"
         world.network.cut(f"c{other}", "state", REFUSE)
         world.crash(old)
         await world.until(lambda: world.leader() == later)
@@ -164,7 +162,7 @@
         await curio.sleep(6)
         await world.start(old)
         await curio.sleep(CANCEL_S + 2)
-        assert not world.held(cancelled_by_dependency)
+        assert not world.held(cancelled)
         assert world.running(stays) == 3
 
     World().play(monkeypatch, story)
@@ -178,7 +176,7 @@
     elections, where 366 tasks ended at once."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         for number in range(3):
             world.crash(number)
         await curio.sleep(0.3)
@@ -187,8 +185,8 @@
         await world.until(lambda: world.leader() is not None)
         await curio.sleep(1)
         leader = leader_of(world)
-        assert await world.cancel(cancelled_by_dependency, (leader + 1) % 3) == "cancelled"
-        await sit_out_an_outage(world, stays, cancelled_by_dependency)
+        assert await world.cancel(cancelled, (leader + 1) % 3) == "cancelled"
+        await sit_out_an_outage(world, stays, cancelled)
         world.state.outage = False
         await curio.sleep(LEASE_S)
         assert {world.starts[f"{stays}/{index}"] for index in range(3)} == {1}
@@ -225,13 +223,11 @@
     meanwhile is gone in time.  The machines are of use again, or returned."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         array = await world.run_job("array", 3, run_s=50.0, crew="red")
         await world.until(lambda: world.running(array) == 3)
         leader = leader_of(world)
-        machines = {
-            w.name for w, _ in (*world.held(array), *world.held(cancelled_by_dependency)[:2])
-        }
+        machines = {w.name for w, _ in (*world.held(array), *world.held(cancelled)[:2])}
         pairs = [(name, f"c{n}") for name in machines for n in range(3)]
         if how == "deaf":
             world.network.receives_nothing |= machines
@@ -240,15 +236,13 @@
                 world.network.cut(*pair, HOLD if how == "held" else SILENT)
         world.crash(leader)
         await curio.sleep(2)
-        assert await world.cancel(cancelled_by_dependency, (leader + 1) % 3) == "cancelled"
+        assert await world.cancel(cancelled, (leader + 1) % 3) == "cancelled"
         await curio.sleep(for_s - 2)
         world.network.receives_nothing.clear()
         for pair in pairs:
             await world.network.heal(*pair)
         await world.until_done(array)
-        await world.until(
-            lambda: world.running(stays) == 3 and not world.held(cancelled_by_dependency)
-        )
+        await world.until(lambda: world.running(stays) == 3 and not world.held(cancelled))
         after = await world.run_job("array", 4, run_s=5.0, crew="blue")
         await world.until_done(after)
         lost = {world.starts[f"{array}/{index}"] for index in range(3)}
@@ -268,7 +262,7 @@
     held reports and answers of the processes before mean nothing to those after them."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         jobs = [await world.run_job("array", 2, run_s=45.0, crew="red") for _ in range(2)]
         for number in (0, 1, 2, 0):
             leader = leader_of(world)
@@ -288,16 +282,14 @@
         await world.start(1)
         await world.until(lambda: world.leader() == 1, limit=10)
         # Nobody else can hear of it: it is not told before its tasks are gone.
-        assert await world.cancel(cancelled_by_dependency, 1) is None or not world.held(
-            cancelled_by_dependency
-        )
+        assert await world.cancel(cancelled, 1) is None or not world.held(cancelled)
         await world.start(0)
         await world.start(2)
         await curio.sleep(2)
-        assert await world.cancel(cancelled_by_dependency, 0) == "cancelled"
+        assert await world.cancel(cancelled, 0) == "cancelled"
         for job in jobs:
             await world.until_done(job)
-        assert world.running(stays) == 3 and not world.held(cancelled_by_dependency)
+        assert world.running(stays) == 3 and not world.held(cancelled)
 
     world = World().play(monkeypatch, story)
     assert max(world.starts.values()) == 1
@@ -316,7 +308,7 @@
     changes of leaders and a cancellation."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         count = 0
 
         def late(source: str, address: str, request: Request) -> float | None:
@@ -343,16 +335,16 @@
             await world.until(lambda: world.leader() is not None, limit=30)
             await curio.sleep(6)
         for attempt in range(30):
-            if await world.cancel(cancelled_by_dependency, attempt % 3):
+            if await world.cancel(cancelled, attempt % 3):
                 break
             await curio.sleep(1)
         for job in jobs:
             await world.until_done(job)
         assert count
-        await world.until(lambda: not world.held(cancelled_by_dependency), limit=CANCEL_S)
+        await world.until(lambda: not world.held(cancelled), limit=CANCEL_S)
         await curio.sleep(15)
         for number in range(3):
-            assert await world.status(cancelled_by_dependency, number) == "cancelled"
+            assert await world.status(cancelled, number) == "cancelled"
             assert {await world.status(job, number) for job in jobs} == {"done"}
         assert world.running(stays) == 3
 
@@ -369,7 +361,7 @@
     name and nothing else."""
 
     async def story(world: World) -> None:
-        stays, cancelled_by_dependency = await two_jobs(world)
+        stays, cancelled = await two_jobs(world)
         gang = await world.run_job("gang", 2, run_s=30.0, bookmark_s=5.0, stow_s=1.0, crew="red")
         await world.until(lambda: world.running(gang) == 2)
         leader = leader_of(world)
@@ -378,7 +370,7 @@
             world.network.cut(name, f"c{leader}", HOLD)
         for worker in list(world.fleet.workers.values())[::2]:
             worker.hanging = True
-        assert await world.cancel(cancelled_by_dependency, (leader + 1) % 3) == "cancelled"
+        assert await world.cancel(cancelled, (leader + 1) % 3) == "cancelled"
         await curio.sleep(9)
         world.crash(leader)
         await curio.sleep(2)
@@ -387,7 +379,7 @@
             await world.network.heal(name, f"c{leader}")
         for worker in world.fleet.workers.values():
             worker.hanging = False
-        await world.until(lambda: not world.held(cancelled_by_dependency), limit=8)
+        await world.until(lambda: not world.held(cancelled), limit=8)
         await world.until_done(gang)
         await world.until(lambda: world.running(stays) == 3)
 
--- a/tests/test_finished_tasks.py
+++ b/tests/test_finished_tasks.py
@@ -3,19 +3,21 @@
 from __future__ import annotations
 
 from micadeal.clock import ZERO
-from micadeal.jobs.model import CHUNK, Job, to_bits
+from micadeal.jobs.model import TASKS_PER_CHUNK, Job, to_bits
 from tests.fakes.submissions import spec
 
 
 def test_finished_tasks_survive_being_stored_in_chunks() -> None:
     largest = spec(tasks=100_000)
     job = Job(largest, ZERO, 1)
-    finished = {0, 7, 8, CHUNK - 1, CHUNK, 99_999}
+    finished = {0, 7, 8, TASKS_PER_CHUNK - 1, TASKS_PER_CHUNK, 99_999}
     for index in finished:
         job.finish(index)
     loaded = Job(largest, ZERO, 1)
-    for chunk in {index // CHUNK for index in finished}:
-        text = to_bits(job.with_timeout(chunk * CHUNK, CHUNK), chunk * CHUNK)
+    for chunk in {index // TASKS_PER_CHUNK for index in finished}:
+        text = to_bits(
+            job.finished_in_chunk(chunk * TASKS_PER_CHUNK, TASKS_PER_CHUNK), chunk * TASKS_PER_CHUNK
+        )
         assert len(text) <= 4000
-        loaded.load_bits(chunk * CHUNK, text)
+        loaded.load_bits(chunk * TASKS_PER_CHUNK, text)
     assert loaded.finished == finished and loaded.next_waiting() == 1
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -307,18 +307,18 @@
 ) -> None:
     caplog.set_level(logging.WARNING)
     follower_leases = _follower_leases()
-    follower_leases.word(peers.Ping("c1", leading_token=9), False, False, seconds(100))
+    follower_leases.promise(peers.Ping("c1", leading_token=9), False, False, seconds(100))
     for second in range(101, 110):
-        follower_leases.word(peers.Ping("c2", leading_token=4), False, False, seconds(second))
+        follower_leases.promise(peers.Ping("c2", leading_token=4), False, False, seconds(second))
     assert [r.message for r in caplog.records] == [
         "ping of a past term refused: controller=c2 token=4"
     ]
     # It does not make us abstain: only the leader of the current term does.
     ping = peers.Ping("c1", wants_consent=9, wants_cancellations=True)
-    assert follower_leases.word(ping, False, False, seconds(110)).consent == 9
+    assert follower_leases.promise(ping, False, False, seconds(110)).consent == 9
     for unknown in (4, -1):
         ping = peers.Ping("c1", wants_consent=unknown, wants_cancellations=True)
-        assert follower_leases.word(ping, False, False, seconds(110)).consent == 0
+        assert follower_leases.promise(ping, False, False, seconds(110)).consent == 0
 
 
 def test_invalid_ping_answer_is_ignored() -> None:
@@ -375,11 +375,11 @@
     at = seconds(1000)
     ping = peers.Ping("c1", wants_consent=3, wants_cancellations=True)
     for number in range(MAX_CANCELLATIONS):
-        assert follower_leases.note(f"req-{number}", at)
-    assert follower_leases.word(ping, False, False, at).consent == 3
-    follower_leases.note("req-999999", at)
-    assert follower_leases.word(ping, False, False, at).consent == 0
-    assert follower_leases.word(ping, False, False, at + seconds(36)).consent == 3
+        assert follower_leases.add_cancellation(f"req-{number}", at)
+    assert follower_leases.promise(ping, False, False, at).consent == 3
+    follower_leases.add_cancellation("req-999999", at)
+    assert follower_leases.promise(ping, False, False, at).consent == 0
+    assert follower_leases.promise(ping, False, False, at + seconds(36)).consent == 3
 
 
 @pytest.mark.parametrize(
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -119,7 +119,7 @@
         client = Client(address)
         assert (await client.request("POST", "/1", timeout=TIMEOUT)).status == 200
         with pytest.raises(HttpError):
-            await client.request("POST", "/2", timeout=TIMEOUT, repeatable=False)
+            await client.request("POST", "/2", timeout=TIMEOUT, idempotent=False)
         assert (await client.request("POST", "/3", timeout=TIMEOUT)).status == 200
         assert (await client.request("GET", "/4", timeout=TIMEOUT)).status == 200
         assert requests == ["/1", "/2", "/3", "/4", "/4"]
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -28,7 +28,7 @@
 from micadeal.state.limits import Limits
 from micadeal.wire.codec import convert, decode, encode
 from micadeal.wire.state import (
-    Drop,
+    Delete,
     FinishedRecord,
     Item,
     LevelRecord,
@@ -40,7 +40,7 @@
     Transaction,
 )
 from micadeal.wire.users import Shape
-from tests.fakes.random_clusters import Picture
+from tests.fakes.random_clusters import RandomDeployment
 from tests.fakes.world import World
 
 LIMITS = Limits(150, 60, 16, 2048)
@@ -87,7 +87,7 @@
         }
 
 
-def started(picture: Picture) -> set[tuple[str, str, int, int]]:
+def started(picture: RandomDeployment) -> set[tuple[str, str, int, int]]:
     """Attempts whose start was ordered: they may be on a machine."""
     return {
         (name, a.job_id, a.index, a.number)
@@ -101,7 +101,7 @@
 def test_records_name_all_started_attempts_whatever_the_outcome_of_writes(seed: int) -> None:
     """Guards ``ran_twice`` after a change of leaders: transactions are applied, refused, or get
     lost with their answer and are applied later or never, those that merge records among them."""
-    picture = Picture(30, 8, seed)
+    picture = RandomDeployment(30, 8, seed)
     record_writer, store = RecordWriter(picture.cluster, LIMITS), Store()
     late: list[WriteBatch] = []
     for _ in range(120):
@@ -132,7 +132,7 @@
     """Guards against a team's limit that stays used until the next leader has heard of each machine
     that such a record names: a key is used again and dropped, and then an earlier transaction under
     it is carried out."""
-    picture = Picture(30, 8, seed)
+    picture = RandomDeployment(30, 8, seed)
     record_writer, store = RecordWriter(picture.cluster, LIMITS), Store()
     late: list[WriteBatch] = []
     emptied: set[str] = set()
@@ -165,7 +165,7 @@
 
 def dropped_by_next_leader(keys: set[str], store: Store, now: timedelta, seed: int) -> set[str]:
     """Keys that a leader drops which has loaded the records of placements under ``keys``."""
-    cluster = Picture(4, 1, seed).cluster
+    cluster = RandomDeployment(4, 1, seed).cluster
     record_writer = RecordWriter(cluster, LIMITS)
     for key in keys:
         record_writer.versions[key] = store.keys[key].version
@@ -174,7 +174,7 @@
     for _ in range(60):
         now += seconds(2)
         for batch in record_writer.next(now):
-            dropped |= {o.key for o in batch.operations if isinstance(o, Drop)}
+            dropped |= {o.key for o in batch.operations if isinstance(o, Delete)}
             record_writer.committed(batch, 10**6, now)
     return dropped
 
@@ -224,7 +224,7 @@
 def test_transactions_stay_below_64_kib_however_many_tasks_finished() -> None:
     """Guards against a batch that the state service refuses for ever: 64 KiB hold some ten full
     chunks of finished tasks, and fewer than the changes that a transaction may have."""
-    picture = Picture(2, 0)
+    picture = RandomDeployment(2, 0)
     for _ in range(30):
         job = picture.submit(shape=Shape.ARRAY, tasks=100_000)
         for index in range(0, 72_000, 3):
@@ -255,7 +255,7 @@
         self.keys: dict[str, tuple[Any, int]] = {}
         self.revision = 1
         self.level = LevelRecord()
-        self.picture = Picture(1, 0)
+        self.picture = RandomDeployment(1, 0)
         self.job = self.picture.submit(shape=Shape.ARRAY, tasks=60_000)
         self.record_writer = RecordWriter(self.picture.cluster, Limits(200, 80, 4, 8192))
         self.written: set[int] = set()
@@ -321,7 +321,7 @@
             Item(key, *stored) for key, stored in self.keys.items() if key.startswith(prefixes)
         ]
         before = self.job
-        self.picture = Picture(1, 0)
+        self.picture = RandomDeployment(1, 0)
         self.job = self.picture.submit(shape=Shape.ARRAY, tasks=60_000)
         assert self.job.id == before.id
         self.record_writer = RecordWriter(
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -617,7 +617,7 @@
     """Guards what is stored: a change of our own with unknown outcome may be applied late."""
     level = LevelRecord(1, 1, 0)
     feature_levels = FeatureLevels("c0", [], NOW)
-    feature_levels.seen(
+    feature_levels.on_leader_lock_read(
         leader_locks.LeaderLock(4, LeaderRecord("c0", 1), level=level, versions={"leader": 4})
     )
     moved = leader_locks.LeaderLock(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -24,7 +24,7 @@
 from micadeal.scheduling.scheduling_cycle import SchedulingCycle
 from micadeal.state.limits import Limits
 from micadeal.wire.codec import decode, encode
-from micadeal.wire.state import Drop, Put
+from micadeal.wire.state import Delete, Put
 from micadeal.wire.users import Priority, Shape, Submission
 from tests.fakes.random_clusters import ZONES, RandomDeployment
 
@@ -199,7 +199,7 @@
         deployment.now += seconds(5)
         for batch in write_all(record_writer, deployment):
             kept |= {op.key for op in batch.operations if isinstance(op, Put)}
-            kept -= {op.key for op in batch.operations if isinstance(op, Drop)}
+            kept -= {op.key for op in batch.operations if isinstance(op, Delete)}
     left = {a.record for m in deployment.cluster.machines.values() for a in m.attempts.values()}
     assert {key for key in kept if key.startswith("placed/")} == left
 
@@ -216,7 +216,7 @@
         deployment.scheduler.instance_offers.refused(offer, 0, deployment.now + seconds(85))
     deployment.now += seconds(90)
     deployment.scheduler.run_cycle(deployment.now)
-    found = explanations.overview(deployment.scheduler, "c0", deployment.now, reachability=True)
+    found = explanations.overview(deployment.scheduler, "c0", deployment.now, state_reachable=True)
     text = show_overview(decode(dict, encode(found)))
     waits = [job.waiting_s for job in found.stuck]
     assert waits == sorted(waits, reverse=True) and len(waits) == 20
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -9,7 +9,7 @@
 
 from micadeal.clock import ZERO, monotonic, seconds
 from micadeal.http.message import Answer, Request, error
-from micadeal.state.budget import Budget
+from micadeal.state.budget import TokenBucket
 from micadeal.state.limits import Limits
 from micadeal.state.read_coalescing import VersionCheckCoalescer
 from micadeal.state.service import (
@@ -22,9 +22,9 @@
     UnavailableError,
     Urgency,
 )
-from micadeal.wire.state import Condition, Drop, Put
+from micadeal.wire.state import Condition, Delete, Put
 from tests.fakes import state as state_fake
-from tests.fakes.network import FakeNetwork, HostNetwork, HostPower
+from tests.fakes.network import FakeNetwork, HostNetwork, HostProcess
 from tests.fakes.state import FakeState
 
 LIMITS = Limits(requests_per_s=100, changes_per_s=50, operations=16, value_bytes=8192)
@@ -41,7 +41,7 @@
         fake = FakeState()
         network = FakeNetwork(1)
         network.serve(state_fake.HOST, state_fake.ADDRESS, handler or fake.handle)
-        host = HostNetwork(network, "c0", HostPower())
+        host = HostNetwork(network, "c0", HostProcess())
         await check(StateService(state_fake.ADDRESS, limits, limits, host), fake)
 
     curio.run(run)
@@ -55,7 +55,7 @@
 
 
 def test_token_bucket_saves_up_a_burst_and_keeps_a_reserve_for_the_urgent() -> None:
-    budget = Budget(rate=10, burst=10, now=ZERO)
+    budget = TokenBucket(rate=10, burst=10, now=ZERO)
     assert all(budget.take(1, ZERO) == ZERO for _ in range(10))
     assert budget.take(1, ZERO) > ZERO
     assert budget.take(1, seconds(0.2), reserve=5) > ZERO
@@ -81,7 +81,7 @@
         revision = await state.commit([Condition("a", 0)], [Put("a", 1)], Urgency.REST)
         with pytest.raises(ConflictError) as conflict:
             conditions = [Condition("a", 0), Condition("b", 0)]
-            await state.commit(conditions, [Drop("a")], Urgency.REST)
+            await state.commit(conditions, [Delete("a")], Urgency.REST)
         assert conflict.value.failed_keys == ("a",)
         changed = await state.changed_keys([Condition("a", revision - 1)], Urgency.USER)
         assert changed == {"a"}
@@ -93,7 +93,7 @@
 def test_conflict_is_certain_even_if_its_answer_names_no_keys() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         with pytest.raises(ConflictError) as conflict:
-            await state.commit([Condition("a", 1)], [Drop("a")], Urgency.REST)
+            await state.commit([Condition("a", 1)], [Delete("a")], Urgency.REST)
         assert conflict.value.failed_keys == ()
 
     with_state_service(check, handler=answers(409))
@@ -101,15 +101,15 @@
 
 def test_expired_lease_and_too_large_transaction_are_told_apart() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
-        lease = await state.new_lease(seconds(5))
+        lease = await state.grant_lease(seconds(5))
         await state.commit([], [Put("a", 1, lease)], Urgency.LEASE)
-        await state.end_lease(lease)
+        await state.revoke_lease(lease)
         assert await state.get("a") is None
         with pytest.raises(LeaseExpiredError) as expired:
             await state.commit([], [Put("a", 1, lease)], Urgency.LEASE)
         assert expired.value.lease == lease
         with pytest.raises(LeaseExpiredError) as expired:
-            await state.renew(lease, seconds(1))
+            await state.renew_lease(lease, seconds(1))
         assert expired.value.lease == lease
         with pytest.raises(RequestRejectedError, match="too large") as rejected:
             await state.commit([], [Put("a", "x" * 9000)], Urgency.REST)
@@ -127,7 +127,7 @@
 ) -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         with pytest.raises(StateServiceError) as failure:
-            await state.commit([], [Drop("a")], Urgency.REST)
+            await state.commit([], [Delete("a")], Urgency.REST)
         assert type(failure.value) is kind
         assert failure.value.status == status
         assert state.answered is None
@@ -149,7 +149,7 @@
         await state.commit([], [Put("job/1", "a"), Put("other", "b")], Urgency.REST)
         items, revision = await state.range("job/")
         assert [(item.key, item.value) for item in items] == [("job/1", "a")]
-        await state.commit([], [Drop("job/1"), Put("job/2", "c")], Urgency.REST)
+        await state.commit([], [Delete("job/1"), Put("job/2", "c")], Urgency.REST)
         response = await state.changes("job/", revision, seconds(1), state.watch_client())
         assert [(event.put, event.drop) for event in response.events] == [
             (None, "job/1"),
@@ -189,7 +189,7 @@
         fake = FakeState()
         network = FakeNetwork(1)
         network.serve(state_fake.HOST, state_fake.ADDRESS, fake.handle)
-        host = HostNetwork(network, "c0", HostPower())
+        host = HostNetwork(network, "c0", HostProcess())
         state = StateService(state_fake.ADDRESS, LIMITS, LIMITS, host)
         await state.get("key")
         assert state.answered is not None
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -34,15 +34,21 @@
     UnitMismatchError,
     read_series,
 )
-from micadeal.timing.shift import Hold, Keeper, Pools, Work, latest_safe_start
+from micadeal.timing.shift import (
+    DeferrableJob,
+    Hold,
+    HoldTracker,
+    PoolCapacities,
+    latest_safe_start,
+)
 from micadeal.timing.signal import Profile, Signal, cost_curve
 from micadeal.wire.users import Priority, Shape
-from tests.fakes.random_clusters import Picture
+from tests.fakes.random_clusters import RandomDeployment
 
 NOW = datetime(2026, 12, 1, 20, 0, tzinfo=UTC)
 HOUR = timedelta(hours=1)
 DRIFT = timedelta(seconds=5)
-UNLIMITED = Pools({})
+UNLIMITED = PoolCapacities({})
 
 
 def series_document(**changes: Any) -> dict[str, Any]:
@@ -163,11 +169,11 @@
 
 
 def decide_round(
-    keeper: Keeper,
-    works: list[Work],
+    keeper: HoldTracker,
+    works: list[DeferrableJob],
     costs: CostCurve | None,
     now: datetime,
-    pools: Pools = UNLIMITED,
+    pools: PoolCapacities = UNLIMITED,
 ) -> None:
     keeper.begin({work.job_id for work in works}, costs, now, pools)
     for work in sorted(works, key=lambda work: work.latest):
@@ -175,12 +181,14 @@
 
 
 def decide_holds(
-    works: list[Work], costs: CostCurve | None, now: datetime, capacity: float | None,
+    works: list[DeferrableJob], costs: CostCurve | None, now: datetime, capacity: float | None,
     former: dict[str, Hold],
 ) -> dict[str, Hold]:  # fmt: skip
-    keeper = Keeper()
+    keeper = HoldTracker()
     keeper.holds = {name: hold for name, hold in former.items() if now < hold.until}
-    decide_round(keeper, works, costs, now, Pools({} if capacity is None else {"": capacity}))
+    decide_round(
+        keeper, works, costs, now, PoolCapacities({} if capacity is None else {"": capacity})
+    )
     return keeper.holds
 
 
@@ -190,13 +198,13 @@
 
 def test_cheapest_safe_window_is_chosen() -> None:
     costs = hourly_curve(0.30, 0.28, 0.10, 0.08, 0.08, 0.20, 0.30, 0.01, 0.01)
-    work = Work("a", 1.0, 2 * HOUR, NOW + 5 * HOUR)
+    work = DeferrableJob("a", 1.0, 2 * HOUR, NOW + 5 * HOUR)
     hold = decide_holds([work], costs, NOW, None, {})["a"]
     assert hold.until == NOW + 3 * HOUR and hold.saving == pytest.approx(1 - 0.16 / 0.58)
     # A window that opens too late to finish in is not used.
-    short = Work("b", 1.0, 2 * HOUR, NOW + HOUR / 2)
+    short = DeferrableJob("b", 1.0, 2 * HOUR, NOW + HOUR / 2)
     assert decide_holds([short], costs, NOW, None, {})["b"].until == NOW + HOUR / 2
-    assert decide_holds([Work("c", 1.0, HOUR, NOW)], costs, NOW, None, {}) == {}
+    assert decide_holds([DeferrableJob("c", 1.0, HOUR, NOW)], costs, NOW, None, {}) == {}
     assert decide_holds([work], None, NOW, None, {}) == {}
     # A flat price holds nothing.
     assert decide_holds([work], hourly_curve(*[0.2] * 9), NOW, None, {}) == {}
@@ -212,13 +220,13 @@
 
 def test_later_deadlines_yield_when_a_window_is_full() -> None:
     costs = hourly_curve(0.30, 0.30, 0.10, 0.30, 0.12, 0.30, 0.30)
-    early = [Work(f"early {i}", 1.0, HOUR * 0.9, NOW + 3 * HOUR) for i in range(2)]
-    late = Work("late", 1.0, HOUR * 0.9, NOW + 6 * HOUR)
+    early = [DeferrableJob(f"early {i}", 1.0, HOUR * 0.9, NOW + 3 * HOUR) for i in range(2)]
+    late = DeferrableJob("late", 1.0, HOUR * 0.9, NOW + 6 * HOUR)
     holds = decide_holds([late, *early], costs, NOW, 2.0, {})
     assert {holds[w.job_id].until for w in early} == {NOW + 2 * HOUR}
     assert holds["late"].until == NOW + 4 * HOUR
     # All want one hour, and most can't have it: the rest is spread, or begins at once.
-    many = [Work(f"w{i}", 1.0, HOUR * 0.9, NOW + 5 * HOUR) for i in range(12)]
+    many = [DeferrableJob(f"w{i}", 1.0, HOUR * 0.9, NOW + 5 * HOUR) for i in range(12)]
     holds = decide_holds(many, costs, NOW, 2.0, {})
     taken: dict[datetime, int] = {}
     for hold in holds.values():
@@ -229,8 +237,8 @@
 def test_alternating_forecast_does_not_move_holds() -> None:
     one = hourly_curve(0.30, 0.30, 0.100, 0.30, 0.104, 0.30)
     other = hourly_curve(0.30, 0.30, 0.104, 0.30, 0.100, 0.30)
-    keeper = Keeper()
-    work = Work("a", 1.0, HOUR, NOW + 5 * HOUR)
+    keeper = HoldTracker()
+    work = DeferrableJob("a", 1.0, HOUR, NOW + 5 * HOUR)
     seen = set()
     for turn in range(6):
         decide_round(keeper, [work], other if turn % 2 else one, NOW + turn * timedelta(minutes=5))
@@ -244,8 +252,8 @@
 
 
 def test_lost_signal_releases_held_jobs() -> None:
-    keeper = Keeper()
-    work = Work("a", 1.0, HOUR, NOW + 5 * HOUR)
+    keeper = HoldTracker()
+    work = DeferrableJob("a", 1.0, HOUR, NOW + 5 * HOUR)
     decide_round(keeper, [work], hourly_curve(0.3, 0.3, 0.1, 0.3, 0.3, 0.3), NOW)
     assert keeper.held("a", NOW) is not None
     decide_round(keeper, [work], None, NOW + HOUR)
@@ -267,7 +275,7 @@
     rough: list[tuple[float, float, float]], rates: list[float], capacity: float | None, past: float
 ) -> None:
     works = [
-        Work(f"w{i}", units, HOUR * hours, NOW + HOUR * latest)
+        DeferrableJob(f"w{i}", units, HOUR * hours, NOW + HOUR * latest)
         for i, (units, hours, latest) in enumerate(rough)
     ]
     costs = hourly_curve(*rates)
@@ -298,23 +306,23 @@
 PRICES = points(0.30, 0.30, 0.30, 0.10, 0.10, 0.30, 0.30, 0.30, 0.30, 0.30, 0.30, 0.30)
 
 
-def simulate_deferral(ends: int = 40, **policy: Any) -> Picture:
+def simulate_deferral(ends: int = 40, **policy: Any) -> RandomDeployment:
     """Six free machines; a class whose estimates are good; a forecast for a night."""
-    simulation = Picture(6, 0)
+    simulation = RandomDeployment(6, 0)
     scheduler = simulation.scheduler
     scheduler.policy = Policy(flexible={"nightly": Flexible(slack=1.0)}, **policy)
-    scheduler.holding = deferral_with_prices(simulation, ends)
+    scheduler.deferral = deferral_with_prices(simulation, ends)
     return simulation
 
 
-def deferral_with_prices(simulation: Picture, ends: int = 40) -> Deferral:
-    holding = Deferral(simulation.cluster, UTC, DRIFT)
-    holding.take(read_document(series_document(points=PRICES)))
-    holding.learn([("nightly", 1.0)] * ends)
-    return holding
+def deferral_with_prices(simulation: RandomDeployment, ends: int = 40) -> Deferral:
+    deferral = Deferral(simulation.cluster, UTC, DRIFT)
+    deferral.take(read_document(series_document(points=PRICES)))
+    deferral.learn([("nightly", 1.0)] * ends)
+    return deferral
 
 
-def advance(simulation: Picture, hours: float = 0.0) -> None:
+def advance(simulation: RandomDeployment, hours: float = 0.0) -> None:
     """Let hours pass, then report every machine, choose windows and run a scheduling cycle."""
     simulation.now += HOUR * hours
     for name in simulation.cluster.machines:
@@ -365,8 +373,8 @@
     with_objective = simulate_deferral()
     job = with_objective.submit(**(NIGHTLY | {"job_class": "live"}))
     with_objective.scheduler.policy = Policy(flexible={"live": Flexible(slack=1.0)})
-    assert with_objective.scheduler.holding is not None
-    with_objective.scheduler.holding.learn([("live", 1.0)] * 40)
+    assert with_objective.scheduler.deferral is not None
+    with_objective.scheduler.deferral.learn([("live", 1.0)] * 40)
     advance(with_objective)
     assert job.attempts
     # Its team waits for capacity below its guarantee.
@@ -376,27 +384,27 @@
     advance(below_guarantee)
     job = below_guarantee.submit(**NIGHTLY)
     advance(below_guarantee, 0.01)
-    assert below_guarantee.scheduler.holding is not None
-    assert below_guarantee.scheduler.holding.held(job, below_guarantee.now) is not None
+    assert below_guarantee.scheduler.deferral is not None
+    assert below_guarantee.scheduler.deferral.held(job, below_guarantee.now) is not None
     advance(below_guarantee, 0.05)
-    assert below_guarantee.scheduler.holding.held(job, below_guarantee.now) is None
+    assert below_guarantee.scheduler.deferral.held(job, below_guarantee.now) is None
 
 
 def test_new_leader_decides_alike_and_holds_no_job_longer() -> None:
     simulation = simulate_deferral()
     job = simulation.submit(**NIGHTLY)
     advance(simulation)
-    assert simulation.scheduler.holding is not None
-    first = simulation.scheduler.holding.held(job, simulation.now)
+    assert simulation.scheduler.deferral is not None
+    first = simulation.scheduler.deferral.held(job, simulation.now)
     assert first is not None
     # The next one has the records and the series, and not what the first remembered.
-    simulation.scheduler.holding = deferral_with_prices(simulation)
+    simulation.scheduler.deferral = deferral_with_prices(simulation)
     advance(simulation, 0.5)
-    second = simulation.scheduler.holding.held(job, simulation.now)
+    second = simulation.scheduler.deferral.held(job, simulation.now)
     assert second is not None
     assert (second.until, second.latest) == (first.until, first.latest)
     # One that has no series holds nothing.
-    simulation.scheduler.holding = Deferral(simulation.cluster, UTC, DRIFT)
+    simulation.scheduler.deferral = Deferral(simulation.cluster, UTC, DRIFT)
     advance(simulation, 0.5)
     assert job.attempts
 
@@ -406,8 +414,8 @@
     first = simulation.submit(**(NIGHTLY | {"deadline_s": 24 * 3600.0}))
     simulation.submit(**(NIGHTLY | {"prerequisites": [first.id], "deadline_s": 3.5 * 3600.0}))
     advance(simulation)
-    assert simulation.scheduler.holding is not None
-    hold = simulation.scheduler.holding.held(first, simulation.now)
+    assert simulation.scheduler.deferral is not None
+    hold = simulation.scheduler.deferral.held(first, simulation.now)
     # The second takes an hour, so the first must end an hour before its deadline.
     assert hold is None or hold.latest < NOW + 1.5 * HOUR
 
@@ -423,8 +431,8 @@
 def test_hold_that_expires_during_a_round_is_not_renewed() -> None:
     """Guards against a job that is held again though its hour has come: windows are chosen for some
     jobs at a time, on a curve that is a little older."""
-    keeper = Keeper()
-    work = Work("a", 1.0, HOUR, NOW + 5 * HOUR)
+    keeper = HoldTracker()
+    work = DeferrableJob("a", 1.0, HOUR, NOW + 5 * HOUR)
     decide_round(keeper, [work], hourly_curve(0.3, 0.1, 0.3, 0.3, 0.3, 0.3), NOW)
     begun = NOW + HOUR - timedelta(seconds=5)
     later = CostCurve([begun + i * HOUR for i in range(7)], [0.3, 0.3, 0.3, 0.01, 0.3, 0.3])
@@ -434,7 +442,7 @@
 
 
 def test_no_window_reaches_beyond_known_costs() -> None:
-    work = Work("a", 1.0, 2 * HOUR, NOW + 8 * HOUR)
+    work = DeferrableJob("a", 1.0, 2 * HOUR, NOW + 8 * HOUR)
     assert (
         decide_holds([work], hourly_curve(0.3, 0.3, 0.2, 0.01), NOW, None, {})["a"].until
         == NOW + 2 * HOUR
@@ -451,15 +459,15 @@
 
 def test_flexible_jobs_are_ordered_behind_jobs_that_cannot_wait() -> None:
     simulation = simulate_deferral()
-    assert simulation.scheduler.holding is not None
+    assert simulation.scheduler.deferral is not None
     # A flat price: nothing is held, but it still has time.
-    simulation.scheduler.holding.take(read_document(series_document(points=points(*[0.3] * 12))))
+    simulation.scheduler.deferral.take(read_document(series_document(points=points(*[0.3] * 12))))
     flexible = simulation.submit(**(NIGHTLY | {"tasks": 8}))
     daily = simulation.submit(
         **(NIGHTLY | {"job_class": "daily", "tasks": 8, "deadline_s": 36_000})
     )
     advance(simulation)
-    assert simulation.scheduler.holding.held(flexible, simulation.now) is None
+    assert simulation.scheduler.deferral.held(flexible, simulation.now) is None
     assert len(daily.attempts) == 6 and not flexible.attempts
 
 
@@ -471,8 +479,8 @@
     simulation.submit(**(NIGHTLY | {"job_class": "daily", "tasks": 1}))
     advance(simulation, 0.01)
     advance(simulation, 0.01)
-    assert simulation.scheduler.holding is not None
-    hold = simulation.scheduler.holding.held(job, simulation.now)
+    assert simulation.scheduler.deferral is not None
+    hold = simulation.scheduler.deferral.held(job, simulation.now)
     assert hold is not None and NOW + 4 * HOUR < hold.latest < NOW + 4.8 * HOUR
 
 
@@ -491,7 +499,7 @@
     # Twice its estimate, and a tenth more: an hour is counted as 2.2.
     later = simulation.submit(**NIGHTLY)
     advance(simulation, 0.01)
-    assert simulation.scheduler.holding is not None
-    hold = simulation.scheduler.holding.held(later, simulation.now)
+    assert simulation.scheduler.deferral is not None
+    hold = simulation.scheduler.deferral.held(later, simulation.now)
     latest = NOW + (later.submitted - seconds(100)) + 9 * HOUR - 2.2 * HOUR
     assert hold is not None and latest - HOUR / 10 < hold.latest < latest + HOUR / 20
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 
 from micadeal.clock import ZERO, seconds
 from micadeal.controller.persistence.record_writer import RecordWriter
-from micadeal.jobs.model import CHUNK, SMALL_CHUNK, Job, to_bits
+from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, to_bits
 from micadeal.schema.job_records import join_parts, part_keys, split
 from micadeal.state.limits import Limits
 from micadeal.wire import peers
@@ -19,7 +19,7 @@
 from micadeal.wire.codec import decode, encode, json_size
 from micadeal.wire.users import Shape, Status
 from tests.fakes.previous_versions import forget
-from tests.fakes.random_clusters import Picture
+from tests.fakes.random_clusters import RandomDeployment
 from tests.fakes.records_of_previous_versions import WRITTEN
 from tests.fakes.submissions import spec
 from tests.fakes.world import COMING, World
@@ -123,7 +123,9 @@
         # What an earlier version wrote, or this one before limits dropped.
         stored = [index for index in range(29_980) if index % 2_000 != 1_999]
         for chunk in range(2):
-            bits = to_bits([i for i in stored if i // CHUNK == chunk], chunk * CHUNK)
+            bits = to_bits(
+                [i for i in stored if i // TASKS_PER_CHUNK == chunk], chunk * TASKS_PER_CHUNK
+            )
             world.state.keys[f"done/{big}/{chunk}"] = ({"bits": bits}, world.state.revision, None)
         world.done |= {f"{big}/{index}" for index in stored}
         world.state.txn_ops, world.state.value_bytes = 5, 2048
@@ -142,7 +144,7 @@
         small = [key for key in world.state.keys if key.startswith(f"finished/{big}/")]
         for key in small:
             bits = world.state.keys[key][0]["bits"]
-            read.load_bits(int(key.rpartition("/")[2]) * SMALL_CHUNK, bits)
+            read.load_bits(int(key.rpartition("/")[2]) * TASKS_PER_SMALL_CHUNK, bits)
         assert len(read.finished) > len(small)
         await curio.sleep(5)
         await world.start(leader)
@@ -160,7 +162,7 @@
 def test_record_writer_keeps_limits_for_large_gangs(operations: int) -> None:
     """Guards against records of placements, images or finished tasks over the limits: a gang on
     hundreds of machines, with names that are not ASCII."""
-    picture = Picture(520, 0, 3)
+    picture = RandomDeployment(520, 0, 3)
     job = picture.submit(
         shape=Shape.GANG, tasks=250, one_zone=False, spread=False, gpus=2.0, cpus=14.0,
         memory_gb=51.0, image="görüntü-" + "ü" * 40, spot_allowed=False, team=picture.teams[0],
@@ -183,7 +185,7 @@
 
 def test_rejected_record_size_is_not_retried() -> None:
     """Guards against endless 400 responses, should the service measure sizes differently."""
-    picture = Picture(40, 60, 5)
+    picture = RandomDeployment(40, 60, 5)
     record_writer = RecordWriter(picture.cluster, LOW_LIMITS)
     max_size = 900
     refused = 0
