--- a/micadeal/controller/direct_commands.py
+++ b/micadeal/controller/direct_commands.py
@@ -8,9 +8,8 @@
 from micadeal.clock import monotonic
 from micadeal.controller.background_tasks import BackgroundTasks
 from micadeal.controller.messages import DirectCommandResult
+from micadeal.scheduling import reconciliation, worker_commands
 from micadeal.scheduling.cluster_state import ClusterState
-from micadeal.scheduling.reconciliation import reconcile_heartbeat
-from micadeal.scheduling.worker_commands import stop_commands_for
 from micadeal.wire.workers import DirectCommands
 
 #: Direct commands in flight at once.
@@ -59,7 +58,9 @@
                 self._in_flight.add(name)
                 machine.reachability.asked = monotonic()
                 message = DirectCommands(
-                    self._token, machine.incarnation, stop_commands_for(cluster, machine)
+                    self._token,
+                    machine.incarnation,
+                    worker_commands.stop_commands_for(cluster, machine),
                 )
                 await self._background_tasks.spawn(self._send, name, machine.address, message)
 
@@ -70,7 +71,7 @@
         """
         self._in_flight.discard(result.machine)
         if result.heartbeat is not None:
-            reconcile_heartbeat(
+            reconciliation.reconcile_heartbeat(
                 self._cluster,
                 result.heartbeat,
                 now,
