--- /dev/null
+++ b/bench/model_rollout/guards.py
@@ -0,0 +1,115 @@
+"""Guards of the code that can be disabled; each must then break a rule.
+
+A guard is disabled by replacing functions of ``micadeal.rollout`` by ones that lack it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from contextlib import ExitStack
+from dataclasses import dataclass
+from typing import Any
+from unittest import mock
+
+from bench.model_rollout.explorer import explore, start
+from micadeal.rollout import leader_lock as leader_locks
+from micadeal.rollout import migration
+from micadeal.rollout.leader_lock import LeaderLock
+from micadeal.schema.keys import LEADER
+from micadeal.wire.state import Put
+
+#: Without a guard the search gives up beyond so many states.
+MAX_STATES_WITHOUT_GUARD = 500_000
+
+_level_change: Any = leader_locks.level_change
+_plan: Any = migration.plan
+_EMPTY_BACKLOG = migration.MigrationBacklog()
+
+
+def _level_change_unfenced(lock: LeaderLock, to: Any, *args: Any) -> Any:
+    """Change the level without writing ``leader`` again."""
+    conditions, changes = _level_change(lock, to, *args)
+    return conditions, [
+        change for change in changes if change.key != LEADER or not lock.fenced or not to.level
+    ]
+
+
+def _level_change_leased(lock: LeaderLock, to: Any, name: str, lease: int, *args: Any) -> Any:
+    """Change the level and keep ``leader`` attached to the lease."""
+    conditions, changes = _level_change(lock, to, name, lease, *args)
+    return conditions, [
+        Put(change.key, change.value, lease)
+        if isinstance(change, Put) and change.key == LEADER
+        else change
+        for change in changes
+    ]
+
+
+def _level_change_alone(*args: Any) -> Any:
+    """Change the level whatever the member records are."""
+    return _level_change(*args[:-1], [])
+
+
+def _plan_without_silent(record: Any, own: Any, observations: Any, *args: Any) -> Any:
+    """Plan as if the peers that have shown no process did not exist."""
+    shown = {name: seen for name, seen in observations.items() if seen.process}
+    return _plan(record, own, shown, *args)
+
+
+@dataclass(frozen=True, slots=True)
+class Guard:
+    """The replacements that disable a guard, and the world in which that breaks a rule."""
+
+    #: Names of functions and what replaces them.
+    replacements: Mapping[str, Any]
+    #: Arguments of ``start``; what is missing never happens.
+    world: Mapping[str, int]
+
+
+GUARDS: dict[str, Guard] = {
+    "a raise depends on every member record": Guard(
+        {"micadeal.rollout.leader_lock.level_change": _level_change_alone},
+        {"ends": 1, "third": 2},
+    ),
+    "the process that was heard is the one recorded": Guard(
+        {"micadeal.rollout.migration.confirm": lambda *_: ()},
+        {"ends": 1, "third": 2},
+    ),
+    "all others have shown the level, and are recorded with it": Guard(
+        {
+            "micadeal.rollout.migration.plan": _plan_without_silent,
+            "micadeal.rollout.migration.confirm": lambda *_: (),
+        },
+        {"third": 1},
+    ),
+    "the leader's record never vanishes": Guard(
+        {"micadeal.rollout.leader_lock.level_change": _level_change_leased},
+        {"ends": 1, "leases": 1, "third": 2},
+    ),
+    "a process that does not know the level neither campaigns nor serves": Guard(
+        {"micadeal.rollout.leader_lock.refusal": lambda *_: None},
+        {"ends": 1, "third": 2},
+    ),
+    "a process is recorded before it serves": Guard(
+        {"micadeal.rollout.leader_lock.registered": lambda *_: True},
+        {"ends": 1, "third": 2},
+    ),
+    "records of another layout are rewritten first": Guard(
+        {"micadeal.rollout.migration.MigrationBacklog": lambda *_: _EMPTY_BACKLOG},
+        {"writes": 1, "third": 2},
+    ),
+    "the fence changes with the level": Guard(
+        {"micadeal.rollout.leader_lock.level_change": _level_change_unfenced},
+        {"writes": 1, "third": 2, "level": 1},
+    ),
+}
+
+
+def broken_without(guard: str) -> str | None:
+    """Return what breaks without the guard; None: nothing does."""
+    disabled = GUARDS[guard]
+    first = start(**{"ends": 0, "leases": 0, "writes": 0, **disabled.world})
+    with ExitStack() as stack:
+        for name, replacement in disabled.replacements.items():
+            stack.enter_context(mock.patch(name, replacement))
+        return explore(first, MAX_STATES_WITHOUT_GUARD).broken
