--- a/bench/profile_pass.py
+++ b/bench/profile_pass.py
@@ -1,9 +1,9 @@
-"""Where a leader's processor time goes on a made-up picture of a large deployment.
+"""Measures where a leader's processor time goes on a generated cluster of many machines.
 
     python3 -m bench.profile_pass [--machines 700] [--jobs 200] [--held 10000] [--profile]
 
-A tool for maintainers: its seconds are this machine's and mean nothing elsewhere.  What must not
-grow is guarded by counts in `tests/test_scale.py`.
+A tool for maintainers: its times are those of the machine it runs on.  What must not grow is
+checked by counts in ``tests/test_scale.py``.
 """
 
 from __future__ import annotations
@@ -11,7 +11,8 @@
 import cProfile
 import pstats
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from dataclasses import replace
 from datetime import UTC, datetime, timedelta
 from statistics import median
@@ -27,8 +28,18 @@
 from micadeal.wire.users import Priority, Shape
 from tests.fakes.random_clusters import RandomDeployment
 
+#: Evening at which the price series of ``measure_deferral`` begins.
+BEGIN = datetime(2026, 12, 1, 20, 0, tzinfo=UTC)
+#: Prices per kWh for 24 hours: cheap at night.
+EXPENSIVE, CHEAP = 0.3, 0.1
+CHEAP_HOURS = range(5, 10)
+#: Scheduling cycles measured without and with a queue of deferred jobs.
+CYCLES = 20
+MAX_PROFILE_LINES = 25
+
 
 def timed(what: str, times: int, work: Callable[[], object]) -> None:
+    """Print the mean processor time of one call of ``work``."""
     began = time.process_time()
     for _ in range(times):
         work()
@@ -36,96 +47,124 @@
     click.echo(f"{what:<44}{spent:10.2f} ms")
 
 
-def hold_many(picture: RandomDeployment, held: int, step: Callable[[], None]) -> None:
-    """Passes without and with a held queue, turn by turn, and what choosing its windows takes."""
-    scheduler = picture.scheduler
-    utc_now = datetime(2026, 12, 1, 20, 0, tzinfo=UTC)
-    deferral = Deferral(picture.cluster, UTC, seconds(5))
-    prices = tuple(0.3 if hour < 5 or hour > 9 else 0.1 for hour in range(24))
+class Measurement:
+    """A generated cluster and the parts of a leader's work on it."""
+
+    def __init__(self, machines: int, jobs: int) -> None:
+        self.generated = RandomDeployment(machines, jobs)
+        self.scheduler = self.generated.scheduler
+        self.cluster = self.generated.cluster
+        self.record_writer = RecordWriter(self.cluster, Limits(150, 25, 16, 8192))
+
+    def cycle(self) -> None:
+        """Run one scheduling cycle."""
+        self.cluster.changed = True
+        self.scheduler.tick(self.generated.now)
+        self.scheduler.run_cycle(self.generated.now)
+
+    def write(self) -> None:
+        """Ask for records to write, and take them as written."""
+        for batch in self.record_writer.next(self.generated.now):
+            self.record_writer.committed(batch, 1, self.generated.now)
+
+    def tick(self) -> None:
+        """Do what is due at the present time, without a cycle."""
+        self.scheduler.tick(self.generated.now)
+
+    def send_all_heartbeats(self) -> None:
+        """Take in one heartbeat of each machine."""
+        self.generated.now += seconds(0.01)
+        for name in self.cluster.machines:
+            self.generated.heartbeat(name)
+
+    def measure_scheduling(self) -> None:
+        """Measure cycles over a cluster on which nothing runs yet, then over a full one."""
+        timed("first cycle: everything waits", 1, self.cycle)
+        waiting = sum(job.waiting_count() for job in self.cluster.live_jobs())
+        placed = sum(len(machine.attempts) for machine in self.cluster.machines.values())
+        click.echo(f"  {placed} tasks placed, {waiting} wait")
+        self.generated.now += seconds(1)
+        timed("cycle: full, the rest waits", 3, self.cycle)
+
+    def measure_records(self) -> None:
+        """Measure finding what to write, with and without anything to write."""
+        timed("records: one call", 200, self.write)
+        for machine in self.cluster.machines.values():
+            attempts = list(machine.attempts.values())
+            self.cluster.written("placed/7/0", attempts, self.generated.now)
+        timed("records: one call, nothing to write", 20, self.write)
+
+    def measure_heartbeats(self) -> None:
+        """Measure heartbeats of all machines, and a cycle after some tasks have ended."""
+        names = list(self.cluster.machines)
+        timed(f"{len(names)} heartbeats taken in", 2, self.send_all_heartbeats)
+        timed("tick without a cycle", 20, self.tick)
+        for name in names[::10]:
+            self.generated.heartbeat(name, done=1)
+        timed("cycle: some tasks have ended", 1, self.cycle)
+
+    def measure_deferral(self, held: int) -> None:
+        """Measure cycles without and with ``held`` deferred jobs, and the choice of windows."""
+        scheduler = self.scheduler
+        deferral = Deferral(self.cluster, UTC, seconds(5))
+        deferral.take(_prices())
+        deferral.learn([("nightly", 1.0)] * 100)
+        scheduler.policy = replace(scheduler.policy, flexible={"nightly": Flexible()})
+        without = [self._cycle_time() for _ in range(CYCLES)]
+        for number in range(held):
+            self.generated.submit(
+                job_class="nightly", tasks=1, shape=Shape.ARRAY, priority=Priority.LOW,
+                team="team-0", gpus=0.1, deadline_s=36_000.0 + number,
+                estimate_s=600.0 + number % 7 * 600,
+            )  # fmt: skip
+        scheduler.deferral = deferral
+        turns = held // AT_ONCE + 1
+        timed("windows: one turn", turns, lambda: scheduler.hold(self.generated.now, BEGIN))
+        counted = scheduler.state_counts(self.generated.now)["held"]
+        beside = [self._cycle_time() for _ in range(CYCLES)]
+        ratio = median(beside) / median(without)
+        click.echo(f"  {counted} deferred; a cycle takes {ratio:.2f} times what it took without")
+
+    def _cycle_time(self) -> float:
+        began = time.process_time()
+        self.cycle()
+        return time.process_time() - began
+
+
+def _prices() -> Series:
     day = timedelta(days=1)
-    deferral.take(
-        Series("north", Quantity.PRICE, "EUR/kWh", "bench", utc_now, utc_now + day, utc_now,
-               utc_now,
-               timedelta(hours=1), prices)
+    prices = tuple(CHEAP if hour in CHEAP_HOURS else EXPENSIVE for hour in range(24))
+    return Series(
+        "north", Quantity.PRICE, "EUR/kWh", "bench", BEGIN, BEGIN + day, BEGIN, BEGIN,
+        timedelta(hours=1), prices,
     )  # fmt: skip
-    deferral.learn([("nightly", 1.0)] * 100)
-    scheduler.policy = replace(scheduler.policy, flexible={"nightly": Flexible()})
-    without: list[float] = []
-    beside: list[float] = []
 
-    def turn(spent: list[float]) -> None:
-        began = time.process_time()
-        step()
-        spent.append(time.process_time() - began)
-
-    for _ in range(20):
-        turn(without)
-    for number in range(held):
-        picture.submit(
-            job_class="nightly", tasks=1, shape=Shape.ARRAY, priority=Priority.LOW, team="team-0",
-            gpus=0.1, deadline_s=36_000.0 + number, estimate_s=600.0 + number % 7 * 600,
-        )  # fmt: skip
-    scheduler.deferral = deferral
-    turns = held // AT_ONCE + 1
-    timed("windows: one turn", turns, lambda: scheduler.hold(picture.now, utc_now))
-    counted = scheduler.state_counts(picture.now)["held"]
-    for _ in range(20):
-        turn(beside)
-    ratio = median(beside) / median(without)
-    click.echo(f"  {counted} held; a pass takes {ratio:.2f} times what it took without them")
+
+@contextmanager
+def profiled(enabled: bool) -> Iterator[None]:
+    """Print the costliest functions of what runs within, if ``enabled``."""
+    if not enabled:
+        yield
+        return
+    with cProfile.Profile() as profiler:
+        yield
+    pstats.Stats(profiler).sort_stats("tottime").print_stats(MAX_PROFILE_LINES)
 
 
 @click.command()
 @click.option("--machines", default=700, show_default=True)
 @click.option("--jobs", default=200, show_default=True)
-@click.option("--held", default=0, help="Jobs held for a better hour beside the others.")
+@click.option("--held", default=0, help="Jobs deferred to a better hour beside the others.")
 @click.option("--profile", is_flag=True, help="List the costliest functions as well.")
 def main(machines: int, jobs: int, held: int, profile: bool) -> None:
-    """Time the parts of a leader's work."""
-    picture = RandomDeployment(machines, jobs)
-    scheduler, cluster = picture.scheduler, picture.cluster
-    record_writer = RecordWriter(cluster, Limits(150, 25, 16, 8192))
-    profiler = cProfile.Profile()
-    if profile:
-        profiler.enable()
-
-    def step() -> None:
-        cluster.changed = True
-        scheduler.tick(picture.now)
-        scheduler.run_cycle(picture.now)
-
-    timed("first pass: all waits", 1, step)
-    waiting = sum(job.waiting_count() for job in cluster.live_jobs())
-    placed = sum(len(m.attempts) for m in cluster.machines.values())
-    click.echo(f"  {placed} tasks placed, {waiting} wait")
-    picture.now += seconds(1)
-    timed("pass: full, the rest waits", 3, step)
-
-    def write() -> None:
-        for batch in record_writer.next(picture.now):
-            record_writer.committed(batch, 1, picture.now)
-
-    timed("records: one call", 200, write)
-    for machine in cluster.machines.values():
-        cluster.written("placed/7/0", list(machine.attempts.values()), picture.now)
-    timed("records: one call, nothing to write", 20, write)
-    names = list(cluster.machines)
-
-    def report_all() -> None:
-        picture.now += seconds(0.01)
-        for name in names:
-            picture.heartbeat(name)
-
-    timed(f"{machines} reports taken in", 2, report_all)
-    timed("tick without a pass", 20, lambda: scheduler.tick(picture.now))
-    for name in names[::10]:
-        picture.heartbeat(name, done=1)
-    timed("pass: some tasks have ended", 1, step)
-    if held:
-        hold_many(picture, held, step)
-    if profile:
-        profiler.disable()
-        pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
+    """Measure the parts of a leader's work."""
+    measurement = Measurement(machines, jobs)
+    with profiled(profile):
+        measurement.measure_scheduling()
+        measurement.measure_records()
+        measurement.measure_heartbeats()
+        if held:
+            measurement.measure_deferral(held)
 
 
 if __name__ == "__main__":
