--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -63,7 +63,7 @@
 
     def informed(self: Any, *args: Any, **named: Any) -> None:
         begin(self, *args, **named)
-        self._authority.mark_informed(self._cluster.began)
+        self._authority.mark_informed(self._cluster.term_start)
 
     patch.setattr(Leader, "__init__", informed)
 
@@ -132,7 +132,7 @@
 def _silence_before_our_token_frees(patch: pytest.MonkeyPatch) -> None:
     def expire(cluster: ClusterState, now: timedelta) -> None:
         for machine in list(cluster.machines.values()):
-            latest = machine.reachability.latest or cluster.began
+            latest = machine.reachability.latest or cluster.term_start
             if not machine.lost and now - latest > cluster.workers.lease / 2:
                 machine.lost = True
                 machine_loss.lose_all_attempts(cluster, machine, now)
--- a/bench/flexible_start_savings.py
+++ b/bench/flexible_start_savings.py
@@ -155,7 +155,7 @@
             for name in list(self.up):
                 self._on_heartbeat(name, now)
             self.scheduler.tick(now)
-            self.scheduler.hold(now, BEGIN + now)
+            self.scheduler.refresh_deferral(now, BEGIN + now)
             self.scheduler.run_cycle(now)
             while batches := self.record_writer.next(now):
                 for batch in batches:
--- a/bench/profile_pass.py
+++ b/bench/profile_pass.py
@@ -119,7 +119,11 @@
             )  # fmt: skip
         scheduler.deferral = deferral
         turns = held // AT_ONCE + 1
-        timed("windows: one turn", turns, lambda: scheduler.hold(self.generated.now, BEGIN))
+        timed(
+            "windows: one turn",
+            turns,
+            lambda: scheduler.refresh_deferral(self.generated.now, BEGIN),
+        )
         counted = scheduler.state_counts(self.generated.now)["held"]
         beside = [self._cycle_time() for _ in range(CYCLES)]
         ratio = median(beside) / median(without)
--- a/micadeal/controller/direct_commands.py
+++ b/micadeal/controller/direct_commands.py
@@ -42,8 +42,8 @@
         """
         cluster = self._cluster
         for machine_names, max_in_flight in (
-            (cluster.direct, MAX_IN_FLIGHT),
-            (cluster.asking, MAX_IN_FLIGHT_FOR_PROBES),
+            (cluster.pending_direct_commands, MAX_IN_FLIGHT),
+            (cluster.pending_probes, MAX_IN_FLIGHT_FOR_PROBES),
         ):
             for name in list(machine_names):
                 if len(self._in_flight) >= max_in_flight:
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -198,8 +198,8 @@
         """Handle one message, then do what has become due, as far as the term allows it."""
         started = monotonic()
         result = self._handlers[type(message)](message, started)
-        while self._cluster.ended:
-            self._on_job_ended(self._cluster.ended.pop())
+        while self._cluster.unannounced_ends:
+            self._on_job_ended(self._cluster.unannounced_ends.pop())
         now = self._cpu_metrics.add_since(
             Activity.HEARTBEATS
             if isinstance(message, messages.HeartbeatReceived)
@@ -269,7 +269,7 @@
             return UNAVAILABLE
         commands = None
         if self._loaded:
-            if heartbeat.machine in self._cluster.gone:
+            if heartbeat.machine in self._cluster.removed_machines:
                 return UNAVAILABLE
             # An old heartbeat is answered as well: one that the answer to a direct command has
             # overtaken may be the worker's last.  It counts for nothing: the lease that our answer
@@ -371,7 +371,7 @@
     def _has_remaining_tasks(self, message: messages.HasRemainingTasks, _now: timedelta) -> bool:
         # Without full authority another leader may have started tasks unknown to us.
         certain = self._loaded and self._authority.current() is Authority.FULL
-        return not certain or self._cluster.left_of(message.job_id)
+        return not certain or self._cluster.has_remaining_tasks(message.job_id)
 
     def _may_tasks_start(self, message: messages.MayTasksStart, _now: timedelta) -> bool:
         return self._cluster.may_start(message.job_id)
--- a/micadeal/controller/persistence/layout_migration.py
+++ b/micadeal/controller/persistence/layout_migration.py
@@ -87,7 +87,7 @@
         """Have placements of the old layout merged, as if something of them were gone."""
         for key in self._cluster.records:
             if key.startswith(MACHINE_PLACEMENTS):
-                self._cluster.shrunk.setdefault(key, now)
+                self._cluster.stale_records.setdefault(key, now)
 
     def _rewrite_chunk(self, draft: BatchDraft, key: str) -> None:
         """Write what a chunk becomes in the present layout, or drop it once that is written."""
--- a/micadeal/controller/persistence/placements.py
+++ b/micadeal/controller/persistence/placements.py
@@ -56,7 +56,7 @@
         Otherwise a new leader would have to look for attempts that are long gone.
         """
         merged = self._new_chunk()
-        for key, since in list(self._cluster.shrunk.items()):
+        for key, since in list(self._cluster.stale_records.items()):
             if draft.remaining < MERGE_OPERATIONS:
                 break
             left = self._cluster.records[key]
@@ -109,7 +109,7 @@
         ]
         self._cluster.written(write.key, named, now)
         if len(named) < len(existing):
-            self._cluster.shrunk.setdefault(write.key, now)
+            self._cluster.stale_records.setdefault(write.key, now)
 
     def _put(self, draft: BatchDraft, chunk: PlacementChunk) -> None:
         key = self._new_key()
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -75,7 +75,7 @@
         self.apply_settings(loaded.settings)
         # A direct command to every recorded machine: its worker sees the new token, drops whatever
         # the previous leader may still send, and reports its tasks.
-        self._cluster.direct |= set(self._cluster.machines)
+        self._cluster.pending_direct_commands |= set(self._cluster.machines)
         log.info(
             "records loaded: token=%d jobs=%d machines=%d",
             self._cluster.token,
--- a/micadeal/controller/watchers.py
+++ b/micadeal/controller/watchers.py
@@ -23,7 +23,7 @@
     SettingsChanged,
     StateLoaded,
 )
-from micadeal.fleet.cloud import LIST_EVERY, Cloud
+from micadeal.fleet.cloud import LIST_INTERVAL, Cloud
 from micadeal.rollout.feature_level import FeatureLevel
 from micadeal.schema.decoding import VersionedRecord, decode_item, decode_placements, read
 from micadeal.schema.job_records import part_keys
@@ -90,7 +90,7 @@
         async def publish(machines: list[ListedMachine]) -> None:
             await self._tell(MachineListLoaded(machines))
 
-        await poll_forever("machines", self._cloud.machines, publish, LIST_EVERY)
+        await poll_forever("machines", self._cloud.machines, publish, LIST_INTERVAL)
 
     async def poll_catalog(self) -> None:
         """Keep telling which machine types the cloud offers."""
--- a/micadeal/fleet/cloud.py
+++ b/micadeal/fleet/cloud.py
@@ -26,7 +26,7 @@
 
 REQUEST_TIMEOUT = seconds(5)
 #: The cloud's list lags by more than this anyway.
-LIST_EVERY = timedelta(seconds=3)
+LIST_INTERVAL = timedelta(seconds=3)
 #: Machines asked for with one request for a list.
 LIST_PAGE_SIZE = 500
 #: Machines returned with one request.
--- a/micadeal/fleet/machines.py
+++ b/micadeal/fleet/machines.py
@@ -154,7 +154,7 @@
     #: Receipt of its first message; None: it is still booting or silent.
     up_since: timedelta | None = None
     #: When the cloud takes the machine away, as announced by its worker.
-    notice_end: timedelta | None = None
+    reclaim_expected_at: timedelta | None = None
 
     # -- tasks -----------------------------------------------------------------------------
 
@@ -192,7 +192,7 @@
     #: Whether the cloud has listed it as running, heard from or not.
     listed_running: bool = False
     #: Free capacity as derived from attempts and images; None: one of them has changed since.
-    shape: FreeCapacity | None = None
+    free_capacity: FreeCapacity | None = None
     #: Whether it has been in a list of the cloud.
     listed: bool = False
     #: How many lists in a row have not named it since.
@@ -213,7 +213,7 @@
             and self.draining is None
             and not self.reachability.receives_nothing
             and not self.lost
-            and self.notice_end is None
+            and self.reclaim_expected_at is None
             and self.heard is not None
             and now - self.heard <= silence
         )
--- a/micadeal/scheduling/capacity.py
+++ b/micadeal/scheduling/capacity.py
@@ -29,7 +29,12 @@
     capacities: list[MachineCapacity] = []
     for machine in cluster.machines.values():
         kind = cluster.types.get(machine.machine_type)
-        if kind is None or machine.draining or machine.lost or machine.notice_end is not None:
+        if (
+            kind is None
+            or machine.draining
+            or machine.lost
+            or machine.reclaim_expected_at is not None
+        ):
             continue
         usable = machine.usable(now, timeout)
         if usable or _may_become_usable(cluster, machine, kind, timeout, now):
@@ -88,10 +93,10 @@
 def _machine_capacity(
     cluster: ClusterState, machine: Machine, kind: MachineType, usable: bool, order: int
 ) -> MachineCapacity:
-    shape = machine.shape
+    shape = machine.free_capacity
     if shape is None:
         # Derived anew only when something on the machine has changed (``ClusterState`` clears it).
-        shape = machine.shape = _free_capacity(cluster, machine, kind)
+        shape = machine.free_capacity = _free_capacity(cluster, machine, kind)
     # Positional: this runs for every machine in every cycle.
     return MachineCapacity(
         machine.name,
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -73,7 +73,7 @@
     #: Teams with their limits, by name.
     teams: dict[str, Team]
     #: When the term began.
-    began: timedelta
+    term_start: timedelta
     #: Machine types of the cloud's catalog, by name.
     types: dict[str, MachineType] = field(default_factory=dict)
     #: Sizes in GB of images of jobs that were submitted lately.
@@ -88,24 +88,24 @@
     #: Keys of placement records in the state service, with the attempts of each that remain.
     records: dict[str, set[Attempt]] = field(default_factory=dict)
     #: Records that name attempts which are gone, and since when.
-    shrunk: dict[str, timedelta] = field(default_factory=dict)
+    stale_records: dict[str, timedelta] = field(default_factory=dict)
     #: Machines that are to get their stop commands at once.
-    direct: set[str] = field(default_factory=set)
+    pending_direct_commands: set[str] = field(default_factory=set)
     #: Machines that are to be probed, since their heartbeats leave something open.
-    asking: set[str] = field(default_factory=set)
+    pending_probes: set[str] = field(default_factory=set)
     #: Whether something changed that a scheduling cycle could make use of.
     changed: bool = True
     #: Machines that are certainly gone, since when: a late heartbeat or list brings none back.
-    gone: dict[str, timedelta] = field(default_factory=dict)
+    removed_machines: dict[str, timedelta] = field(default_factory=dict)
     #: How long boots took lately.
     boot_times: BootTimes = field(default_factory=BootTimes)
     #: Where deferral is switched on: job class of each task that completed, and its run time as a
     #: multiple of its estimate.  None: nothing is collected.
-    ends: list[tuple[str, float]] | None = None
+    completed_run_times: list[tuple[str, float]] | None = None
     #: Jobs of which all tasks ran, by the last report of the previous leader.
     all_started: frozenset[str] = frozenset()
     #: Jobs that turned out to be over, of which users are still to be told.
-    ended: list[str] = field(default_factory=list)
+    unannounced_ends: list[str] = field(default_factory=list)
     #: Which jobs wait for which others.
     dependencies: JobDependencies = field(init=False)
     _attempts: int = 0
@@ -140,7 +140,7 @@
         if job is None or job.over:
             return
         job.over = True
-        self.ended.append(job_id)
+        self.unannounced_ends.append(job_id)
         self.dependencies.gone(job)
         self.changed = True
         for attempt in list(job.all_attempts()):
@@ -191,7 +191,7 @@
         """Add an attempt that was placed, was recorded by an earlier leader, or was reported."""
         machine.attempts[attempt.key] = attempt
         machine.idle_since = None
-        machine.shape = None
+        machine.free_capacity = None
         job.add(attempt)
         if attempt.record is None:
             self.unwritten[attempt] = None
@@ -203,13 +203,13 @@
         machine = self.machines.get(attempt.machine)
         if machine is not None:
             machine.attempts.pop(attempt.key, None)
-            machine.shape = None
+            machine.free_capacity = None
             if not machine.attempts:
                 machine.idle_since = now
         self.unwritten.pop(attempt, None)
         if attempt.record is not None:
             self.records[attempt.record].discard(attempt)
-            self.shrunk.setdefault(attempt.record, now)
+            self.stale_records.setdefault(attempt.record, now)
         job = self.jobs.get(attempt.job_id)
         if job is not None:
             job.remove(attempt)
@@ -227,7 +227,7 @@
             # Its start was never sent to anybody, so there is nothing to stop.
             self.release(attempt, now)
             return
-        self.direct.add(attempt.machine)
+        self.pending_direct_commands.add(attempt.machine)
 
     def stop_job(self, job: Job, now: timedelta, save: bool) -> None:
         """Stop all attempts of a job; with ``save``, give them time to save a checkpoint."""
@@ -244,25 +244,25 @@
             machine = self.machines.get(attempt.machine)
             if machine is None or machine.attempts.get(attempt.key) is not attempt:
                 # Released while the record was being written.
-                self.shrunk.setdefault(key, now)
+                self.stale_records.setdefault(key, now)
                 continue
             if attempt.record is not None and attempt.record != key:
                 self.records[attempt.record].discard(attempt)
-                self.shrunk.setdefault(attempt.record, now)
+                self.stale_records.setdefault(attempt.record, now)
             attempt.record = key
             remaining.add(attempt)
             self.unwritten.pop(attempt, None)
 
     def record_gone(self, key: str) -> None:
         """Take in that the state service holds no such record: its attempts are written anew."""
-        self.shrunk.pop(key, None)
+        self.stale_records.pop(key, None)
         for attempt in self.records.pop(key, ()):
             attempt.record = None
             self.unwritten[attempt] = None
 
     # -- queries ---------------------------------------------------------------------------
 
-    def left_of(self, job_id: str) -> bool:
+    def has_remaining_tasks(self, job_id: str) -> bool:
         """Tell whether a task of the job may be on a machine, or may still be started."""
         job = self.jobs.get(job_id)
         return job is not None and (not job.over or bool(job.attempts))
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -72,7 +72,7 @@
         self._error_factors: dict[str, float] = {}
         #: Jobs whose windows are still to be chosen anew; taken from the end.
         self._queue: list[Job] = []
-        cluster.ends = []
+        cluster.completed_run_times = []
 
     def take(self, series: Series) -> None:
         """Take in new prices or carbon intensities of a zone."""
@@ -120,8 +120,8 @@
     def _begin_refresh(self, waits: frozenset[str]) -> None:
         policy, utc_now = self._policy, self._refreshed_utc
         self._update_starved()
-        self.learn(self._cluster.ends or ())
-        self._cluster.ends = []
+        self.learn(self._cluster.completed_run_times or ())
+        self._cluster.completed_run_times = []
         factors = {name: self._errors.factor(name) for name in policy.flexible if name not in waits}
         self._error_factors = {name: f for name, f in factors.items() if f is not None}
         by_class = self._deferrable_by_class()
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -85,7 +85,7 @@
     def _ending_for(self, spec: Submission) -> Iterator[float]:
         """Yield the estimates of running tasks whose end leaves capacity for such a task."""
         for machine in self._caching(spec.image):
-            shape = machine.shape
+            shape = machine.free_capacity
             if shape is None or not allowed(spec, machine.machine_type, machine.zone, machine.spot):
                 continue
             for attempt in machine.attempts.values():
@@ -104,9 +104,9 @@
         if self._machines_by_image is None:
             self._machines_by_image = {}
             for machine in self._cluster.machines.values():
-                if machine.shape is None or machine.lost or machine.draining:
+                if machine.free_capacity is None or machine.lost or machine.draining:
                     continue
-                if machine.notice_end is None and machine.up:
-                    for cached in machine.shape.images:
+                if machine.reclaim_expected_at is None and machine.up:
+                    for cached in machine.free_capacity.images:
                         self._machines_by_image.setdefault(cached, []).append(machine)
         return self._machines_by_image.get(image, [])
--- a/micadeal/scheduling/draining.py
+++ b/micadeal/scheduling/draining.py
@@ -17,9 +17,9 @@
     it starts elsewhere sooner.
     """
     for machine in list(cluster.machines.values()):
-        if machine.notice_end is None:
+        if machine.reclaim_expected_at is None:
             continue
-        left = machine.notice_end - now
+        left = machine.reclaim_expected_at - now
         for attempt in list(machine.attempts.values()):
             job = cluster.jobs[attempt.job_id]
             if attempt.stop is not None or job.over:
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -60,7 +60,7 @@
     return Overview(
         leader,
         cluster.token,
-        (now - cluster.began).total_seconds(),
+        (now - cluster.term_start).total_seconds(),
         state_reachable,
         _team_lines(scheduler),
         dict(scheduler.state_counts(now)),
@@ -160,7 +160,7 @@
         line.booting += 1
         return
     timeout = cluster.workers.heartbeat_interval * SILENT_AFTER_INTERVALS
-    if machine.draining or machine.notice_end is not None:
+    if machine.draining or machine.reclaim_expected_at is not None:
         line.draining += 1
     elif machine.heard is None or now - machine.heard > timeout:
         line.silent += 1
@@ -196,7 +196,7 @@
     """Return what is wrong with a machine, or None; the first that applies."""
     if machine.draining == ReturnReason.FAULTY:
         return "failed tasks of several jobs and are being emptied"
-    if machine.notice_end is not None:
+    if machine.reclaim_expected_at is not None:
         return "about to be taken by the cloud"
     if machine.reachability.receives_nothing:
         return "report, but don't hear us, and get nothing new"
--- a/micadeal/scheduling/machine_inventory.py
+++ b/micadeal/scheduling/machine_inventory.py
@@ -44,7 +44,7 @@
         present: set[str] = set()
         for entry in listed:
             present.add(entry.name)
-            if entry.name not in self._cluster.gone:
+            if entry.name not in self._cluster.removed_machines:
                 self._update_listed(entry, now)
         for machine in self._cluster.machines.values():
             if machine.name not in present and machine.listed:
@@ -100,7 +100,7 @@
         self.rentals.pop(offer, None)
         self._offers.granted(offer)
         for name in names:
-            if name in self._cluster.gone:
+            if name in self._cluster.removed_machines:
                 continue
             machine = self._cluster.machines.get(name)
             if machine is None:
--- a/micadeal/scheduling/machine_loss.py
+++ b/micadeal/scheduling/machine_loss.py
@@ -39,9 +39,9 @@
 
 def remove_machine(cluster: ClusterState, name: str, now: timedelta) -> None:
     """Take in that the cloud has confirmed the end of a machine, and of everything on it."""
-    cluster.gone[name] = now
-    if len(cluster.gone) > MAX_REMOVED_MACHINES:
-        del cluster.gone[next(iter(cluster.gone))]
+    cluster.removed_machines[name] = now
+    if len(cluster.removed_machines) > MAX_REMOVED_MACHINES:
+        del cluster.removed_machines[next(iter(cluster.removed_machines))]
     machine = cluster.machines.get(name)
     if machine is None:
         return
--- a/micadeal/scheduling/machine_monitor.py
+++ b/micadeal/scheduling/machine_monitor.py
@@ -55,7 +55,7 @@
             if machine.release_requested is None:
                 self._return_or_drain(machine, plan, now)
                 self._request_contact(machine, now)
-        for name in self._cluster.direct:
+        for name in self._cluster.pending_direct_commands:
             self._direct_due[name] = now + DIRECT_COMMAND_INTERVAL
         self._scale_in.note_reachability(heard, receives_nothing)
 
@@ -85,11 +85,11 @@
         if (lacks_token or _has_stopping_task(machine)) and now >= self._direct_due.get(
             machine.name, ZERO
         ):
-            self._cluster.direct.add(machine.name)
+            self._cluster.pending_direct_commands.add(machine.name)
         reachability = machine.reachability
         if reachability.missed and reachability.receives_nothing and reachability.may_ask(now):
             # Its answer proves that it receives what we send again.
-            self._cluster.asking.add(machine.name)
+            self._cluster.pending_probes.add(machine.name)
 
     def is_faulty(self, machine: Machine, now: timedelta) -> bool:
         """Return whether errors of several jobs on one machine point to the machine.
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -41,7 +41,7 @@
     """
     if heartbeat.token > cluster.token:
         raise StaleTokenError(heartbeat.machine, heartbeat.token, cluster.token)
-    if heartbeat.machine in cluster.gone:
+    if heartbeat.machine in cluster.removed_machines:
         return None
     machine = cluster.machines.get(heartbeat.machine)
     if machine is None:
@@ -113,7 +113,7 @@
     if reachability.proves_restart(asked):
         _take_restart(cluster, machine, heartbeat, now)
     elif is_heartbeat and not reachability.restarted and _needs_probe(cluster, machine, now):
-        cluster.asking.add(machine.name)
+        cluster.pending_probes.add(machine.name)
 
 
 def _needs_probe(cluster: ClusterState, machine: Machine, now: timedelta) -> bool:
@@ -184,8 +184,8 @@
 ) -> None:
     """Take over when the cloud is going to take the machine away, if that is announced."""
     if heartbeat.notice_s is None:
-        machine.notice_end = None
+        machine.reclaim_expected_at = None
         return
-    if machine.notice_end is None:
+    if machine.reclaim_expected_at is None:
         cluster.changed = True
-    machine.notice_end = now + seconds(min(max(heartbeat.notice_s, 0.0), MAX_NOTICE_S))
+    machine.reclaim_expected_at = now + seconds(min(max(heartbeat.notice_s, 0.0), MAX_NOTICE_S))
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -135,7 +135,7 @@
 
 def _note_running(machine: Machine, job: Job, attempt: Attempt, now: timedelta) -> None:
     attempt.running_since = now
-    machine.shape = None
+    machine.free_capacity = None
     log.debug(
         "task runs: job=%s task=%d class=%s machine=%s since_ready_s=%.1f since_placed_s=%.1f",
         job.id,
@@ -181,9 +181,9 @@
 ) -> None:
     """Remember how the run time of a completed task compares to its estimate, if it is wanted."""
     since = None if attempt is None else attempt.running_since
-    if cluster.ends is not None and since is not None and job.spec.estimate_s > 0:
+    if cluster.completed_run_times is not None and since is not None and job.spec.estimate_s > 0:
         run_time_s = (now - since).total_seconds()
-        cluster.ends.append((job.spec.job_class, run_time_s / job.spec.estimate_s))
+        cluster.completed_run_times.append((job.spec.job_class, run_time_s / job.spec.estimate_s))
 
 
 def _finish_task(
--- a/micadeal/scheduling/response_effects.py
+++ b/micadeal/scheduling/response_effects.py
@@ -59,7 +59,7 @@
     if start_missing or lease_not_renewed or not shows_our_token:
         reachability.response_had_no_effect(now)
         if reachability.may_ask(now):
-            cluster.asking.add(machine.name)
+            cluster.pending_probes.add(machine.name)
         cluster.changed |= reachability.receives_nothing
 
 
--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -143,11 +143,13 @@
         Asking the cloud for its end then beats waiting for its lease: the answer makes it certain,
         and its tasks start elsewhere sooner.
         """
-        if machine.heard is None or (machine.notice_end is None and machine.missing_lists <= 1):
+        if machine.heard is None or (
+            machine.reclaim_expected_at is None and machine.missing_lists <= 1
+        ):
             return False
         silence = now - machine.heard
         heartbeat = self._cluster.workers.heartbeat_interval
-        if machine.notice_end is not None and now > machine.notice_end:
+        if machine.reclaim_expected_at is not None and now > machine.reclaim_expected_at:
             return silence > heartbeat * RECLAIMED_HEARTBEATS
         return machine.missing_lists > 1 and silence > heartbeat * MAX_MISSED_HEARTBEATS
 
@@ -200,7 +202,7 @@
 
     def _reason_empty(self, machine: Machine, plan: Plan, now: timedelta) -> str | None:
         """Return why a machine without tasks is returned, and keep track of how long it is idle."""
-        if machine.notice_end is not None:
+        if machine.reclaim_expected_at is not None:
             return ReturnReason.RECLAIM_NOTICE
         if machine.draining is not None:
             return machine.draining
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -184,7 +184,7 @@
 
     # -- cycles ----------------------------------------------------------------------------
 
-    def hold(self, now: timedelta, utc_now: datetime) -> None:
+    def refresh_deferral(self, now: timedelta, utc_now: datetime) -> None:
         """Decide which jobs are deferred; before a cycle, where timing is switched on."""
         if self.deferral is not None:
             urgent = self._arrivals.urgent_classes
@@ -210,7 +210,7 @@
             self.timers,
             now,
             self._arrivals.expected_work(now),
-            may_rent=self.listed and now - self.cluster.began >= MACHINE_COUNT_TIMEOUT,
+            may_rent=self.listed and now - self.cluster.term_start >= MACHINE_COUNT_TIMEOUT,
             # Else what is asked for would be rented twice.
             pending_rentals=self._inventory.pending_rentals(),
             deferral=self.deferral,
--- a/micadeal/scheduling/status_counts.py
+++ b/micadeal/scheduling/status_counts.py
@@ -97,7 +97,7 @@
                 "machines heard of: percent=%.0f machines=%d seconds=%.1f",
                 share * 100,
                 len(known),
-                (now - self._cluster.began).total_seconds(),
+                (now - self._cluster.term_start).total_seconds(),
             )
 
     def _log_machines(self, spot: bool) -> None:
--- a/micadeal/scheduling/takeover.py
+++ b/micadeal/scheduling/takeover.py
@@ -15,7 +15,7 @@
     cluster.records.setdefault(key, set())
     if not record.machines:
         # Emptied by an earlier leader that could not drop it.
-        cluster.shrunk.setdefault(key, now)
+        cluster.stale_records.setdefault(key, now)
     for entry in record.machines:
         machine = _load_machine(cluster, entry, now)
         for placed in entry.tasks:
@@ -29,7 +29,7 @@
         if machine is not None:
             for age, image in enumerate(images):
                 machine.images.setdefault(image, now - seconds(age + 1))
-            machine.shape = None
+            machine.free_capacity = None
 
 
 def load_ended_job(cluster: ClusterState, job_id: str, end: EndRecord) -> None:
@@ -57,7 +57,7 @@
     attempt.started = placed.job_id in cluster.all_started
     if attempt.key in machine.attempts:
         # Two records name it: this one has no use.
-        cluster.shrunk.setdefault(key, now)
+        cluster.stale_records.setdefault(key, now)
         return
     cluster.adopt(job, machine, attempt)
     if job.over:
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -186,8 +186,8 @@
     def _lead(self, began: timedelta) -> None:
         self.cluster = ClusterState(self.token, WORKERS, self.teams, began)
         self.cluster.finished_dirty = SortedSet()
-        self.cluster.direct = SortedSet()
-        self.cluster.asking = SortedSet()
+        self.cluster.pending_direct_commands = SortedSet()
+        self.cluster.pending_probes = SortedSet()
         self.scheduler = Scheduler(
             self.cluster, InstanceOffers(), self.policy, self.objectives, began
         )
@@ -466,7 +466,7 @@
         self._execute(worker, commands)
 
     def _command(self) -> None:
-        for what in (self.cluster.direct, self.cluster.asking):
+        for what in (self.cluster.pending_direct_commands, self.cluster.pending_probes):
             for name in list(what):
                 what.discard(name)
                 machine = self.cluster.machines.get(name)
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -100,7 +100,7 @@
         self.incarnation, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Held] = {}
         self.images: set[str] = set()
-        self.notice_end: float | None = None
+        self.reclaim_expected_at: float | None = None
         #: It neither sends nor answers anything, and its tasks make no progress.
         self.hanging = False
         self.alive = True
@@ -220,7 +220,9 @@
             "host": self.name, "addr": self.address, "rig": "box", "depot": self.zone,
             "loaners": self.spot, "shift": self.incarnation, "tick": self.sequence,
             "baton": self.token,
-            "recall_s": None if self.notice_end is None else max(self.notice_end - now, 0.0),
+            "recall_s": None
+            if self.reclaim_expected_at is None
+            else max(self.reclaim_expected_at - now, 0.0),
             "legs": [held.heartbeat() for held in self.tasks.values()],
         }  # fmt: skip
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -208,7 +208,7 @@
     """Guards the overview: the longest stuck first, with counts instead of endless lists."""
     deployment = RandomDeployment(300, 0)
     for name in list(deployment.cluster.machines)[:200]:
-        deployment.cluster.machines[name].notice_end = deployment.now + seconds(20)
+        deployment.cluster.machines[name].reclaim_expected_at = deployment.now + seconds(20)
     for number in range(150):
         deployment.now += seconds(0.1)
         deployment.submit(tasks=1, gpus=2.0, cpus=16.0, zone="north", image=f"img-{number}")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -116,7 +116,7 @@
         worker, _ = world.held(job)[0]
         assert worker.spot
         await curio.sleep(20)
-        worker.notice_end = monotonic().total_seconds() + 15
+        worker.reclaim_expected_at = monotonic().total_seconds() + 15
         await curio.sleep(15)
         world.cloud.take(worker.name)
         await world.until_done(job)
@@ -273,7 +273,7 @@
         await curio.sleep(15)
         worker, _ = world.held(job)[0]
         if notice is not None:
-            worker.notice_end = monotonic().total_seconds() + notice
+            worker.reclaim_expected_at = monotonic().total_seconds() + notice
             await curio.sleep(notice)
         world.cloud.take(worker.name)
         assert await world.until(lambda: world.running(job) == 1, limit=60) < limit
@@ -292,7 +292,7 @@
         worker, _ = world.held(long)[0]
         assert world.held(short)[0][0] is worker
         await curio.sleep(5)
-        worker.notice_end = monotonic().total_seconds() + 25
+        worker.reclaim_expected_at = monotonic().total_seconds() + 25
         await curio.sleep(8)
         # The long one is on its way elsewhere, the short one goes on and ends in time.
         assert all(w is not worker for w, _ in world.held(long))
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -327,7 +327,7 @@
     simulation.now += HOUR * hours
     for name in simulation.cluster.machines:
         simulation.heartbeat(name)
-    simulation.scheduler.hold(simulation.now, NOW + (simulation.now - seconds(100)))
+    simulation.scheduler.refresh_deferral(simulation.now, NOW + (simulation.now - seconds(100)))
     simulation.scheduler.run_cycle(simulation.now)
 
 
