--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -25,7 +25,7 @@
 import click
 import pytest
 
-from micadeal.controller.api.cancellations import CancellationBroadcaster
+from micadeal.controller.api.cancellation_broadcast import CancellationBroadcaster
 from micadeal.controller.api.jobs import CancellationConfirmation
 from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.controller.leader import Leader
--- a/micadeal/controller/api/peers.py
+++ b/micadeal/controller/api/peers.py
@@ -9,7 +9,7 @@
 
 from micadeal.actor import MailboxFullError
 from micadeal.clock import monotonic, seconds
-from micadeal.controller.api.cancellations import CancellationBroadcaster
+from micadeal.controller.api.cancellation_broadcast import CancellationBroadcaster
 from micadeal.controller.api.endpoints import Endpoint, dispatch
 from micadeal.controller.api.heartbeats import HeartbeatApi
 from micadeal.controller.api.jobs import JobApi
@@ -36,6 +36,8 @@
 #: How long the leader's actor may take to say how far the jobs have come: well within the time
 #: that a ping has.
 PROGRESS_TIMEOUT = seconds(0.5)
+#: Error text of a 503 for a full mailbox, the same in all versions.
+MAILBOX_FULL = "Overloaded"
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +94,9 @@
         except MessageFormatError as problem:
             log.warning("peer request rejected: path=%s reason=%s", request.path, problem)
             return error(400, str(problem))
-        except (MailboxFullError, TimeoutError) as problem:
+        except MailboxFullError:
+            return error(503, MAILBOX_FULL)
+        except TimeoutError as problem:
             return error(503, str(problem) or type(problem).__name__)
 
     async def _ping(self, request: Request) -> Answer:
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -10,7 +10,7 @@
 
 from micadeal.actor import MailboxFullError, keep_running
 from micadeal.clock import monotonic, seconds, utc_now
-from micadeal.controller.api.cancellations import CancellationBroadcaster
+from micadeal.controller.api.cancellation_broadcast import CancellationBroadcaster
 from micadeal.controller.api.heartbeats import HeartbeatApi
 from micadeal.controller.api.jobs import JobApi
 from micadeal.controller.api.operators import OperatorApi
