--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -92,7 +92,7 @@
     broadcast = CancellationBroadcaster.broadcast
 
     async def settled(self: CancellationBroadcaster, job_id: str) -> CancellationConfirmation:
-        return (await broadcast(self, job_id))._replace(settled=True)
+        return (await broadcast(self, job_id))._replace(no_task_can_start=True)
 
     async def nothing_starts(self: CancellationBroadcaster, job_id: str) -> bool:
         return False
@@ -133,8 +133,8 @@
     def expire(cluster: ClusterState, now: timedelta) -> None:
         for machine in list(cluster.machines.values()):
             latest = machine.reachability.latest or cluster.term_start
-            if not machine.lost and now - latest > cluster.workers.lease / 2:
-                machine.lost = True
+            if not machine.lease_expired and now - latest > cluster.workers.lease / 2:
+                machine.lease_expired = True
                 machine_loss.lose_all_attempts(cluster, machine, now)
 
     patch.setattr(machine_loss, "expire_leases", expire)
--- a/bench/model_reachability.py
+++ b/bench/model_reachability.py
@@ -90,7 +90,7 @@
         _always_restarted,
     ),
     "absence counts once no start is in flight": (reported_tasks, "_absent_for_good", _any_absence),
-    "a lease counts from the newest message": (Reachability, "take", _first_message_only),
+    "a lease counts from the newest message": (Reachability, "record_message", _first_message_only),
 }
 
 
--- a/bench/profile_pass.py
+++ b/bench/profile_pass.py
@@ -91,7 +91,7 @@
         timed("records: one call", 200, self.write)
         for machine in self.cluster.machines.values():
             attempts = list(machine.attempts.values())
-            self.cluster.written("placed/7/0", attempts, self.generated.now)
+            self.cluster.placements_written("placed/7/0", attempts, self.generated.now)
         timed("records: one call, nothing to write", 20, self.write)
 
     def measure_heartbeats(self) -> None:
--- a/bench/reachability_world.py
+++ b/bench/reachability_world.py
@@ -187,7 +187,7 @@
             machine.incarnation,
             machine.sequence - self.sequence,
             machine.has_our_token,
-            machine.lost,
+            machine.lease_expired,
             None if reachability.latest is None else self.at - reachability.latest,
             None if machine.heard is None else self.at - machine.heard,
             reachability.token,
@@ -294,9 +294,9 @@
     def _place(self) -> None:
         machine = self.machine
         assert machine is not None
-        if machine.draining is None and not machine.lost:
+        if machine.draining is None and not machine.lease_expired:
             self.cluster.place(self.job, 0, self.cluster.next_number(), machine, self.at)
-            self.cluster.written("placed/1/0", list(self.cluster.unwritten), self.at)
+            self.cluster.placements_written("placed/1/0", list(self.cluster.unwritten), self.at)
 
     def _stop(self) -> None:
         for attempt in list(self.job.all_attempts()):
--- a/micadeal/controller/action_executor.py
+++ b/micadeal/controller/action_executor.py
@@ -61,7 +61,7 @@
     def write_completed(self, message: WriteCompleted, now: timedelta) -> None:
         """Take in the outcome of a write."""
         if message.rejected:
-            self._record_writer.refused(message.batch)
+            self._record_writer.rejected(message.batch)
         if message.revision is not None:
             self._record_writer.committed(message.batch, message.revision, now)
         else:
--- a/micadeal/controller/api/confirmation.py
+++ b/micadeal/controller/api/confirmation.py
@@ -19,9 +19,9 @@
     """How far a cancellation has got."""
 
     #: So many controllers know of it that a user may be answered, as far as that goes.
-    enough: bool
+    majority_notified: bool
     #: A leader says that no task of the job can start any more.
-    settled: bool
+    no_task_can_start: bool
 
 
 class UnconfirmedCancellationError(StateServiceError):
@@ -65,9 +65,9 @@
         """
         job_id = answer.job_id
         spread = await self._spread(job_id)
-        if not spread.enough:
+        if not spread.majority_notified:
             raise _unconfirmed(job_id, "too few controllers know of it")
-        if not (cannot_start or spread.settled):
+        if not (cannot_start or spread.no_task_can_start):
             self._check_tasks_are_gone(job_id)
         self._starts_possible.discard(job_id)
         log.debug("cancellation confirmed: job=%s", job_id)
--- a/micadeal/controller/api/heartbeats.py
+++ b/micadeal/controller/api/heartbeats.py
@@ -95,14 +95,14 @@
         if commands is not None:
             return answer(200, commands)
         leader = self._leader
-        route = self._router.way(
+        route = self._router.route(
             heartbeat.machine,
             leader.actor is not None,
             leader.name,
             monotonic(),
             knows=0 < heartbeat.token == leader.token,
         )
-        if route is HeartbeatRoute.HERE:
+        if route is HeartbeatRoute.LOCAL:
             reply = await self.submit(heartbeat)
             if reply.status == _UNAVAILABLE and leader.remote_name is not None:
                 return answer(421, Redirect(leader.remote_name))
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -176,12 +176,12 @@
         """Serve until cancelled; a part that fails is started again."""
         platform = self._platform
         public_server = self._network.server(
-            platform.listen,
+            platform.api_address,
             self._public_api.serve,
             int(platform.max_connections * PUBLIC_CONNECTIONS_SHARE),
         )
         peer_server = self._network.server(
-            platform.mesh,
+            platform.peer_address,
             self._peer_api.serve,
             int(platform.max_connections * PEER_CONNECTIONS_SHARE),
         )
--- a/micadeal/controller/direct_commands.py
+++ b/micadeal/controller/direct_commands.py
@@ -56,7 +56,7 @@
                     continue
                 machine_names.discard(name)
                 self._in_flight.add(name)
-                machine.reachability.asked = monotonic()
+                machine.reachability.last_probe_at = monotonic()
                 message = DirectCommands(
                     self._token,
                     machine.incarnation,
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -238,7 +238,7 @@
                 metrics,
                 self._mailbox.qsize(),
                 len(self._cluster.unwritten),
-                len(self._cluster.finished_dirty),
+                len(self._cluster.jobs_with_unwritten_results),
             )
         return self._cpu_metrics.add_since(Activity.TICKS, now)
 
--- a/micadeal/controller/persistence/finished_tasks.py
+++ b/micadeal/controller/persistence/finished_tasks.py
@@ -38,7 +38,7 @@
     def add_chunks(self, draft: BatchDraft, now: timedelta) -> None:
         """Add chunks of finished tasks that have been collected for long enough."""
         size = 0
-        for job_id in list(self._cluster.finished_dirty):
+        for job_id in list(self._cluster.jobs_with_unwritten_results):
             job = self._due_job(job_id, now)
             if job is None:
                 continue
@@ -57,7 +57,7 @@
         if now - self._collecting_since.setdefault(job_id, now) < COLLECT_TIME:
             return None
         if not job.finished - job.durable:
-            self._cluster.finished_dirty.discard(job_id)
+            self._cluster.jobs_with_unwritten_results.discard(job_id)
             del self._collecting_since[job_id]
             return None
         return job
--- a/micadeal/controller/persistence/job_ends.py
+++ b/micadeal/controller/persistence/job_ends.py
@@ -50,10 +50,10 @@
 
     def _complete_jobs(self) -> list[Job]:
         complete: list[Job] = []
-        for job_id in list(self._cluster.finished_dirty):
+        for job_id in list(self._cluster.jobs_with_unwritten_results):
             job = self._cluster.jobs.get(job_id)
             if job is None or job.over:
-                self._cluster.finished_dirty.discard(job_id)
+                self._cluster.jobs_with_unwritten_results.discard(job_id)
             elif job.complete and job_id not in self._under_way:
                 complete.append(job)
         return complete
--- a/micadeal/controller/persistence/placements.py
+++ b/micadeal/controller/persistence/placements.py
@@ -76,7 +76,7 @@
         """Take over what a batch has written, dropped or emptied."""
         # New records first, then those that named the same attempts before.
         for write in batch.placed:
-            self._cluster.written(write.key, write.attempts, now)
+            self._cluster.placements_written(write.key, write.attempts, now)
         written = {write.key for write in batch.placed}
         for operation in batch.operations:
             emptied = operation.key.startswith(PLACED) and operation.key not in written
@@ -107,7 +107,7 @@
             for attempt in write.attempts
             if (attempt.machine, attempt.placed_task) in existing
         ]
-        self._cluster.written(write.key, named, now)
+        self._cluster.placements_written(write.key, named, now)
         if len(named) < len(existing):
             self._cluster.stale_records.setdefault(write.key, now)
 
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -80,7 +80,7 @@
         """Whether anything of what has happened is not written yet."""
         return bool(
             self._cluster.unwritten
-            or self._cluster.finished_dirty
+            or self._cluster.jobs_with_unwritten_results
             or self._placements_under_way
             or self._deferred_under_way
             or self._job_ends.busy
@@ -98,7 +98,7 @@
         """Have a key dropped that nothing needs any more."""
         self._keys.schedule_drop(key)
 
-    def job_over(self, job: Job | None) -> None:
+    def drop_job_records(self, job: Job | None) -> None:
         """Have what is left of a job's finished tasks and of its description dropped."""
         self._keys.schedule_job_drops(job)
 
@@ -106,7 +106,7 @@
         """Take over a page of images that an earlier leader has written."""
         self._images.load(key, record, now)
 
-    def load_leaving(
+    def load_returned_machines(
         self, found: VersionedRecord[ReturnedMachinesRecord], now: timedelta
     ) -> list[str]:
         """Return the machines that an earlier leader was returning until a moment ago."""
@@ -183,7 +183,7 @@
         self._keys.read_back(found)
         self._placements.failed(changes, found, now)
 
-    def refused(self, changes: WriteBatch) -> None:
+    def rejected(self, changes: WriteBatch) -> None:
         """Write smaller batches after the service has called one too large.
 
         The same batch is never tried again.  ``failed`` must be called as well.
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -68,10 +68,12 @@
         for job_id in [job_id for job_id in self.cancelled if job_id in self._cluster.jobs]:
             self.job_over(job_id, now)
         for draining in loaded.draining:
-            self._scheduler.return_again(self._record_writer.load_leaving(draining, now), now)
+            self._scheduler.return_again(
+                self._record_writer.load_returned_machines(draining, now), now
+            )
         for job in list(self._cluster.live_jobs()):
             if job.complete:
-                self._cluster.finished_dirty.add(job.id)
+                self._cluster.jobs_with_unwritten_results.add(job.id)
         self.apply_settings(loaded.settings)
         # A direct command to every recorded machine: its worker sees the new token, drops whatever
         # the previous leader may still send, and reports its tasks.
@@ -175,7 +177,7 @@
 
     def job_over(self, job_id: str, now: timedelta) -> None:
         """Take in that a job's record is gone: it is done or cancelled."""
-        self._record_writer.job_over(self._cluster.jobs.get(job_id))
+        self._record_writer.drop_job_records(self._cluster.jobs.get(job_id))
         self._cluster.job_gone(job_id, now)
 
     # -- settings --------------------------------------------------------------------------
--- a/micadeal/controller/zone_observer.py
+++ b/micadeal/controller/zone_observer.py
@@ -31,7 +31,9 @@
     def observe_if_due(self, machines: Iterable[Machine], now: timedelta) -> None:
         """Show the zone monitor the present state, if it is time for that."""
         if self._monitor.due(now):
-            self._monitor.look(machines, self._best_presence_by_zone(now), self._max_silence, now)
+            self._monitor.observe(
+                machines, self._best_presence_by_zone(now), self._max_silence, now
+            )
 
     def notes(self, now: timedelta) -> list[str]:
         """Return the zones that are not open, in words for the operators' overview."""
--- a/micadeal/fleet/heartbeat_routing.py
+++ b/micadeal/fleet/heartbeat_routing.py
@@ -23,13 +23,13 @@
     """What a controller does with a heartbeat."""
 
     #: This controller leads: it answers.
-    HERE = "here"
+    LOCAL = "here"
     #: The worker is told the leader's name and goes there.
     REDIRECT = "redirect"
     #: The heartbeat is passed to the leader, and the leader's response back.
     RELAY = "relay"
     #: No leader is known.
-    NOWHERE = "nowhere"
+    UNAVAILABLE = "nowhere"
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self._routes: OrderedDict[str, _WorkerRoute] = OrderedDict()
 
-    def way(
+    def route(
         self, machine: str, leading: bool, leader: str | None, now: timedelta, knows: bool = False
     ) -> HeartbeatRoute:
         """Choose the route of a heartbeat.
@@ -58,9 +58,9 @@
         ``knows``: the worker has shown the present leader's token.
         """
         if leading:
-            return HeartbeatRoute.HERE
+            return HeartbeatRoute.LOCAL
         if leader is None:
-            return HeartbeatRoute.NOWHERE
+            return HeartbeatRoute.UNAVAILABLE
         route = self._route_of(machine, leader)
         if route.relayed is not None and now - route.relayed < RELAY_KEEP_WINDOW:
             return HeartbeatRoute.RELAY
--- a/micadeal/fleet/machines.py
+++ b/micadeal/fleet/machines.py
@@ -176,7 +176,7 @@
     #: When its return to the cloud was requested.
     release_requested: timedelta | None = None
     #: Whether it was silent past its lease: nothing is on it, but it may come back.
-    lost: bool = False
+    lease_expired: bool = False
     #: Since when no attempt is on it.
     idle_since: timedelta | None = None
     #: Jobs that failed on it since a task last completed on it.
@@ -212,7 +212,7 @@
             self.has_our_token
             and self.draining is None
             and not self.reachability.receives_nothing
-            and not self.lost
+            and not self.lease_expired
             and self.reclaim_expected_at is None
             and self.heard is not None
             and now - self.heard <= silence
--- a/micadeal/fleet/reachability.py
+++ b/micadeal/fleet/reachability.py
@@ -47,12 +47,12 @@
     #: When the first of these was noticed.
     missed_since: timedelta | None = None
     #: When a command or probe was last sent to it.
-    asked: timedelta | None = None
+    last_probe_at: timedelta | None = None
     #: Its worker process was restarted.  Nothing that arrives from such a machine is conclusive: a
     #: copy of what the earlier process sent would be taken for a newer message.
     restarted: bool = False
 
-    def take(self, token: int, now: timedelta) -> None:
+    def record_message(self, token: int, now: timedelta) -> None:
         """Record the receipt of a message that is newer than all before."""
         self.token = max(self.token, token)
         self.latest = now
@@ -101,6 +101,6 @@
         """
         return asked is not None and (self.latest is None or asked > self.latest)
 
-    def may_ask(self, now: timedelta) -> bool:
+    def may_probe(self, now: timedelta) -> bool:
         """Tell whether the machine may be probed again."""
-        return self.asked is None or now - self.asked >= PROBE_INTERVAL
+        return self.last_probe_at is None or now - self.last_probe_at >= PROBE_INTERVAL
--- a/micadeal/operator/platform.py
+++ b/micadeal/operator/platform.py
@@ -97,9 +97,9 @@
     name: str
     zone: str
     #: Host and port on which users and workers are answered.
-    listen: tuple[str, int]
+    api_address: tuple[str, int]
     #: Host and port on which other controllers are answered.
-    mesh: tuple[str, int]
+    peer_address: tuple[str, int]
     #: The other controllers; this one is left out.
     peers: tuple[Peer, ...]
     cloud_address: str
@@ -162,8 +162,8 @@
     return Platform(
         name=file.name,
         zone=file.zone,
-        listen=_address("api_addr", file.listen),
-        mesh=_address("mesh_addr", file.mesh),
+        api_address=_address("api_addr", file.listen),
+        peer_address=_address("mesh_addr", file.mesh),
         peers=_other_controllers(file),
         cloud_address=file.services.cloud,
         state_address=file.services.state,
--- a/micadeal/rollout/leader_lock.py
+++ b/micadeal/rollout/leader_lock.py
@@ -55,7 +55,7 @@
     #: Keys whose values can't be read, or are inconsistent.
     damaged: tuple[str, ...] = ()
 
-    def unchanged(self, key: str) -> Condition:
+    def unchanged_condition(self, key: str) -> Condition:
         """Return the condition that a key, damaged or not, still is as it was read."""
         return Condition(key, self.versions.get(key, 0))
 
@@ -144,7 +144,7 @@
     key = MEMBER + name
     build = process.build
     record = MemberRecord(process.id, build.name, build.lowest, build.highest, started_at)
-    return [leader_lock.unchanged(key)], [Put(key, record)]
+    return [leader_lock.unchanged_condition(key)], [Put(key, record)]
 
 
 def refusal(leader_lock: LeaderLock, name: str, process: Process) -> str | None:
@@ -164,7 +164,7 @@
     It depends on the level and on our own member record, so that neither a raise of the level nor
     a later process of ours can come in between.
     """
-    conditions = [leader_lock.unchanged(key) for key in (LEADER, LEVEL, MEMBER + name)]
+    conditions = [leader_lock.unchanged_condition(key) for key in (LEADER, LEVEL, MEMBER + name)]
     if not leader_lock.fenced:
         return conditions, [Put(LEADER, LeaderRecord(name, lease), lease)]
     conditions.append(Condition(LOCK_HOLDER, 0))
@@ -187,7 +187,7 @@
     ``depends_on`` names the controllers whose member records must be as they were read.
     """
     members = (MEMBER + member for member in depends_on)
-    conditions = [leader_lock.unchanged(key) for key in (LEADER, LEVEL, *members)]
+    conditions = [leader_lock.unchanged_condition(key) for key in (LEADER, LEVEL, *members)]
     leader = LeaderRecord(name, lease, token)
     changes: list[Put | Delete] = [Put(LEVEL, record)]
     if record.level >= FeatureLevel.FENCED:
--- a/micadeal/scheduling/capacity.py
+++ b/micadeal/scheduling/capacity.py
@@ -32,7 +32,7 @@
         if (
             kind is None
             or machine.draining
-            or machine.lost
+            or machine.lease_expired
             or machine.reclaim_expected_at is not None
         ):
             continue
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -82,7 +82,7 @@
     jobs: dict[str, Job] = field(default_factory=dict)
     machines: dict[str, Machine] = field(default_factory=dict)
     #: Jobs whose set of finished tasks must be written.
-    finished_dirty: set[str] = field(default_factory=set)
+    jobs_with_unwritten_results: set[str] = field(default_factory=set)
     #: Attempts that no record in the state service names yet, in the order of their placement.
     unwritten: dict[Attempt, None] = field(default_factory=dict)
     #: Keys of placement records in the state service, with the attempts of each that remain.
@@ -237,7 +237,7 @@
 
     # -- placement records -----------------------------------------------------------------
 
-    def written(self, key: str, attempts: Iterable[Attempt], now: timedelta) -> None:
+    def placements_written(self, key: str, attempts: Iterable[Attempt], now: timedelta) -> None:
         """Take in that the state service holds a record under ``key`` naming these attempts."""
         remaining = self.records.setdefault(key, set())
         for attempt in attempts:
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -104,7 +104,7 @@
         if self._machines_by_image is None:
             self._machines_by_image = {}
             for machine in self._cluster.machines.values():
-                if machine.free_capacity is None or machine.lost or machine.draining:
+                if machine.free_capacity is None or machine.lease_expired or machine.draining:
                     continue
                 if machine.reclaim_expected_at is None and machine.up:
                     for cached in machine.free_capacity.images:
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -27,7 +27,7 @@
 MAX_STUCK_JOBS = 20
 MAX_NAMED_MACHINES = 5
 #: A machine without a heartbeat for so many intervals is shown as silent.
-SILENT_AFTER_INTERVALS = 3
+UNRESPONSIVE_AFTER_INTERVALS = 3
 
 
 def why(scheduler: Scheduler, job_id: str, now: timedelta) -> WhyAnswer | None:
@@ -159,7 +159,7 @@
     if not machine.up:
         line.booting += 1
         return
-    timeout = cluster.workers.heartbeat_interval * SILENT_AFTER_INTERVALS
+    timeout = cluster.workers.heartbeat_interval * UNRESPONSIVE_AFTER_INTERVALS
     if machine.draining or machine.reclaim_expected_at is not None:
         line.draining += 1
     elif machine.heard is None or now - machine.heard > timeout:
--- a/micadeal/scheduling/machine_loss.py
+++ b/micadeal/scheduling/machine_loss.py
@@ -23,10 +23,10 @@
     limit = cluster.lease_expiry
     for machine in list(cluster.machines.values()):
         latest = machine.reachability.latest
-        if machine.lost or latest is None or not machine.has_our_token:
+        if machine.lease_expired or latest is None or not machine.has_our_token:
             continue
         if now - latest > limit:
-            machine.lost = True
+            machine.lease_expired = True
             cluster.changed = True
             log.info(
                 "lease expired: machine=%s zone=%s attempts=%d",
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -50,7 +50,7 @@
     if reachability.restarted or _looks_older(machine, heartbeat):
         _take_old_message(cluster, machine, heartbeat, now, is_heartbeat, asked)
         return None
-    if machine.lost and heartbeat.incarnation == machine.incarnation:
+    if machine.lease_expired and heartbeat.incarnation == machine.incarnation:
         # Guards against copies that bring back machines which are gone: after its lease a worker
         # that is there reports its next incarnation.  What the message shows still counts as
         # possibly running.
@@ -59,7 +59,7 @@
         _mark_up(cluster, machine, now)
     assess_last_response(cluster, machine, heartbeat, now, is_heartbeat)
     _take_position(cluster, machine, heartbeat)
-    reachability.take(heartbeat.token, now)
+    reachability.record_message(heartbeat.token, now)
     if asked is not None:
         reachability.probe_answered(asked)
     if is_heartbeat:
@@ -123,7 +123,7 @@
     """
     latest = machine.reachability.latest
     overdue = cluster.workers.heartbeat_interval * PROBE_AFTER_INTERVALS
-    return (latest is None or now - latest > overdue) and machine.reachability.may_ask(now)
+    return (latest is None or now - latest > overdue) and machine.reachability.may_probe(now)
 
 
 def _take_restart(
@@ -174,8 +174,8 @@
 
 def _take_sign_of_life(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
     machine.heard = now
-    if machine.lost:
-        machine.lost = False
+    if machine.lease_expired:
+        machine.lease_expired = False
         cluster.changed = True
 
 
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -199,7 +199,7 @@
     indexes: Iterable[int] = range(job.spec.tasks) if job.is_gang else (index,)
     for finished in indexes:
         job.finish(finished)
-    cluster.finished_dirty.add(job.id)
+    cluster.jobs_with_unwritten_results.add(job.id)
     cluster.changed = True
 
 
--- a/micadeal/scheduling/response_effects.py
+++ b/micadeal/scheduling/response_effects.py
@@ -58,7 +58,7 @@
     )
     if start_missing or lease_not_renewed or not shows_our_token:
         reachability.response_had_no_effect(now)
-        if reachability.may_ask(now):
+        if reachability.may_probe(now):
             cluster.pending_probes.add(machine.name)
         cluster.changed |= reachability.receives_nothing
 
--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -88,7 +88,7 @@
         """Return why the machine is to be returned, or None; the first reason that applies."""
         if machine.reachability.restarted:
             return ReturnReason.RESTARTED
-        if machine.listed_failed and (machine.lost or not machine.up):
+        if machine.listed_failed and (machine.lease_expired or not machine.up):
             return ReturnReason.FAILED
         if not machine.up:
             return self._reason_not_up(machine, now)
@@ -174,7 +174,7 @@
         )
 
     def _reason_no_heartbeat(self, machine: Machine, now: timedelta) -> str | None:
-        last = machine.reachability.latest if machine.lost else machine.heard
+        last = machine.reachability.latest if machine.lease_expired else machine.heard
         silence = now - max(last or machine.up_since or now, self._observing_since)
         if (
             machine.missing_lists > MAX_MISSING_LISTS
--- a/micadeal/scheduling/status_counts.py
+++ b/micadeal/scheduling/status_counts.py
@@ -102,7 +102,7 @@
 
     def _log_machines(self, spot: bool) -> None:
         machines = [m for m in self._cluster.machines.values() if m.spot is spot]
-        up = [machine for machine in machines if machine.up and not machine.lost]
+        up = [machine for machine in machines if machine.up and not machine.lease_expired]
         running = sum(map(_running_tasks, up))
         log.info(
             "machines: spot=%s up=%d empty=%d booting=%d running_tasks=%d starting_tasks=%d",
--- a/micadeal/scheduling/worker_commands.py
+++ b/micadeal/scheduling/worker_commands.py
@@ -18,7 +18,7 @@
         return commands
     if machine.exited:
         commands += _forget_commands(cluster, machine)
-    if not machine.has_our_token or machine.lost or machine.reachability.receives_nothing:
+    if not machine.has_our_token or machine.lease_expired or machine.reachability.receives_nothing:
         return commands
     commands += _start_commands(cluster, machine)
     return commands
--- a/micadeal/zones/zone_monitor.py
+++ b/micadeal/zones/zone_monitor.py
@@ -48,7 +48,7 @@
         """Return whether it is time for the next check."""
         return now >= self._due
 
-    def look(
+    def observe(
         self,
         machines: Iterable[Machine],
         controllers: Mapping[str, Presence],
@@ -111,7 +111,7 @@
             heard_at = max(machine.heard or self._observing_since, self._observing_since)
             count.machines += 1
             count.unreachable += now - heard_at > silence
-            count.ended += machine.lost
+            count.ended += machine.lease_expired
         return {
             name: ZoneSignals(
                 count.machines,
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -185,7 +185,7 @@
 
     def _lead(self, began: timedelta) -> None:
         self.cluster = ClusterState(self.token, WORKERS, self.teams, began)
-        self.cluster.finished_dirty = SortedSet()
+        self.cluster.jobs_with_unwritten_results = SortedSet()
         self.cluster.pending_direct_commands = SortedSet()
         self.cluster.pending_probes = SortedSet()
         self.scheduler = Scheduler(
@@ -480,7 +480,7 @@
             worker_commands.stop_commands_for(self.cluster, machine),
         )
         self._note("commanded", name, wire(message))
-        machine.reachability.asked = self.now
+        machine.reachability.last_probe_at = self.now
         worker = self.workers.get(name)
         if worker is None or worker.silent or worker.receives_nothing or self.time < worker.up_at:
             machine.reachability.probe_unanswered(self.now)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -47,7 +47,7 @@
     assert machine is not None
     attempt = cluster.place(job, 0, cluster.next_number(), machine, seconds(1))
     assert commands_for(cluster, machine, full_authority=True) == []  # not recorded yet
-    cluster.written("placed/7/0", list(machine.attempts.values()), seconds(1))
+    cluster.placements_written("placed/7/0", list(machine.attempts.values()), seconds(1))
     assert commands_for(cluster, machine, full_authority=False) == []
     commands = commands_for(cluster, machine, full_authority=True)
     assert [(command.verb, command.task) for command in commands] == [
@@ -101,9 +101,9 @@
     shown = TaskStatus("req-1/0", attempt.number, "running")
     reconcile_heartbeat(cluster, heartbeat(2, shown), seconds(10), is_heartbeat=True)
     expire_leases(cluster, seconds(10) + WORKERS.lease)
-    assert job.attempts and not machine.lost
+    assert job.attempts and not machine.lease_expired
     expire_leases(cluster, seconds(10) + WORKERS.lease + timedelta(seconds=2))
-    assert not job.attempts and machine.lost
+    assert not job.attempts and machine.lease_expired
 
 
 def test_lease_does_not_expire_before_the_worker_has_shown_our_token() -> None:
@@ -127,7 +127,7 @@
     running = TaskStatus("req-1/0", attempt.number, "running")
     reconcile_heartbeat(cluster, heartbeat(2, running), seconds(3), is_heartbeat=True)
     expire_leases(cluster, seconds(40))
-    assert machine.lost and not machine.attempts
+    assert machine.lease_expired and not machine.attempts
     cluster.job_gone(job.id, seconds(41))
     assert job.id not in cluster.jobs
     reconcile_heartbeat(cluster, heartbeat(3, running), seconds(42), is_heartbeat=True)
--- a/tests/test_delay.py
+++ b/tests/test_delay.py
@@ -21,7 +21,7 @@
     job = deployment.submit(**(SCAN | {"tasks": 2 * machines_with_image, "estimate_s": 30.0}))
     deployment.scheduler.run_cycle(deployment.now)
     assert len(deployment.scheduler.plan.placed) == 2 * machines_with_image
-    deployment.cluster.written("placed/7/1", list(job.all_attempts()), deployment.now)
+    deployment.cluster.placements_written("placed/7/1", list(job.all_attempts()), deployment.now)
     for _ in range(2):
         for name in deployment.cluster.machines:
             deployment.heartbeat(name)
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -229,7 +229,7 @@
         job = picture.submit(shape=Shape.ARRAY, tasks=100_000)
         for index in range(0, 72_000, 3):
             job.finish(index)
-        picture.cluster.finished_dirty.add(job.id)
+        picture.cluster.jobs_with_unwritten_results.add(job.id)
     record_writer = RecordWriter(picture.cluster, Limits(200, 80, 32, 8192))
     record_writer.next(picture.now)
     written = 0
@@ -241,7 +241,7 @@
             written += len(batch.finished)
             record_writer.committed(batch, 1, picture.now)
     assert written == 90
-    assert not picture.cluster.finished_dirty
+    assert not picture.cluster.jobs_with_unwritten_results
 
 
 class RecordHistories(RuleBasedStateMachine):
@@ -266,7 +266,7 @@
     def finish(self, first: int, parts: int, index: int) -> None:
         for part in range(first, first + parts):
             self.job.finish(part * 4_000 + index)
-        self.picture.cluster.finished_dirty.add(self.job.id)
+        self.picture.cluster.jobs_with_unwritten_results.add(self.job.id)
 
     @rule(
         outcomes=st.sampled_from(
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -330,7 +330,7 @@
 
 def test_only_the_answer_to_a_probe_after_the_newest_message_proves_a_restart() -> None:
     reachability = Reachability()
-    reachability.take(7, seconds(10))
+    reachability.record_message(7, seconds(10))
     assert not reachability.proves_restart(None)
     assert not reachability.proves_restart(seconds(9))
     assert not reachability.proves_restart(seconds(10))
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -489,7 +489,7 @@
     job = simulation.submit(**NIGHTLY)
     advance(simulation)
     assert job.attempts
-    simulation.cluster.written("placed/7/1", list(job.all_attempts()), simulation.now)
+    simulation.cluster.placements_written("placed/7/1", list(job.all_attempts()), simulation.now)
     advance(simulation)
     advance(simulation)
     simulation.now += 2 * HOUR
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -196,7 +196,7 @@
             sizes = [json_size(o.value) for o in batch.operations if isinstance(o, records.Put)]
             if any(size > max_size for size in sizes):
                 refused += 1
-                record_writer.refused(batch)
+                record_writer.rejected(batch)
                 record_writer.failed(batch, {c.key: None for c in batch.conditions}, picture.now)
             else:
                 record_writer.committed(batch, 1, picture.now)
