--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -1,14 +1,14 @@
-"""Plays seeded histories in which troubles meet, in memory, on all cores.
+"""Plays seeded histories in which faults coincide, in memory, on all cores.
 
     python3 -m bench.fault_histories --histories 320 [--first 0] [--workers 8]
     python3 -m bench.fault_histories --guards
 
-Each pair of faults comes in turn, at instants drawn from the seed
-(tests/fakes/fault_histories.py).
-What breaks is printed with its seed; ``--seed`` plays one again.  Exit code 1: something broke.
+Each pair of faults is played in turn, at instants drawn from the seed
+(``tests/fakes/fault_histories.py``).  What breaks is printed with its seed; ``--seed`` plays one
+history again.  The exit code is 1 if something broke.
 
-``--guards`` switches one guard of the code after the other off, and plays histories of the troubles
-that it is meant for until one breaks.  Exit code 1: one broke nothing.
+``--guards`` disables the guards of the code in turn, and plays histories of the faults that each is
+meant for until one breaks a rule.  The exit code is 1 if a guard broke nothing.
 """
 
 from __future__ import annotations
@@ -40,22 +40,44 @@
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
+#: Of so many histories the last one draws its faults; the others take the pairs in turn.
+DRAWN_EVERY = 4
+#: Histories that may be played without a guard until something breaks.
+MAX_HISTORIES_WITHOUT_GUARD = 150
+#: Broken rules that are printed of one history.
+MAX_SHOWN = 4
+
+
 class Outcome(NamedTuple):
+    """What one history did."""
+
+    #: The seed and the faults, for a reader.
     line: str
     pair: tuple[str, ...]
     broken: list[str]
+    #: For each confirmed cancellation how long after it, in seconds, the last task was gone.
     gone_after: list[float]
 
 
+class Unguarded(NamedTuple):
+    """What broke without a guard."""
+
+    guard: str
+    #: How many histories it took; 0: nothing broke.
+    histories: int
+    broken: str
+
+
 def play(seed: int) -> Outcome:
-    # Every fourth one draws its troubles; the others take the pairs in turn.
-    kinds = () if seed % 4 == 3 else PAIRS[(seed - seed // 4) % len(PAIRS)]
+    """Play the history with this seed."""
+    drawn = seed % DRAWN_EVERY == DRAWN_EVERY - 1
+    kinds = () if drawn else PAIRS[(seed - seed // DRAWN_EVERY) % len(PAIRS)]
     history = History(seed, kinds)
     broken = history.play()
     return Outcome(history.line(), tuple(kinds), broken, history.gone_after)
 
 
-# -- guards --------------------------------------------------------------------------------------
+# -- guards that can be disabled; each function disables one ------------------------------------
 
 
 def _elected_is_informed(patch: pytest.MonkeyPatch) -> None:
@@ -73,7 +95,7 @@
 
 
 def _lists_empty(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(FollowerLeases, "note", lambda self, job, now, age=None: False)
+    patch.setattr(FollowerLeases, "add_cancellation", lambda self, job, now, age=None: False)
     patch.setattr(CancellationBroadcaster, "tell_leader", _nothing)
 
 
@@ -147,87 +169,93 @@
     patch.setattr(worker_commands, "stop_commands_for", none)
 
 
-#: Each guard's removal, and the troubles that it is meant for.
+#: For each guard what disables it, and the faults that it is meant for.
 GUARDS: dict[str, tuple[Patch, Sequence[str]]] = {
     "being elected is no knowledge of cancellations": (
         _elected_is_informed,
         ["gap at an election"],
     ),
-    "notices outlast records read before": (_early_notices_lost, ["gap at an election"]),
-    "cancellations are passed on between controllers": (_lists_empty, ["gap"]),
-    "others know of a cancellation before it is told": (
+    "notices override records read before": (_early_notices_lost, ["gap at an election"]),
+    "cancellations are forwarded between controllers": (_lists_empty, ["gap"]),
+    "others know of a cancellation before it is confirmed": (
         _tells_alone,
         ["gap", "follower crash", "machines out of reach"],
     ),
-    "no task may start when a cancellation is told": (
+    "no task may start when a cancellation is confirmed": (
         _told_while_tasks_may_start,
         ["gap", "follower crash"],
     ),
-    "writes depend on versions": (_writes_without_versions, ["late writes", "hand over"]),
-    "old reports are no news": (_old_reports_are_news, ["late reports", "hand over"]),
-    "only some absences free a task": (_any_absence_frees, ["late reports", "leader crash"]),
-    "a lease has to be over": (_silence_frees_at_once, ["machines out of reach"]),
+    "writes are conditional on versions": (_writes_without_versions, ["late writes", "hand over"]),
+    "stale heartbeats change nothing": (_old_reports_are_news, ["late reports", "hand over"]),
+    "only some absences end an attempt": (_any_absence_frees, ["late reports", "leader crash"]),
+    "a lease has to be expired": (_silence_frees_at_once, ["machines out of reach"]),
     "only silence after our token counts": (
         _silence_before_our_token_frees,
         ["machines out of reach", "leader crash"],
     ),
-    "stops are ordered": (_stops_are_not_repeated, ["gap"]),
+    "stop commands are sent": (_stops_are_not_repeated, ["gap"]),
 }
 
 
-def unguarded(name: str) -> tuple[str, int, str]:
-    """How many histories it takes until something breaks, and what; 0: nothing did."""
+def unguarded(name: str) -> Unguarded:
+    """Play histories without a guard until something breaks."""
     logging.disable(logging.CRITICAL)
-    switch_off, kinds = GUARDS[name]
-    for seed in range(MOST_UNGUARDED):
+    disable, kinds = GUARDS[name]
+    for seed in range(MAX_HISTORIES_WITHOUT_GUARD):
         with pytest.MonkeyPatch.context() as patch:
-            switch_off(patch)
+            disable(patch)
             broken = History(seed, kinds).play()
         if broken:
-            return name, seed + 1, broken[0]
-    return name, 0, "nothing"
+            return Unguarded(name, seed + 1, broken[0])
+    return Unguarded(name, 0, "nothing")
 
 
-#: Histories that a guard's removal gets to break something.
-MOST_UNGUARDED = 150
+def play_without_guards(workers: int) -> int:
+    """Disable each guard in turn and print what broke; return the exit code."""
+    with ProcessPoolExecutor(workers) as pool:
+        useless = 0
+        for outcome in pool.map(unguarded, GUARDS):
+            useless += not outcome.histories
+            click.echo(f"without: {outcome.guard}: {outcome.broken} in history {outcome.histories}")
+    return 1 if useless else 0
+
+
+def play_all(seeds: Sequence[int], workers: int) -> int:
+    """Play histories and print what broke; return the exit code."""
+    pairs: Counter[tuple[str, ...]] = Counter()
+    gone_after: list[float] = []
+    broken = 0
+    with ProcessPoolExecutor(workers) as pool:
+        results = pool.map(play, seeds)
+        with click.progressbar(results, length=len(seeds), file=sys.stderr) as progress:
+            for outcome in progress:
+                pairs[outcome.pair] += 1
+                gone_after += outcome.gone_after
+                if outcome.broken:
+                    broken += 1
+                    click.echo(f"{outcome.line}: {'; '.join(outcome.broken[:MAX_SHOWN])}")
+    played = sum(pairs[pair] > 0 for pair in PAIRS)
+    longest = max(gone_after, default=0.0)
+    click.echo(
+        f"{len(seeds)} histories, {broken} broke something; {played} of {len(PAIRS)} pairs; "
+        f"{len(gone_after)} confirmed cancellations, the last task gone at most "
+        f"{longest:.1f} s after"
+    )
+    return 1 if broken else 0
 
 
 @click.command()
 @click.option("--histories", default=400, show_default=True)
 @click.option("--first", default=0, show_default=True, help="The first seed.")
 @click.option("--workers", default=8, show_default=True, help="Processes.")
-@click.option("--seed", default=None, type=int, help="Play this one alone.")
-@click.option("--guards", is_flag=True, help="Switch each guard off in turn.")
+@click.option("--seed", default=None, type=int, help="Play only the history with this seed.")
+@click.option("--guards", is_flag=True, help="Disable each guard in turn.")
 def main(histories: int, first: int, workers: int, seed: int | None, guards: bool) -> None:
     """Print what broke, and how soon cancelled tasks were gone."""
     if guards:
-        with ProcessPoolExecutor(workers) as pool:
-            held = 0
-            for name, count, broken in pool.map(unguarded, GUARDS):
-                held += not count
-                click.echo(f"without: {name}: {broken} in history {count}")
-        sys.exit(1 if held else 0)
+        sys.exit(play_without_guards(workers))
     seeds = range(first, first + histories) if seed is None else [seed]
-    pairs: Counter[tuple[str, ...]] = Counter()
-    gone: list[float] = []
-    bad = 0
-    with ProcessPoolExecutor(workers) as pool:
-        results = pool.map(play, seeds)
-        with click.progressbar(results, length=len(seeds), file=sys.stderr) as progress:
-            for found in progress:
-                pairs[found.pair] += 1
-                gone += found.gone_after
-                if found.broken:
-                    bad += 1
-                    click.echo(f"{found.line}: {'; '.join(found.broken[:4])}")
-    missing = [pair for pair in PAIRS if not pairs[pair]]
-    longest = max(gone, default=0.0)
-    click.echo(
-        f"{len(seeds)} histories, {bad} broke something; {len(PAIRS) - len(missing)} of "
-        f"{len(PAIRS)} pairs; {len(gone)} confirmed cancellations, the last task gone at most "
-        f"{longest:.1f} s after"
-    )
-    sys.exit(1 if bad else 0)
+    sys.exit(play_all(seeds, workers))
 
 
 if __name__ == "__main__":
