--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -26,7 +26,7 @@
 import pytest
 
 from micadeal.controller.api.cancellation_broadcast import CancellationBroadcaster
-from micadeal.controller.api.jobs import CancellationConfirmation
+from micadeal.controller.api.confirmation import CancellationConfirmation
 from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.controller.leader import Leader
 from micadeal.controller.outbound import OutboundCalls
--- a/micadeal/controller/api/cancellation_broadcast.py
+++ b/micadeal/controller/api/cancellation_broadcast.py
@@ -1,4 +1,4 @@
-"""Makes cancellations known to the leader and to the other controllers before users are told."""
+"""Makes cancellations known to the leader and the other controllers, before users are answered."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from micadeal.actor import MailboxFullError
 from micadeal.clock import ZERO, monotonic, seconds
-from micadeal.controller.api.jobs import CancellationConfirmation
+from micadeal.controller.api.confirmation import CancellationConfirmation
 from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.controller.known_leader import QUERY_TIMEOUT, KnownLeader
 from micadeal.controller.messages import HasRemainingTasks, JobCancelled, MayTasksStart
@@ -23,7 +23,7 @@
 
 
 class CancellationBroadcaster:
-    """Spreads cancellations, and says what may still happen to the job's tasks."""
+    """Sends cancellations to all controllers, and finds out whether tasks may still start."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         follower_leases: FollowerLeases | None,
         all_started: Callable[[], frozenset[str]],
     ) -> None:
-        """``all_started``: jobs of which every task ran, as a leader said last."""
+        """``all_started`` returns the jobs of which every task runs, as a leader last reported."""
         self._leader = leader
         self._peer_links = peer_links
         self._follower_leases = follower_leases
@@ -42,7 +42,10 @@
         self.waiting_for_starts = 0
 
     async def broadcast(self, job_id: str) -> CancellationConfirmation:
-        """Make a cancellation known to the leader and to the other controllers."""
+        """Make a cancellation known to the leader and to the other controllers.
+
+        Returns what that makes certain; who asks decides whether a user may be answered.
+        """
         needed = 0
         if self._follower_leases is not None:
             self._follower_leases.add_cancellation(job_id, monotonic())
@@ -58,8 +61,8 @@
                 may_start = may_start_by_peer[self._leader.name]
             else:
                 may_start = job_id not in self._all_started()
-            settled = not may_start and not any(may_start_by_peer.values())
-            return CancellationConfirmation(True, settled)
+            no_task_can_start = not may_start and not any(may_start_by_peer.values())
+            return CancellationConfirmation(True, no_task_can_start)
         # Without a majority, a leader may confirm the cancellation alone once nothing of the job
         # is left that any other controller could keep alive.
         try:
@@ -74,7 +77,7 @@
         Returns whether it will get all that are known.
 
         Guards ``ran_cancelled``: a cancellation that finds the mailbox full is kept, since it is
-        on our list already and nobody would tell of it again.
+        on our list already, so that no peer's list would bring it up again.
         """
         self._undelivered += job_ids
         while self._undelivered:
--- a/micadeal/controller/api/confirmation.py
+++ b/micadeal/controller/api/confirmation.py
@@ -16,16 +16,16 @@
 
 
 class CancellationConfirmation(NamedTuple):
-    """How far a cancellation has got."""
+    """What is certain about a cancellation, as far as the controllers have answered."""
 
-    #: So many controllers know of it that a user may be answered, as far as that goes.
+    #: Enough controllers know of it.  That alone does not allow to confirm it to a user.
     majority_notified: bool
-    #: A leader says that no task of the job can start any more.
+    #: A leader has said that no task of the job can start any more.
     no_task_can_start: bool
 
 
 class UnconfirmedCancellationError(StateServiceError):
-    """A cancellation is recorded, but users must not be answered so yet."""
+    """A cancellation is recorded, but must not be confirmed to users yet."""
 
     def __init__(self, job_id: str, reason: str) -> None:
         super().__init__(f"recorded, not confirmed: job={job_id} reason={reason}")
@@ -34,40 +34,41 @@
 
 
 class CancellationConfirmer:
-    """Makes cancellations known to other controllers before users are answered."""
+    """Decides whether a recorded cancellation may be confirmed to a user."""
 
     def __init__(
         self,
         answers: KnownAnswers,
-        spread: Callable[[str], Awaitable[CancellationConfirmation]],
+        broadcast: Callable[[str], Awaitable[CancellationConfirmation]],
         cancel_timeout: timedelta,
     ) -> None:
-        """Confirm by ``spread``, which makes a cancellation known to the other controllers.
+        """Confirm by ``broadcast``, which makes a cancellation known to the other controllers.
 
         A task is gone ``cancel_timeout`` after its cancellation was confirmed.
         """
         self._answers = answers
-        self._spread = spread
+        self._broadcast = broadcast
         self._cancel_timeout = cancel_timeout
-        #: Cancelled jobs of which a task may still start, and since when enough controllers know.
+        #: Cancelled jobs of which a task may still start, and since when enough controllers know of
+        #: the cancellation.
         self._starts_possible: RecentJobs[timedelta] = RecentJobs()
 
     async def confirm(self, answer: JobAnswer, cannot_start: bool = False) -> JobAnswer:
-        """Return the answer once a user may be given it.
+        """Make the cancellation known, and return the answer if a user may be given it.
 
-        Guards ``ran_cancelled``: before that, so many controllers know of the cancellation that
-        any which acts for the leader will learn of it, whoever crashes meanwhile.  And no task of
-        the job starts afterwards: a leader has seen that none can any more, or every task has been
-        gone for certain, as if the user had been answered when enough controllers knew.
+        Guards ``ran_cancelled`` by two conditions.  Enough controllers know of the cancellation:
+        any that renews leases in place of the leader will learn of it, whichever of them crash.
+        And no task of the job can start any more: a leader has seen that, or so much time has
+        passed since enough controllers knew that every task is certainly gone.
 
         ``cannot_start``: it is certain that no task can start.  Raises
         ``UnconfirmedCancellationError`` if the user has to ask again.
         """
         job_id = answer.job_id
-        spread = await self._spread(job_id)
-        if not spread.majority_notified:
+        confirmation = await self._broadcast(job_id)
+        if not confirmation.majority_notified:
             raise _unconfirmed(job_id, "too few controllers know of it")
-        if not (cannot_start or spread.no_task_can_start):
+        if not (cannot_start or confirmation.no_task_can_start):
             self._check_tasks_are_gone(job_id)
         self._starts_possible.discard(job_id)
         log.debug("cancellation confirmed: job=%s", job_id)
--- a/micadeal/controller/api/dependencies.py
+++ b/micadeal/controller/api/dependencies.py
@@ -1,4 +1,4 @@
-"""Whether jobs that a job waits for, directly or through others, are cancelled."""
+"""Whether jobs that a job depends on, directly or through others, are cancelled."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 #: Of longer lists of prerequisites, those found once are not looked up again: a repetition after
 #: a 503 then gets further.
 MAX_UNCACHED_PREREQUISITES = 16
-#: Jobs further up that are read for one answer at most.
+#: Ancestors (jobs that a job depends on, directly or not) that are read for one answer at most.
 MAX_ANCESTORS = 400
 
 
 class DependencyReader:
-    """Reads the jobs further up, where the leader may not have recorded a cancellation yet."""
+    """Reads a job's ancestors, where the leader may not have recorded a cancellation yet."""
 
     def __init__(self, reader: JobReader, answers: KnownAnswers, cancel_timeout: timedelta) -> None:
         self._reader = reader
@@ -29,7 +29,7 @@
         self.propagated_until: timedelta | None = None
 
     def cancellations_propagated(self, asked: timedelta) -> bool:
-        """Whether a job's own record is enough for an answer to a question put at ``asked``.
+        """Return whether a job's own record is enough to answer a request received at ``asked``.
 
         As long as the leader's last report is fresh, whatever was cancelled before it is recorded
         for all jobs that depend on it.
@@ -40,11 +40,11 @@
         )
 
     async def has_cancelled_prerequisite(self, spec: Submission) -> bool:
-        """Whether one of the jobs that a new one names is cancelled, or a job further up.
+        """Return whether a prerequisite of a new job, or one of its ancestors, is cancelled.
 
         Raises ``UnschedulableJobError`` if one was never accepted, by reads that begin now, or
-        never ends by itself.  A cancellation that crosses with the submission is found by the
-        leader from the records.
+        never ends by itself.  A cancellation that is recorded at the same time as the submission
+        is found by the leader from the records.
         """
         names = list(dict.fromkeys(spec.prerequisites or ()))
         if len(names) > MAX_UNCACHED_PREREQUISITES:
@@ -62,10 +62,10 @@
         return _any_cancelled(jobs) or await self.has_cancelled_ancestor(jobs, monotonic())
 
     async def has_cancelled_ancestor(self, jobs: RecordedJobs, asked: timedelta) -> bool:
-        """Whether one of the jobs, or one further up, is cancelled.
+        """Return whether one of the jobs, or one of their ancestors, is cancelled.
 
         Guards ``orphaned``: without a fresh report of the leader (no leader for long, an outage)
-        the records of all jobs further up are read.
+        the records of all ancestors are read.
         """
         if self.cancellations_propagated(asked):
             return False
--- a/micadeal/controller/api/job_reader.py
+++ b/micadeal/controller/api/job_reader.py
@@ -16,7 +16,7 @@
 from micadeal.wire.state import Item
 from micadeal.wire.users import JobAnswer, Shape, Status
 
-#: Reads for one request under way at once.
+#: Reads in flight at once for one request.
 MAX_CONCURRENT_READS = 6
 
 
@@ -66,8 +66,8 @@
     async def read_jobs(self, names: list[str], skip_unreadable: bool = False) -> RecordedJobs:
         """Read several jobs at once.
 
-        ``skip_unreadable``: jobs whose records can't be read count as unknown.  Else no question
-        about a job after them would ever be answered.
+        ``skip_unreadable``: jobs whose records can't be read count as unknown.  Otherwise no
+        request about a job that depends on them would ever be answered.
         """
         jobs: RecordedJobs = {}
         problems: list[StateServiceError] = []
--- a/micadeal/controller/api/jobs.py
+++ b/micadeal/controller/api/jobs.py
@@ -24,8 +24,6 @@
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.peers import Counts
 
-__all__ = ["CancellationConfirmation", "JobApi"]
-
 
 class JobApi:
     """Submission, status and cancellation, and what other controllers report of jobs."""
@@ -34,18 +32,18 @@
         self,
         state: StateService,
         teams: dict[str, Team],
-        spread: Callable[[str], Awaitable[CancellationConfirmation]],
-        cancel_time: timedelta,
+        broadcast: Callable[[str], Awaitable[CancellationConfirmation]],
+        cancel_timeout: timedelta,
     ) -> None:
         """Serve the users of one controller.
 
-        ``spread`` makes a cancellation known to the other controllers; ``cancel_time`` after a
-        cancellation was confirmed no task of the job is left.
+        ``broadcast`` makes a cancellation known to the other controllers; ``cancel_timeout`` after
+        a cancellation was confirmed no task of the job is left.
         """
         self._answers = KnownAnswers()
-        confirmer = CancellationConfirmer(self._answers, spread, cancel_time)
+        confirmer = CancellationConfirmer(self._answers, broadcast, cancel_timeout)
         reader = JobReader(state, self._answers, confirmer)
-        self._dependencies = DependencyReader(reader, self._answers, cancel_time)
+        self._dependencies = DependencyReader(reader, self._answers, cancel_timeout)
         self._status = JobStatus(state, self._answers, reader, self._dependencies)
         self._cancellation = JobCancellation(state, self._answers, confirmer, self._status)
         self._submission = JobSubmission(
--- a/micadeal/controller/api/peers.py
+++ b/micadeal/controller/api/peers.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Progress:
-    """What a ping is told about the jobs."""
+    """What the answer to a ping says about the jobs."""
 
     counts: list[Counts]
     all_started: list[str]
@@ -134,7 +134,7 @@
         progress = await actor.ask(GetProgress(), PROGRESS_TIMEOUT)
         counts, all_started = progress.counts, progress.all_started
         if actor.loading:
-            # Not counted yet: as the previous leader said last.
+            # Not counted yet: what the previous leader reported last.
             counts, all_started = self._jobs.counts, list(self._jobs.all_started())
         cascade_age_ms = None
         if progress.cascaded_until is not None:
--- a/micadeal/controller/api/readiness.py
+++ b/micadeal/controller/api/readiness.py
@@ -14,9 +14,9 @@
 #: Without an answer of the state service for this long, a controller whose peers have one is of no
 #: use to users.
 MAX_STATE_CONTACT_AGE = seconds(5)
-#: A peer's last answer of the state service counts if it is no older than this.  In an outage that
-#: all share, controllers notice it up to two seconds apart (an idle watch is held that long); with
-#: a larger value the first would drop out, and the load balancer would keep it out after the
+#: A peer's last contact with the state service counts if it is no older than this.  Controllers
+#: notice an outage that all share up to two seconds apart, since an idle watch is held that long.
+#: With a larger value the first would drop out, and the load balancer would keep it out after the
 #: outage.
 MAX_PEER_STATE_CONTACT_AGE = seconds(2.5)
 
--- a/micadeal/controller/api/status.py
+++ b/micadeal/controller/api/status.py
@@ -79,7 +79,7 @@
         return self._answers.in_progress(job_id)
 
     async def _version_holds(self, job_id: str) -> bool:
-        """Whether the record of an independent job is still at the version last read."""
+        """Return whether an independent job's record still has the version last read."""
         version = self._independent_versions.get(job_id)
         if version is None:
             return False
@@ -89,9 +89,9 @@
         return False
 
     async def _cancel_orphan(self, job_id: str, item: Item, asked: timedelta) -> bool:
-        """Whether the job turns out to be over, since a job further up is cancelled.
+        """Return whether the job turns out to be cancelled, since one of its ancestors is.
 
-        Then that is recorded here, in the place of a leader that has not come to it.
+        Then that is recorded here, in place of a leader that has not recorded it yet.
         """
         if self._dependencies.cancellations_propagated(asked):
             return False
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -37,6 +37,7 @@
 from micadeal.leadership.election import (
     Elected,
     Election,
+    ElectionEvent,
     LeaderLeaseRenewed,
     LeaderLockRead,
     LeaderObserved,
@@ -113,6 +114,7 @@
         self._create_apis()
 
     def _create_feature_levels(self, build: Build | None) -> FeatureLevels:
+        """Create the knowledge of levels; a method of its own, for subclasses of other versions."""
         return FeatureLevels(self._platform.name, self._peer_names, monotonic(), build)
 
     def _create_apis(self) -> None:
@@ -168,6 +170,7 @@
         )
 
     def _all_started(self) -> frozenset[str]:
+        # Looked up at each call: the job API needs the broadcaster, so it is created after it.
         return self._job_api.all_started()
 
     # -- lifecycle -------------------------------------------------------------------------
@@ -231,9 +234,8 @@
 
     # -- election --------------------------------------------------------------------------
 
-    async def _on_election(
-        self, event: Elected | LeaderLeaseRenewed | LeadershipLost | LeaderObserved | LeaderLockRead
-    ) -> None:
+    async def _on_election(self, event: ElectionEvent) -> None:
+        """Take in an event of the election: it decides who leads, and so whether we do."""
         match event:
             case LeaderLockRead(leader_lock):
                 self._feature_levels.on_leader_lock_read(leader_lock)
@@ -284,7 +286,7 @@
         """Take in that a peer says that it leads a term.
 
         A controller that can't read that from the state service learns it this way.  Tokens only
-        grow, so a message that the network has held takes nobody back.
+        grow, so a message that the network has delayed can't bring back an earlier leader.
 
         Guards against two controllers that answer workers: one that the state service refuses alone
         would go on in its past term, and redirect workers to a leader that is gone.  The peer
@@ -307,7 +309,7 @@
         self._leader.name = name
         self._peer_links.leader = name
 
-    # -- news of the other controllers -----------------------------------------------------
+    # -- answers of the peers --------------------------------------------------------------
 
     async def _on_pong(self, name: str, pong: Pong, cancelled: list[str]) -> None:
         """Take in a peer's answer to a ping, with ``cancelled`` jobs that are new to us."""
--- a/micadeal/controller/direct_commands.py
+++ b/micadeal/controller/direct_commands.py
@@ -14,8 +14,8 @@
 
 #: Direct commands in flight at once.
 MAX_IN_FLIGHT = 24
-#: Probes are sent only while fewer direct commands than this are in flight: the machines probed
-#: may be gone, and must leave room for stop commands.
+#: Probes are sent only while fewer direct commands than this are in flight.  The machines probed
+#: may be gone, and waiting for their timeouts must not delay stop commands to others.
 MAX_IN_FLIGHT_FOR_PROBES = 12
 
 #: Sends commands to the worker of a machine at an address.
--- a/micadeal/controller/follower_leases.py
+++ b/micadeal/controller/follower_leases.py
@@ -1,4 +1,4 @@
-"""One controller's part in renewing leases as a follower: its promises, its state, its answers.
+"""One controller's part in lease renewal by followers: its state, its promises and its answers.
 
 Owns the controller's renewal state, its views of the peers and the list of cancellations.  No input
 or output; the decisions are those of ``leadership/follower_leases.py``.
@@ -48,7 +48,7 @@
         self.timing = timing
         self._state = RenewalState(now)
         self._views = {name: PeerRenewalView() for name in peers}
-        #: Jobs that a user was, or may be, told to be cancelled, and when we learned of it.
+        #: Jobs that a user was, or may be, answered to be cancelled, and when we learned of each.
         self._cancellations: dict[str, timedelta] = {}
         #: When the list last lost an entry that still mattered.
         self._overflowed_at: timedelta | None = None
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -48,7 +48,7 @@
 #: A cycle that is late by this much comes before the messages that wait: otherwise a burst of
 #: messages would stop all placement.
 MAX_CYCLE_DELAY = seconds(1)
-#: To workers that this leader can't answer now.
+#: The reply to workers that this leader must not, or can't, answer now.
 UNAVAILABLE = messages.HeartbeatReply(503)
 
 #: Handles one type of message at an instant; returns the answer, if the type has one.
--- a/micadeal/controller/messages.py
+++ b/micadeal/controller/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the leader's actor: what it is told, what it is asked, and its answers."""
+"""Messages to the leader's actor: events, results of requests and questions, with its answers."""
 
 from __future__ import annotations
 
@@ -115,14 +115,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StateLoaded:
-    """All that the state service held when the term began."""
+    """All records of the state service, as read when the term began."""
 
     jobs: list[Item]
     placed: list[VersionedRecord[PlacedRecord]]
     images: list[VersionedRecord[ImagesRecord]]
-    draining: list[VersionedRecord[ReturnedMachinesRecord]]
+    returned_machines: list[VersionedRecord[ReturnedMachinesRecord]]
     finished: list[VersionedRecord[FinishedRecord]]
+    #: Parts of split job descriptions.
     parts: list[Item]
+    #: Ends of jobs that are over, but that a placement record names, by job id.
     ended: dict[str, EndRecord]
     settings: Item | None
     #: When the reads began: everything recorded before is included.
@@ -222,21 +224,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HasRemainingTasks:
-    """Whether any task of a job may still be on a machine; answered with a bool."""
+    """Ask whether any task of a job may still be on a machine; answered with a bool."""
 
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class MayTasksStart:
-    """Whether a task of a cancelled job may still start; answered with a bool."""
+    """Ask whether a task of a cancelled job may still start; answered with a bool."""
 
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class GetProgress:
-    """Ask for what every controller tells its users about jobs; answered with ``Progress``."""
+    """Ask how far the jobs have come, for answers to users; answered with ``Progress``."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/micadeal/controller/outbound.py
+++ b/micadeal/controller/outbound.py
@@ -1,6 +1,6 @@
 """Requests that the leader sends to workers, the state service and the cloud.
 
-Each method of ``OutboundCalls`` runs as a task of its own and tells its outcome to the leader's
+Each method of ``OutboundCalls`` runs as a task of its own and reports its outcome to the leader's
 actor.
 """
 
@@ -45,6 +45,7 @@
 WRITE_RETRY_INTERVAL = seconds(0.2)
 READ_RETRY_INTERVAL = seconds(0.3)
 RENTAL_RETRY_INTERVAL = seconds(1)
+#: The actor asks again once it knows of the failure.
 RELEASE_RETRY_INTERVAL = seconds(0.5)
 
 
@@ -84,7 +85,7 @@
     async def send_direct_commands(
         self, machine: str, address: str, message: DirectCommands
     ) -> None:
-        """Send commands to one worker and tell its report, or that there is none."""
+        """Send commands to one worker and report its answer, or that there is none."""
         heartbeat: Heartbeat | None = None
         sent_at = monotonic()
         try:
@@ -104,7 +105,7 @@
         await self._callbacks.tell(DirectCommandResult(machine, heartbeat, sent_at))
 
     async def write(self, batch: WriteBatch, fence: int) -> None:
-        """Write a batch and tell its outcome.
+        """Write a batch and report its outcome.
 
         Every change depends on our still being the leader, and on the version last known of its
         key, so that a batch that is applied late can't undo a newer one.
@@ -184,7 +185,7 @@
             return None
 
     async def release(self, machine_names: list[str]) -> None:
-        """Return machines to the cloud and tell whether it has accepted that."""
+        """Return machines to the cloud and report whether it has accepted that."""
         accepted = False
         try:
             self._require_full_authority()
--- a/micadeal/controller/peer_links.py
+++ b/micadeal/controller/peer_links.py
@@ -165,7 +165,7 @@
             link.state_contact_at = now - _milliseconds(pong.state_age_ms)
         link.contact = PeerContact(asked_at, now - _milliseconds(pong.cancel_age_ms))
         if pong.cascade_age_ms is not None:
-            # Counted from the question: an answer that was under way for long proves less.
+            # Counted from the question: an answer that the network delayed proves less.
             link.cascaded_until = asked_at - _milliseconds(pong.cascade_age_ms)
         return cancelled
 
--- a/micadeal/controller/persistence/placements.py
+++ b/micadeal/controller/persistence/placements.py
@@ -65,7 +65,7 @@
                 continue
             if not merged.add_all(left):
                 if not merged.attempts:
-                    # It fills a value by itself: written anew it would be no shorter.
+                    # It fills a value by itself: writing it again would not make it shorter.
                     continue
                 break
             self._remove(draft, key)
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -1,4 +1,4 @@
-"""What the leader has to write, in batches, and in which order.  No input or output.
+"""Chooses what the leader writes next, in batches, and in which order.  No input or output.
 
 Every operation depends on the version last known of its key.  A transaction whose answer was lost
 may be applied minutes later: it then finds a newer version and changes nothing.
@@ -107,10 +107,10 @@
         self._images.load(key, record, now)
 
     def load_returned_machines(
-        self, found: VersionedRecord[ReturnedMachinesRecord], now: timedelta
+        self, loaded: VersionedRecord[ReturnedMachinesRecord], now: timedelta
     ) -> list[str]:
         """Return the machines that an earlier leader was returning until a moment ago."""
-        return self._returned_machines.load(found, now)
+        return self._returned_machines.load(loaded, now)
 
     # -- batches ---------------------------------------------------------------------------
 
@@ -159,36 +159,36 @@
 
     # -- outcomes --------------------------------------------------------------------------
 
-    def committed(self, changes: WriteBatch, revision: int, now: timedelta) -> None:
+    def committed(self, batch: WriteBatch, revision: int, now: timedelta) -> None:
         """Take over a batch that was committed at ``revision``."""
-        self._keys.record_puts(changes.operations, revision)
-        if changes.job_end is not None:
-            self._job_ends.committed(changes, changes.job_end, now)
+        self._keys.record_puts(batch.operations, revision)
+        if batch.job_end is not None:
+            self._job_ends.committed(batch, batch.job_end, now)
             return
-        self._no_longer_under_way(changes)
-        self._placements.committed(changes, now)
-        self._keys.record_drops(changes.operations)
-        self._migration.committed(changes)
-        self._finished_tasks.committed(changes)
+        self._no_longer_under_way(batch)
+        self._placements.committed(batch, now)
+        self._keys.record_drops(batch.operations)
+        self._migration.committed(batch)
+        self._finished_tasks.committed(batch)
 
-    def failed(self, changes: WriteBatch, found: Mapping[str, Item | None], now: timedelta) -> None:
+    def failed(self, batch: WriteBatch, items: Mapping[str, Item | None], now: timedelta) -> None:
         """Take over that a batch was not applied, or that its outcome is unknown.
 
-        ``found`` is what the service holds now under the keys of the batch's conditions.
+        ``items`` is what the service holds now under the keys of the batch's conditions.
         """
-        if changes.job_end is not None:
-            self._job_ends.failed(changes.job_end, found, now)
+        if batch.job_end is not None:
+            self._job_ends.failed(batch.job_end, items, now)
             return
-        self._no_longer_under_way(changes)
-        self._keys.read_back(found)
-        self._placements.failed(changes, found, now)
+        self._no_longer_under_way(batch)
+        self._keys.read_back(items)
+        self._placements.failed(batch, items, now)
 
-    def rejected(self, changes: WriteBatch) -> None:
+    def rejected(self, batch: WriteBatch) -> None:
         """Write smaller batches after the service has called one too large.
 
         The same batch is never tried again.  ``failed`` must be called as well.
         """
-        self._context.limits.rejected(changes)
+        self._context.limits.rejected(batch)
 
     def _no_longer_under_way(self, batch: WriteBatch) -> None:
         if batch.urgency is Urgency.PLACEMENT:
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -67,10 +67,9 @@
         # After the placements: a cancelled job's tasks count for its team until they are gone.
         for job_id in [job_id for job_id in self.cancelled if job_id in self._cluster.jobs]:
             self.job_over(job_id, now)
-        for draining in loaded.draining:
-            self._scheduler.return_again(
-                self._record_writer.load_returned_machines(draining, now), now
-            )
+        for returned in loaded.returned_machines:
+            names = self._record_writer.load_returned_machines(returned, now)
+            self._scheduler.return_again(names, now)
         for job in list(self._cluster.live_jobs()):
             if job.complete:
                 self._cluster.jobs_with_unwritten_results.add(job.id)
@@ -167,8 +166,8 @@
         """Take in a cancellation that a controller knows of, perhaps before the records say so.
 
         Guards ``ran_cancelled``: records that were read before the job was over may still be on
-        their way, and whoever answers workers by the lists of cancellations must not take the job
-        for alive because of them.
+        their way.  A leader that answers workers by the lists of cancellations must not count the
+        job as alive because of them.
         """
         self.cancelled[job_id] = None
         if len(self.cancelled) > MAX_CANCELLED:
--- a/micadeal/controller/state_contact.py
+++ b/micadeal/controller/state_contact.py
@@ -21,6 +21,6 @@
         return None if answered is None else monotonic() - answered
 
     def reachable(self) -> bool:
-        """Return whether the last answer is recent enough to take the service for reachable."""
+        """Return whether the last answer is recent enough to treat the service as reachable."""
         age = self.age()
         return age is not None and age < STATE_CONTACT_TIMEOUT
--- a/micadeal/controller/term_authority.py
+++ b/micadeal/controller/term_authority.py
@@ -73,7 +73,7 @@
         self.logged = authority
 
     def may_expire_leases(self, now: timedelta) -> bool:
-        """Return whether a silent worker's lease may be taken for expired.
+        """Return whether the lease of a worker that we do not hear may be treated as expired.
 
         Guards ``ran_twice``: a follower that can't reach us may have renewed it in our place
         (docs/safety.md).
@@ -95,7 +95,7 @@
         self.term = replace(self.term, valid_until=valid_until)
 
     def change_fence(self, fence: int) -> None:
-        """Take in another fencing version, which the next writes depend on."""
+        """Take in a new fencing version, on which all further writes depend."""
         self.term = replace(self.term, fence=fence)
 
     def mark_informed(self, requested_at: timedelta) -> None:
--- a/micadeal/controller/watchers.py
+++ b/micadeal/controller/watchers.py
@@ -55,7 +55,7 @@
 
 log = logging.getLogger(__name__)
 
-#: How long the state service may hold a watch that has nothing to tell.
+#: How long the state service may hold a watch without changes to report.
 JOBS_WATCH_TIMEOUT = seconds(2)
 SETTINGS_WATCH_TIMEOUT = seconds(50)
 CATALOG_INTERVAL = seconds(60)
@@ -152,7 +152,7 @@
             jobs=jobs,
             placed=placed,
             images=read(items(IMAGES), ImagesRecord),
-            draining=read(items(LEAVING), ReturnedMachinesRecord),
+            returned_machines=read(items(LEAVING), ReturnedMachinesRecord),
             finished=read(items(DONE) + items(FINISHED), FinishedRecord),
             parts=parts,
             ended=await self._read_ends_of_placed(jobs, placed),
@@ -251,7 +251,7 @@
     # -- ends of jobs that others depend on ------------------------------------------------
 
     async def read_end(self, job_id: str) -> None:
-        """Read how a job has ended, repeating the read until it is answered, and tell it."""
+        """Read how a job has ended, repeating the read until it succeeds, and tell the actor."""
         while True:
             try:
                 item = await self._state.get(ENDS + job_id, Urgency.END)
--- a/micadeal/controller/zone_observer.py
+++ b/micadeal/controller/zone_observer.py
@@ -1,4 +1,4 @@
-"""Feeds the leader's zone monitor with machines and with the other controllers' presence."""
+"""Gives the leader's zone monitor the state of machines and the presence of other controllers."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
         self._monitor = ZoneMonitor(platform.zones, platform.zone, now)
 
     def observe_if_due(self, machines: Iterable[Machine], now: timedelta) -> None:
-        """Show the zone monitor the present state, if it is time for that."""
+        """Pass the present state to the zone monitor, if an observation is due."""
         if self._monitor.due(now):
             self._monitor.observe(
                 machines, self._best_presence_by_zone(now), self._max_silence, now
             )
 
     def notes(self, now: timedelta) -> list[str]:
-        """Return the zones that are not open, in words for the operators' overview."""
+        """Return one line of text for each zone that is not open, for the operators' overview."""
         return self._monitor.notes(now)
 
     def _best_presence_by_zone(self, now: timedelta) -> dict[str, Presence]:
--- a/micadeal/http/network.py
+++ b/micadeal/http/network.py
@@ -25,7 +25,7 @@
         """Send one request and return status and body of its response.
 
         Raises ``HttpError`` when there is none within ``timeout``.
-        ``repeatable``: the request may be executed twice, so it may be sent again if an idle
+        ``idempotent``: the request may be executed twice, so it may be sent again if an idle
         connection turns out to be closed.
         """
         ...
--- a/micadeal/leadership/election.py
+++ b/micadeal/leadership/election.py
@@ -224,7 +224,10 @@
         await self._listener(LeadershipLost(token, reason))
 
     async def _acquire(self, leader_lock: LeaderLock, lease: int) -> int | None:
-        """Take the lock with ``lease``; the token of the term, or None if another was faster."""
+        """Take the lock with ``lease``.
+
+        Returns the token of the term, or None if another candidate was faster.
+        """
         conditions, changes = leader_locks.acquisition(leader_lock, self._name, lease)
         try:
             return await self._state.commit(conditions, changes, Urgency.LEASE, ACQUIRE_TIMEOUT)
--- a/micadeal/leadership/follower_leases.py
+++ b/micadeal/leadership/follower_leases.py
@@ -1,11 +1,11 @@
 """Rules for renewing workers' leases as a follower while no leader can act.
 
 A worker accepts a response with the token that it knows from any controller.  So a follower that
-was told the current token can renew leases in place of a leader that is gone while the state
-service is out of reach.  Two things must never happen at the same time: the leader, which may only
+knows the current token can renew leases in place of a leader that is gone while the state service
+is out of reach.  Two things must never happen at the same time: the leader, which may only
 be unreachable from the follower, treats a lease as expired that the follower has renewed
-(``ran_twice``); and a user is told "cancelled" by a controller whose cancellation the follower does
-not know (``ran_cancelled``).
+(``ran_twice``); and a controller confirms to a user a cancellation that the follower does not know
+(``ran_cancelled``).
 
 Both are excluded by majorities, of which any two share a controller (docs/safety.md):
 
@@ -14,9 +14,9 @@
 - A leader treats a lease as expired only with the *promises* of so many others that they make a
   majority together with it.  Whoever answers a leader's ping promises neither to renew leases nor
   to vote for ``abstain_duration`` from then on.
-- "Cancelled" is told to a user only once a majority, which includes the controller that tells it,
-  has the job on its list of cancellations.  A follower that renews leases stops what is on its own
-  list and on those of its voters.
+- A cancellation is confirmed to a user only once a majority, which includes the controller that
+  confirms it, has the job on its list of cancellations.  A follower that renews leases stops what
+  is on its own list and on those of its voters.
 
 Messages between controllers call a vote ``consent`` (wire/peers.py).
 
@@ -50,7 +50,7 @@
 
     #: A worker that was not heard of for so long has certainly lost its lease.
     lease_expiry: timedelta
-    #: A task must be gone so long after its user was told "cancelled".
+    #: A task must be gone so long after the cancellation of its job was confirmed.
     cancel_timeout: timedelta
     #: The number of controllers.
     cluster_size: int
@@ -255,7 +255,10 @@
     now: timedelta,
     timing: RenewalTiming,
 ) -> bool:
-    """Return whether to answer workers under the token that we were told, with no starts."""
+    """Return whether to answer workers under the token that the last leader has shown us.
+
+    Such answers renew leases and order stops, never starts.
+    """
     if not timing.possible or not state.token:
         return False
     if not may_vote(state, state.token, synced, now, timing):
@@ -297,7 +300,7 @@
 
 
 def stop_commands(heartbeat: Heartbeat, cancelled: Container[str]) -> list[Command]:
-    """Return the stops for tasks of cancelled jobs that a worker reports.
+    """Return stop commands for the tasks of cancelled jobs that a worker reports.
 
     For controllers that answer a worker without having read the records of the jobs.
     """
@@ -335,7 +338,8 @@
     It must have merged all lists that it was sent, synced or not.  None if there is no such
     instant.  ``informed`` is up to when the records that it has read say so.
 
-    Guards work where all controllers have just started: what the previous process of a peer
+    Guards against a leader without authority where all controllers have just started, so that
+    running tasks would end with their leases: what the previous process of a peer
     confirmed is on no list, but was recorded before the current process started, so the leader has
     read it if that was before ``informed``.
     """
--- a/micadeal/leadership/term.py
+++ b/micadeal/leadership/term.py
@@ -17,7 +17,7 @@
 
 from micadeal.clock import DRIFT
 
-#: For responses under way, timers that fire late, and leases that end a little late.
+#: For responses in flight, timers that fire late, and leases that end a little late.
 SAFETY_MARGIN = timedelta(seconds=2.5)
 #: How long a leader that reaches the state service may hear nothing about the jobs: an idle watch
 #: returns every two seconds, one on a connection that was cut is given up after four.
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerContact:
-    """A peer's answer on when it last told a user that a job is cancelled."""
+    """A peer's answer on when it last confirmed a cancellation to a user."""
 
     #: When we sent the question; the answer holds at least for this instant.
     asked: timedelta
--- a/micadeal/rollout/migration.py
+++ b/micadeal/rollout/migration.py
@@ -62,7 +62,7 @@
         raising = _plan_raise(record, observations, highest, now)
         if raising.move is not None:
             return raising
-        # What is under way at the level in force goes on meanwhile.
+        # A migration at the level in force goes on meanwhile.
         waits = raising.waits
     if record.level > record.writes:
         return _plan_write_back(record, migration_backlog, waits)
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -227,7 +227,7 @@
         """
         rate_limit_timeout = timeout
         if urgency is Urgency.USER:
-            # A user is told at once when to come back instead of being kept waiting.
+            # A user gets an answer at once, with the time to ask again, instead of waiting.
             rate_limit_timeout = USER_TIMEOUT
             if self._unreachable():
                 timeout = min(timeout, USER_TIMEOUT)
