--- a/micadeal/controller/api/endpoints.py
+++ b/micadeal/controller/api/endpoints.py
@@ -7,7 +7,7 @@
 from micadeal.clock import seconds
 from micadeal.http.message import Answer, Request, error
 
-#: When whoever gets a 503 should ask again.
+#: After how long a client that got a 503 should ask again.
 RETRY_AFTER = seconds(1)
 
 Handler = Callable[[Request], Awaitable[Answer]]
--- a/micadeal/controller/api/heartbeats.py
+++ b/micadeal/controller/api/heartbeats.py
@@ -1,4 +1,4 @@
-"""Answers workers' heartbeats: as leader, by redirect or relay, or in a lost leader's place."""
+"""Answers workers' heartbeats: as leader, by redirect or relay, or in place of a lost leader."""
 
 from __future__ import annotations
 
@@ -131,7 +131,7 @@
         return answer(relayed.status, relayed.body)
 
     def _renew_as_follower(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Answer in the place of a leader that can't be reached; None: that is not allowed."""
+        """Answer in place of a leader that can't be reached; None: we must not."""
         if self._follower_leases is None or self._leader.actor is not None:
             return None
         if self._feature_levels.effective_level < FeatureLevel.FENCED:
@@ -144,7 +144,7 @@
         """Hold a heartbeat for a short time until somebody can answer it.
 
         That is another leader than the one that was ``tried``, or we once we lead and have read the
-        records.  Else the answer is ``refused``.
+        records.  If nobody can in that time, the answer is ``refused``.
 
         Guards against seconds without capacity after a leader's crash: a worker that is refused
         while the election goes on tries the next controller, and if it can't reach that one, it
--- a/micadeal/controller/api/readiness.py
+++ b/micadeal/controller/api/readiness.py
@@ -24,7 +24,7 @@
 
 
 class Readiness:
-    """Serves ``GET /ready``, and refuses users' requests that this controller must not take."""
+    """Serves ``GET /ready``, and refuses users while this controller must not serve them."""
 
     def __init__(
         self,
--- a/micadeal/controller/api/status.py
+++ b/micadeal/controller/api/status.py
@@ -55,8 +55,8 @@
     async def look_up(self, job_id: str) -> JobAnswer | None:
         """Return the state of a job by reads that begin now; None: it was never accepted.
 
-        Guards ``went_back``: where something newer became known here while the reads were under
-        way, a user may have been answered that by now, and they are made once more.
+        Guards ``went_back``: if something newer became known here during the reads, a user may have
+        been answered that already, so the job is read once more.
         """
         found = await self._read(job_id)
         return await self._read(job_id) if self._answers.is_outdated(job_id, found) else found
--- a/micadeal/controller/api/submission.py
+++ b/micadeal/controller/api/submission.py
@@ -138,7 +138,7 @@
         return answer(201, accepted)
 
     async def _answer_recorded(self, job_id: str) -> Answer:
-        """Answer with what is recorded of the job by now, whoever recorded it."""
+        """Answer with what is recorded of the job by now, also if another controller wrote it."""
         try:
             found = await self._status.look_up(job_id)
         except StateServiceError:
--- a/micadeal/controller/persistence/layout_migration.py
+++ b/micadeal/controller/persistence/layout_migration.py
@@ -1,7 +1,7 @@
 """Rewrites records of other layouts than the one that the feature level in force demands.
 
-All that a record holds is written in the present layout first, and the record is dropped after:
-whoever reads in between finds both, which say the same.  The next leader finds what is left.
+All that a record holds is written in the present layout first, and the record is dropped after.  A
+leader that reads in between finds both, which agree, and goes on from there.
 """
 
 from __future__ import annotations
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -72,7 +72,7 @@
 
     @property
     def versions(self) -> dict[str, int]:
-        """Version last known of each key; whoever reads records adds theirs."""
+        """Version last known of each key; ``RecordLoader`` adds those that it reads."""
         return self._keys.versions
 
     @property
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -11,6 +11,7 @@
 from micadeal.scheduling.cluster_state import ClusterState, StaleTokenError
 from micadeal.scheduling.reported_tasks import reconcile_tasks
 from micadeal.scheduling.response_effects import assess_last_response, withdraw_unseen_starts
+from micadeal.scheduling.scale_in import ReturnReason
 from micadeal.wire.workers import Heartbeat
 
 log = logging.getLogger(__name__)
@@ -138,7 +139,7 @@
     if not machine.reachability.restarted:
         log.info("worker restarted: machine=%s zone=%s", machine.name, machine.zone)
         machine.reachability.restarted = True
-        machine.draining = "its worker began anew"
+        machine.draining = ReturnReason.RESTARTED
         machine.exited.clear()
     shown = {(task.task, task.attempt) for task in heartbeat.tasks}
     for attempt in list(machine.attempts.values()):
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -77,7 +77,7 @@
     lease, whose expiry removes them.
 
     Every method raises ``UnavailableError`` if the request was certainly not executed, and
-    ``StateServiceError`` if nobody can say: a transaction without an answer may have been applied,
+    ``StateServiceError`` if that is unknown: a transaction without an answer may have been applied,
     or may still be applied later.
     """
 
