--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -59,7 +59,7 @@
         #: Machines that never boot, by number; the first one rented is 1.
         self.never_boot: set[int] = set()
         #: Factor by which boots take longer.
-        self.slow = 1.0
+        self.boot_time_factor = 1.0
         self.rentals = 0
         self.releases: list[str] = []
 
@@ -141,6 +141,8 @@
             return error(503, "no capacity")
         self.capacity[place] -= count
         self.rentals += count
-        names = [await self.add(*place, up_in=self.boot_s * self.slow) for _ in range(count)]
+        names = [
+            await self.add(*place, up_in=self.boot_s * self.boot_time_factor) for _ in range(count)
+        ]
         self._names_by_request[wanted["hire"]] = names
         return answer(200, {"hosts": names})
--- a/tests/fakes/fault_histories.py
+++ b/tests/fakes/fault_histories.py
@@ -19,9 +19,10 @@
 from micadeal.clock import monotonic, seconds
 from micadeal.http.message import HttpError, Request
 from tests.fakes import state as state_fake
+from tests.fakes.deployment_settings import CANCEL_S, FOLLOWERS_RENEW_AFTER_S
 from tests.fakes.network import HOLD, REFUSE, SILENT
 from tests.fakes.workers import FakeWorker
-from tests.fakes.world import CANCEL_S, SETTLED, World
+from tests.fakes.world import World
 
 #: Faults of a history begin within this time, in seconds.
 FAULT_WINDOW_S = 12.0
@@ -73,7 +74,9 @@
             try:
                 self.world.play(patch, self._scenario)
             except AssertionError as problem:
-                return list(dict.fromkeys(self.world.broken)) or [str(problem).split("\n")[0]]
+                return list(dict.fromkeys(self.world.rules.violations)) or [
+                    str(problem).split("\n")[0]
+                ]
         return []
 
     # -- the day ---------------------------------------------------------------------------
@@ -86,12 +89,12 @@
             ("daemon", 2, 0.0, "blue"),
         ):
             await self._submit(shape, legs, run_s, crew)
-        await curio.sleep(SETTLED)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         users = await curio.spawn(self._act_as_users, daemon=True)
         for fault in sorted(self.faults, key=_start_time):
             await curio.spawn(self._run_fault, fault, daemon=True)
         await curio.sleep(FAULT_WINDOW_S + 1)
-        await world.until(lambda: not self._faults_in_progress, limit=120)
+        await world.wait_until(lambda: not self._faults_in_progress, limit=120)
         await users.cancel()
         await self._heal()
         await self._check_all_served()
@@ -145,17 +148,19 @@
             self.cancelling.remove(job)
             return
         told = monotonic().total_seconds()
-        await self.world.until(lambda: not self.world.held(job), limit=CANCEL_S + 5)
+        await self.world.wait_until(
+            lambda: not self.world.tasks_on_machines(job), limit=CANCEL_S + 5
+        )
         self.gone_after.append(monotonic().total_seconds() - told)
 
     async def _heal(self) -> None:
         self.world.state.outage = False
         await self.world.network.heal_all()
         for worker in self.world.fleet.workers.values():
-            worker.hanging = False
-            self.world.network.mute.discard(worker.name)
+            worker.stalled = False
+            self.world.network.sends_nothing.discard(worker.name)
         for number in range(3):
-            if not self.world.on(number):
+            if not self.world.is_up(number):
                 await self.world.start(number)
 
     async def _check_all_served(self) -> None:
@@ -164,7 +169,7 @@
         for job in self.jobs:
             if job in self.cancelling:
                 until = monotonic().total_seconds() + RECOVERY_TIMEOUT_S
-                while job in self.cancelling and self.world.told.final.get(job) != "cancelled":
+                while job in self.cancelling and self.world.answers.latest.get(job) != "cancelled":
                     assert monotonic().total_seconds() < until, f"{job} is never told cancelled"
                     await curio.sleep(0.5)
             elif self.world.fleet.jobs[job].spec["shape"] == "daemon":
@@ -174,7 +179,7 @@
                     assert monotonic().total_seconds() < until, f"{job} does not run in full"
                     await curio.sleep(0.5)
             else:
-                await self.world.until_done(job, RECOVERY_TIMEOUT_S)
+                await self.world.wait_until_done(job, RECOVERY_TIMEOUT_S)
 
     # -- what faults need ----------------------------------------------------------------
 
@@ -194,9 +199,9 @@
     async def submit_malformed(self, fields: dict[str, Any], number: int) -> None:
         """Submit a job that can't run, or makes no sense: no controller may ever accept it."""
         job = self.world.job(**fields)
-        status = await self.world.offer(job, number)
+        status = await self.world.submit_once(job, number)
         if status not in (0, 400, 422, 503):
-            self.world.broken.append(f"accepted {job} with {fields}: {status}")
+            self.world.rules.violations.append(f"accepted {job} with {fields}: {status}")
 
     def leader(self) -> int:
         """The one that leads, or some other if nobody does."""
@@ -219,10 +224,10 @@
 
     async def restart(self, number: int, after: float) -> None:
         """Crash a controller and start it again ``after`` seconds later."""
-        if self.world.on(number):
+        if self.world.is_up(number):
             self.world.crash(number)
             await curio.sleep(after)
-            if not self.world.on(number):
+            if not self.world.is_up(number):
                 await self.world.start(number)
 
 
@@ -258,7 +263,7 @@
         reads = request.path == "/keys" and address == state_fake.ADDRESS
         return late_by if reads and "starts=job/" in request.query else 0.0
 
-    history.world.network.slow = slow
+    history.world.network.answer_delay = slow
     await curio.spawn(history.restart, gone, 5.0, daemon=True)
     for _ in range(100):
         await curio.sleep(0.05)
@@ -266,7 +271,7 @@
             break
     await curio.sleep(history.random.uniform(0, 0.3))
     await _cancel_unknown_to_leader_then_outage(history, history.leader())
-    history.world.network.slow = None
+    history.world.network.answer_delay = None
 
 
 async def _cancel_unknown_to_leader_then_outage(history: History, leader: int) -> None:
@@ -317,7 +322,7 @@
     await history.world.start(first)
     await curio.sleep(history.random.choice([0.2, 5.0]))
     for number in range(3):
-        if not history.world.on(number):
+        if not history.world.is_up(number):
             await history.world.start(number)
 
 
@@ -325,7 +330,7 @@
     """Over and back: the leader ends in good order, and so does the next a moment later."""
     for _ in range(2):
         leader = history.leader()
-        if history.world.on(leader):
+        if history.world.is_up(leader):
             await history.world.nodes[leader].retire()
         await history.restart(leader, 0.1)
         await curio.sleep(history.random.choice([0.3, 2.0]))
@@ -346,10 +351,10 @@
 async def _machines_hang(history: History) -> None:
     workers = history.some(0.4)
     for worker in workers:
-        worker.hanging = True
+        worker.stalled = True
     await curio.sleep(history.random.choice([2.0, 9.0, 20.0]))
     for worker in workers:
-        worker.hanging = False
+        worker.stalled = False
 
 
 async def _machines_unreachable(history: History) -> None:
@@ -365,9 +370,9 @@
             return None
         return history.random.uniform(2, 12)
 
-    history.world.network.late = late
+    history.world.network.delivery_delay = late
     await curio.sleep(25)
-    history.world.network.late = None
+    history.world.network.delivery_delay = None
 
 
 async def _delayed_heartbeats(history: History) -> None:
@@ -376,9 +381,9 @@
             place = f"10.0.0.{history.random.randrange(3) + 1}:8080"
             yield history.random.uniform(2, 25), history.random.choice([address, place])
 
-    history.world.network.copies = copies
+    history.world.network.duplicates = copies
     await curio.sleep(25)
-    history.world.network.copies = None
+    history.world.network.duplicates = None
 
 
 async def _slow_state(history: History) -> None:
@@ -387,9 +392,9 @@
             return 0.0
         return history.random.choice([0.0, 0.2, 0.6, 1.8, 2.5])
 
-    history.world.network.slow = slow
+    history.world.network.answer_delay = slow
     await curio.sleep(15)
-    history.world.network.slow = None
+    history.world.network.answer_delay = None
 
 
 async def _workers_restart(history: History) -> None:
@@ -398,7 +403,7 @@
 
 
 async def _machines_send_nothing(history: History) -> None:
-    await _add_machines_for_a_while(history, history.world.network.mute)
+    await _add_machines_for_a_while(history, history.world.network.sends_nothing)
 
 
 async def _responses_lost(history: History) -> None:
@@ -419,13 +424,13 @@
             kept.append(request)
         return ()
 
-    history.world.network.copies = keep
+    history.world.network.duplicates = keep
     term = history.world.term()
     for _ in range(300):
         await curio.sleep(0.1)
         if history.world.term() not in (0, term):
             break
-    history.world.network.copies = None
+    history.world.network.duplicates = None
     for number in range(3):
         await curio.spawn(history.deliver, kept, number, daemon=True)
 
@@ -437,15 +442,15 @@
     machines = []
     for job in history.random.sample(running, min(3, len(running))):
         if job not in history.cancelling:
-            machines += [worker for worker, _ in history.world.held(job)]
+            machines += [worker for worker, _ in history.world.tasks_on_machines(job)]
             history.cancelling.add(job)
             await curio.spawn(history.cancel, job, history.random.uniform(0, 0.2), daemon=True)
     if hang_s:
         for worker in machines[:8]:
-            worker.hanging = True
+            worker.stalled = True
         await curio.sleep(hang_s)
         for worker in machines[:8]:
-            worker.hanging = False
+            worker.stalled = False
 
 
 async def _cancel_at_end(history: History) -> None:
@@ -453,7 +458,7 @@
     for _ in range(2500):
         await curio.sleep(0.01)
         for job in history.jobs:
-            if job not in history.ended and history.world._all_done(job):
+            if job not in history.ended and history.world.all_tasks_done(job):
                 history.ended.add(job)
                 if job not in history.cancelling and history.chance(0.7):
                     history.cancelling.add(job)
@@ -467,11 +472,11 @@
     for _ in range(2500):
         await curio.sleep(0.01)
         for job in history.jobs:
-            state = (world.told.newest_at.get(job), world._all_done(job))
+            state = (world.answers.latest_at.get(job), world.all_tasks_done(job))
             if seen.get(job) != state:
                 seen[job] = state
                 for _ in range(2):
-                    await curio.spawn(world.look, job, daemon=True)
+                    await curio.spawn(world.query_all_controllers, job, daemon=True)
                 history.looks += 1
 
 
@@ -484,8 +489,10 @@
         await curio.sleep(draw.uniform(0.3, 1.5))
         for job in draw.sample(history.jobs, min(2, len(history.jobs))):
             fields = draw.choice([{}, *odd])
-            await curio.spawn(partial(world.offer, job, draw.randrange(3), **fields), daemon=True)
-            if world.told.final.get(job) == "done":
+            await curio.spawn(
+                partial(world.submit_once, job, draw.randrange(3), **fields), daemon=True
+            )
+            if world.answers.latest.get(job) == "done":
                 await curio.spawn(world.cancel, job, draw.randrange(3), daemon=True)
         await curio.spawn(
             history.submit_malformed, draw.choice(odd), draw.randrange(3), daemon=True
--- a/tests/fakes/kernel.py
+++ b/tests/fakes/kernel.py
@@ -9,6 +9,13 @@
 
 import curio
 
+from micadeal.clock import monotonic
+
+
+def now_s() -> float:
+    """Return the monotonic time of the process, in seconds."""
+    return monotonic().total_seconds()
+
 
 class _Clock:
     def __init__(self) -> None:
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -57,15 +57,15 @@
         #: Hosts to which nothing gets through, while what they send does.
         self.receives_nothing: set[str] = set()
         #: Hosts from which no request gets through, while they receive and answer.
-        self.mute: set[str] = set()
+        self.sends_nothing: set[str] = set()
         #: Whether a request is carried out at once and only its answer is lost.
         self.answer_lost: Callable[[str, str, Request], bool] | None = None
         #: Copies of a request to deliver: how many seconds later, and at which address.
-        self.copies: Callable[[str, str, Request], Iterable[tuple[float, str]]] | None = None
+        self.duplicates: Callable[[str, str, Request], Iterable[tuple[float, str]]] | None = None
         #: How many seconds later than usual an answer comes.
-        self.slow: Callable[[str, str, Request], float] | None = None
+        self.answer_delay: Callable[[str, str, Request], float] | None = None
         #: How many seconds later a request is carried out, without an answer; None: as usual.
-        self.late: Callable[[str, str, Request], float | None] | None = None
+        self.delivery_delay: Callable[[str, str, Request], float | None] | None = None
 
     def serve(self, host: str, address: str, handler: Handler) -> None:
         """Let ``host`` serve ``address`` from now on."""
@@ -91,8 +91,8 @@
     async def heal_all(self) -> None:
         """End all faults."""
         self.receives_nothing.clear()
-        self.mute.clear()
-        self.copies = self.slow = self.late = self.answer_lost = None
+        self.sends_nothing.clear()
+        self.duplicates = self.answer_delay = self.delivery_delay = self.answer_lost = None
         for pair in list(self._cuts):
             await self.heal(*pair)
 
@@ -108,14 +108,14 @@
         host, handler = self._servers[address]
         pair = frozenset((source, host))
         mode = self._cuts.get(pair)
-        if mode is None and self.copies is not None:
-            for delay, place in self.copies(*sent):
+        if mode is None and self.duplicates is not None:
+            for delay, place in self.duplicates(*sent):
                 await curio.spawn(self._deliver_after, delay, place, request, daemon=True)
         if mode == REFUSE and request.path != "/changes":
             await self._travel()
             refusal = error(503, "trouble")
             return ClientResponse(refusal.status, refusal.body)
-        if host in self.receives_nothing or source in self.mute:
+        if host in self.receives_nothing or source in self.sends_nothing:
             mode = SILENT
         if await self._stays_unanswered(mode, pair, sent):
             await _sleep_until(deadline)
@@ -129,8 +129,8 @@
 
     async def _stays_unanswered(self, mode: str | None, pair: frozenset[str], sent: _Sent) -> bool:
         """Return whether the sender waits in vain; the request may still be delivered later."""
-        if mode is None and self.late is not None:
-            delay = self.late(*sent)
+        if mode is None and self.delivery_delay is not None:
+            delay = self.delivery_delay(*sent)
             if delay is not None:
                 await curio.spawn(
                     self._deliver_after, delay, sent.address, sent.request, daemon=True
@@ -144,8 +144,8 @@
         try:
             async with curio.timeout_after(max((deadline - monotonic()).total_seconds(), 0.001)):
                 reply = await handler(sent.request)
-                if self.slow is not None:
-                    await curio.sleep(self.slow(*sent))
+                if self.answer_delay is not None:
+                    await curio.sleep(self.answer_delay(*sent))
         except curio.TaskTimeout:
             raise HttpError(f"{sent.address}: no answer in time") from None
         return reply
--- a/tests/fakes/scenario_steps.py
+++ b/tests/fakes/scenario_steps.py
@@ -17,7 +17,7 @@
 
 async def new_leader(world: World, former: int) -> int:
     """Wait until another controller leads, and return its number."""
-    await world.until(lambda: world.leader() not in (None, former), limit=10)
+    await world.wait_until(lambda: world.leader() not in (None, former), limit=10)
     return current_leader(world)
 
 
@@ -35,4 +35,4 @@
 
 def assert_each_task_started_once(world: World) -> None:
     """Assert that no task was started again."""
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Held:
+class TaskAttempt:
     """An attempt that a worker holds; times are seconds on the monotonic clock."""
 
     task: str
@@ -60,7 +60,7 @@
         return shown
 
 
-Watcher = Callable[[str, "FakeWorker", Held], None]
+Watcher = Callable[[str, "FakeWorker", TaskAttempt], None]
 
 
 @dataclass
@@ -81,7 +81,7 @@
     #: Machines on which every task fails.
     faulty: set[str] = field(default_factory=set)
 
-    def members(self, job_id: str, attempt: int) -> list[Held]:
+    def members(self, job_id: str, attempt: int) -> list[TaskAttempt]:
         """Return the tasks of a gang's attempt that have not exited, on all machines."""
         return [
             held
@@ -90,6 +90,26 @@
             if held.job_id == job_id and held.attempt == attempt and held.state != "exited"
         ]
 
+    def tasks_on_machines(self, job_id: str | None = None) -> list[tuple[FakeWorker, TaskAttempt]]:
+        """Return the attempts, of one job or of all, that have their image and did not exit."""
+        return [
+            (worker, attempt)
+            for worker in self.workers.values()
+            for attempt in worker.tasks.values()
+            if attempt.state not in ("pulling", "exited") and job_id in (None, attempt.job_id)
+        ]
+
+    def with_dependencies(self, job_id: str) -> set[str]:
+        """Return the job and all jobs that it waits on, directly or through others."""
+        found: set[str] = set()
+        to_visit = [job_id]
+        while to_visit:
+            name = to_visit.pop()
+            if name not in found and name in self.jobs:
+                found.add(name)
+                to_visit += self.jobs[name].spec.get("waits_on") or ()
+        return found
+
 
 class FakeWorker:
     """The worker process of one machine."""
@@ -98,11 +118,11 @@
         self.fleet, self.name, self.address = fleet, name, address
         self.zone, self.spot = zone, spot
         self.incarnation, self.sequence, self.token = 1, 0, 0
-        self.tasks: dict[tuple[str, int], Held] = {}
+        self.tasks: dict[tuple[str, int], TaskAttempt] = {}
         self.images: set[str] = set()
         self.reclaim_expected_at: float | None = None
         #: It neither sends nor answers anything, and its tasks make no progress.
-        self.hanging = False
+        self.stalled = False
         self.alive = True
         #: Counts processes: responses to what an earlier one sent reach nobody.
         self.lives = 1
@@ -149,12 +169,12 @@
             self.incarnation += 1
             self.renewed = now
             await self._send_soon()
-        if self.hanging:
+        if self.stalled:
             return
         for held in list(self.tasks.values()):
             await self._advance(held, now)
 
-    async def _advance(self, held: Held, now: float) -> None:
+    async def _advance(self, held: TaskAttempt, now: float) -> None:
         job = self.fleet.jobs[held.job_id]
         if held.state == "pulling" and now >= held.ready_at:
             self.images.add(job.spec["build"])
@@ -175,7 +195,7 @@
             held.saved = True
             await self._exit(held, "halted")
 
-    async def _wait_for_gang(self, held: Held, job: Job, now: float) -> None:
+    async def _wait_for_gang(self, held: TaskAttempt, job: Job, now: float) -> None:
         members = self.fleet.members(held.job_id, held.attempt)
         if len(members) == job.spec["legs"] and all(
             member.state != "pulling" for member in members
@@ -186,7 +206,7 @@
         elif now - held.since > self.fleet.gang_wait_s:
             await self._exit(held, "alone")
 
-    async def _advance_running(self, held: Held, job: Job, now: float) -> None:
+    async def _advance_running(self, held: TaskAttempt, job: Job, now: float) -> None:
         assert held.started is not None
         if job.spec["shape"] == "gang":
             members = self.fleet.members(held.job_id, held.attempt)
@@ -203,7 +223,7 @@
             self.fleet.watch("done", self, held)
             await self._exit(held, "done")
 
-    async def _exit(self, held: Held, why: str) -> None:
+    async def _exit(self, held: TaskAttempt, why: str) -> None:
         held.state, held.why = "exited", why
         self.fleet.watch("exit", self, held)
         await self._send_soon()
@@ -229,7 +249,7 @@
     async def _heartbeat_loop(self) -> None:
         names = list(self.fleet.controllers)
         while self.alive:
-            if self.hanging:
+            if self.stalled:
                 await curio.sleep(0.2)
                 continue
             self._wake.clear()
@@ -277,7 +297,7 @@
                 await self._send_soon()
 
     async def _handle(self, request: Request) -> Answer:
-        while self.hanging:
+        while self.stalled:
             await curio.sleep(0.2)
         message = decode(dict, request.body)
         if message["baton"] < self.token or message["shift"] != self.incarnation:
@@ -305,7 +325,7 @@
 
     async def _start(self, task: str, attempt: int) -> None:
         now = monotonic().total_seconds()
-        held = Held(task, attempt, now)
+        held = TaskAttempt(task, attempt, now)
         job = self.fleet.jobs[held.job_id]
         others = [
             other for other in self.tasks.values() if other.task == task and other.state != "exited"
@@ -332,7 +352,7 @@
                 return False
         return True
 
-    async def _stop(self, held: Held, grace: float) -> None:
+    async def _stop(self, held: TaskAttempt, grace: float) -> None:
         job = self.fleet.jobs[held.job_id]
         now = monotonic().total_seconds()
         saves = job.spec["bookmark_s"] > 0 and grace >= job.spec["stow_s"]
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -43,27 +43,27 @@
 def test_work_waiting_for_a_machine_that_never_boots_is_placed_elsewhere(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         world.cloud.never_boot = {2}
         job = await world.run_job("array", 8, run_s=60.0, accelerators=2.0)
         # If it were given up after three boot times only, this would take ten seconds longer.
-        await world.until(lambda: world.running(job) == 4, limit=36)
-        await world.until_done(job)
-        await world.until(lambda: "i-000002" in world.cloud.releases, limit=60)
+        await world.wait_until(lambda: world.running(job) == 4, limit=36)
+        await world.wait_until_done(job)
+        await world.wait_until(lambda: "i-000002" in world.cloud.releases, limit=60)
 
-    world = World(boot_s=10.0).play(monkeypatch, story)
+    world = World(boot_s=10.0).play(monkeypatch, scenario)
     assert world.cloud.rentals <= 6
 
 
 def test_no_machine_is_returned_while_all_boots_are_slow(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         job = world.job("array", 8, run_s=5.0)
-        world.cloud.slow = 5.0
+        world.cloud.boot_time_factor = 5.0
         await world.submit(job)
         await curio.sleep(45)
         assert not world.cloud.releases
-        world.cloud.slow = 1.0
-        await world.until_done(job)
+        world.cloud.boot_time_factor = 1.0
+        await world.wait_until_done(job)
 
-    world = World(boot_s=10.0).play(monkeypatch, story)
+    world = World(boot_s=10.0).play(monkeypatch, scenario)
     assert world.cloud.rentals <= 5
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,7 +18,7 @@
 from micadeal.wire.codec import decode
 from micadeal.wire.peers import MachineLine, Overview, StuckJob, TeamLine, WhyAnswer, WhyLine
 from micadeal.wire.users import JobAnswer, Status
-from tests.fakes.world import TEAMS, settings
+from tests.fakes.deployment_settings import TEAMS, settings
 
 OVERVIEW = Overview(
     "c1", 41, 65.0, False,
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -17,9 +17,10 @@
 from micadeal.wire.state import EndRecord
 from micadeal.wire.users import Priority, Shape, Status
 from micadeal.wire.workers import TaskState
+from tests.fakes.deployment_settings import ANNOUNCED_STATE_LIMITS
 from tests.fakes.random_clusters import WORKERS, RandomDeployment
 from tests.fakes.submissions import spec
-from tests.fakes.world import COMING, World
+from tests.fakes.world import World
 
 SMALL: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
 
@@ -43,10 +44,10 @@
         _, overview = await world.call(2, "GET", "/overview")
         assert overview["jobs"]["blocked"] == 2
         for job in (first, middle, last, free, empty):
-            await world.until_done(job)
+            await world.wait_until_done(job)
 
     world = World().play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 @pytest.mark.parametrize("crashes", [1, 3])
@@ -60,7 +61,7 @@
         for _ in range(3):
             jobs.append(await world.run_job("array", 2, waits_on=[jobs[-1]], **SMALL))
         for job in jobs[:-1]:
-            await world.until(lambda job=job: world.running(job) > 0)  # type: ignore[misc]
+            await world.wait_until(lambda job=job: world.running(job) > 0)  # type: ignore[misc]
             leader = world.leader()
             assert leader is not None
             gone = [(leader + n) % 3 for n in range(crashes)]
@@ -70,7 +71,7 @@
             for number in gone:
                 await world.start(number)
         for job in jobs:
-            await world.until_done(job)
+            await world.wait_until_done(job)
 
     World().play(monkeypatch, scenario)
 
@@ -83,7 +84,7 @@
         first = await world.run_job("array", 1, **SMALL)
         second = await world.run_job("array", 1, waits_on=[first], **SMALL)
         third = await world.run_job("array", 1, waits_on=[second], **SMALL)
-        world.damaged.add(first)
+        world.rules.unreadable_jobs.add(first)
         for number in range(3):
             world.crash(number)
         del world.state.keys[f"job/{first}"]
@@ -91,7 +92,7 @@
         for number in range(3):
             await world.start(number)
         await curio.sleep(25)
-        assert not world.starts
+        assert not world.rules.starts
         assert await world.cancel(second, 1) == "cancelled"
         await curio.sleep(3)
         assert await world.status(third, 2) == "cancelled"
@@ -119,9 +120,9 @@
         await curio.sleep(12)
         for number, job in enumerate([*chain, *wide, late]):
             assert await world.status(job, number % 3) == "cancelled", job
-        await world.until_done(first)
+        await world.wait_until_done(first)
 
-    World(coming=COMING).play(monkeypatch, scenario)
+    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("after", [0.0, 0.02, 0.05, 0.1, 0.3])
@@ -149,7 +150,7 @@
         for number, job in enumerate(chain):
             assert await world.status(job, number % 3) == "cancelled", job
 
-    World(coming=COMING).play(monkeypatch, scenario)
+    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def test_status_poll_finds_a_cancelled_ancestor_without_a_leader(
@@ -166,7 +167,7 @@
         assert leader is not None
         other = (leader + 1) % 3
         # All know that its task runs: else none can be sure that it does not start any more.
-        await world.until(lambda: world.running(first) == 1)
+        await world.wait_until(lambda: world.running(first) == 1)
         await curio.sleep(3)
         world.crash(leader)
         # Nobody can be elected any more.
@@ -202,7 +203,7 @@
             assert await world.status(after, tenths % 3) == "cancelled"
         for tenths in range(8):
             first = await world.run_job("array", 1, run_s=2.0, image_gb=0.1)
-            await world.until(lambda first=first: world.running(first) == 1)  # type: ignore[misc]
+            await world.wait_until(lambda first=first: world.running(first) == 1)  # type: ignore[misc]
             await curio.sleep(1.5 + tenths / 5)
             after = world.job("array", 1, waits_on=[first], **SMALL)
             cancelling = await curio.spawn(world.cancel, first, 1)
@@ -212,7 +213,7 @@
             if final == "cancelled":
                 assert await world.status(after) == "cancelled"
             else:
-                await world.until_done(after)
+                await world.wait_until_done(after)
 
     World().play(monkeypatch, scenario)
 
@@ -221,7 +222,7 @@
     async def scenario(world: World) -> None:
         done = await world.run_job("array", 1, **SMALL)
         service = await world.run_job("daemon", 1, crew="blue")
-        await world.until_done(done)
+        await world.wait_until_done(done)
 
         async def status_of_submission(waits_on: Any, **fields: Any) -> int:
             spec = world.fleet.jobs[world.job(waits_on=waits_on, **fields)].spec
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -107,10 +107,10 @@
 
 
 def test_keys_written_as_jobs_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         assert await write_all_keys(world) == WRITTEN_KEYS
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 # -- HTTP --------------------------------------------------------------------------------------
@@ -153,12 +153,12 @@
 def test_paths_methods_and_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     cases = recorded("http.json")
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         found = await play_cases(world, [case["request"] for case in cases])
         for case, reply in zip(cases, found, strict=True):
             assert reply == case["answer"], case["request"]
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 async def _answer_for_bytes(request: Request) -> Answer:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -15,8 +15,9 @@
 from micadeal.http.message import HttpError, Request
 from micadeal.wire.codec import decode
 from tests.fakes import state as state_fake
+from tests.fakes.deployment_settings import CANCEL_S, FOLLOWERS_RENEW_AFTER_S, LEASE_S
 from tests.fakes.network import REFUSE, SILENT
-from tests.fakes.world import CANCEL_S, LEASE_S, SETTLED, World, leader_of
+from tests.fakes.world import World, leader_of
 
 #: Takes no accelerator, so no limit of its team.
 SMALL: dict[str, Any] = {"accelerators": 0.0, "vcpus": 1.0, "ram_gb": 1.0}
@@ -55,8 +56,8 @@
 
     async def scenario(world: World) -> None:
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
-        await world.until(lambda: world.running(stays) == 3)
-        await curio.sleep(SETTLED)
+        await world.wait_until(lambda: world.running(stays) == 3)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         old = leader_of(world)
         jobs: list[str] = []
         for number in range(40):
@@ -66,20 +67,22 @@
         changing = await curio.spawn(fail_over, world, how)
         if hangs:
             for worker in list(world.fleet.workers.values())[::2]:
-                worker.hanging = True
+                worker.stalled = True
         cancellations, terms = [], set()
         for number, job in enumerate(jobs):
-            cancellations.append(await curio.spawn(world.until_told, job, number))
+            cancellations.append(await curio.spawn(world.cancel_until_confirmed, job, number))
             terms.add(world.term())
             await curio.sleep(0.1)
         assert len(terms) > 1
         await curio.sleep(5)
         for worker in world.fleet.workers.values():
-            worker.hanging = False
+            worker.stalled = False
         assert {await cancellation.join() for cancellation in cancellations} == {"cancelled"}
         await changing.join()
-        await world.until(lambda: not any(world.held(job) for job in jobs), limit=CANCEL_S)
-        await world.until(lambda: world.running(stays) == 3)
+        await world.wait_until(
+            lambda: not any(world.tasks_on_machines(job) for job in jobs), limit=CANCEL_S
+        )
+        await world.wait_until(lambda: world.running(stays) == 3)
         if how in ("handed over", "refused"):
             assert leader_of(world) != old
 
@@ -108,21 +111,23 @@
             await world.run_job("daemon", 4, crew="red"),
             await world.run_job("daemon", 4, crew="blue"),
         ]
-        await world.until(lambda: all(world.running(job) == 4 for job in cancelled_jobs + stays))
+        await world.wait_until(
+            lambda: all(world.running(job) == 4 for job in cancelled_jobs + stays)
+        )
         waits = [await world.run_job("array", 4, run_s=10.0, crew=c) for c in ("red", "blue")]
-        await curio.sleep(SETTLED)
-        assert not any(world.held(job) for job in waits)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
+        assert not any(world.tasks_on_machines(job) for job in waits)
         leader = leader_of(world)
-        machines = {w.name: w for job in cancelled_jobs for w, _ in world.held(job)}
+        machines = {w.name: w for job in cancelled_jobs for w, _ in world.tasks_on_machines(job)}
         for name in list(machines)[: len(machines) * 2 // 3]:
             if how == "hang":
-                machines[name].hanging = True
+                machines[name].stalled = True
             else:
                 for number in range(3):
                     world.network.cut(name, f"c{number}", SILENT)
         world.crash(leader)
         cancellations = [
-            await curio.spawn(world.until_told, job, leader + 1 + n)
+            await curio.spawn(world.cancel_until_confirmed, job, leader + 1 + n)
             for n, job in enumerate(cancelled_jobs)
         ]
         await curio.sleep(9)
@@ -131,16 +136,16 @@
         await fail_over(world, "back within a second")
         await curio.sleep(6)
         for worker in machines.values():
-            worker.hanging = False
+            worker.stalled = False
         await world.network.heal_all()
         await world.start(leader)
         assert {await cancellation.join() for cancellation in cancellations} == {"cancelled"}
-        await world.until(
-            lambda: not any(world.held(job) for job in cancelled_jobs), limit=CANCEL_S
+        await world.wait_until(
+            lambda: not any(world.tasks_on_machines(job) for job in cancelled_jobs), limit=CANCEL_S
         )
         for job in waits:
-            await world.until_done(job, MAX_WAIT_S)
-        await world.until(lambda: all(world.running(job) == 4 for job in stays))
+            await world.wait_until_done(job, MAX_WAIT_S)
+        await world.wait_until(lambda: all(world.running(job) == 4 for job in stays))
 
     World().play(monkeypatch, scenario)
 
@@ -155,20 +160,22 @@
 
     async def scenario(world: World) -> None:
         cancelled_job = await world.run_job("daemon", 8, crew="red")
-        await world.until(lambda: world.running(cancelled_job) == 8)
+        await world.wait_until(lambda: world.running(cancelled_job) == 8)
         waits = await world.run_job("array", 8, run_s=6.0, crew="red")
-        await curio.sleep(SETTLED)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         leader = leader_of(world)
-        for worker, _ in world.held(cancelled_job):
+        for worker, _ in world.tasks_on_machines(cancelled_job):
             for number in range(3):
                 world.network.cut(worker.name, f"c{number}", SILENT)
         await curio.sleep(1)
         world.crash(leader)
-        assert await world.until_told(cancelled_job, leader + 1) == "cancelled"
+        assert await world.cancel_until_confirmed(cancelled_job, leader + 1) == "cancelled"
         await curio.sleep(LEASE_S / 2)
         # Their tasks go on as long as their leases last.
-        assert len(world.held(cancelled_job)) == 8 and not world.held(waits)
-        await world.until_done(waits, MAX_WAIT_S)
+        assert len(world.tasks_on_machines(cancelled_job)) == 8 and not world.tasks_on_machines(
+            waits
+        )
+        await world.wait_until_done(waits, MAX_WAIT_S)
 
     World(capacity=20).play(monkeypatch, scenario)
 
@@ -198,7 +205,7 @@
             watch(what, worker, held)
 
         world.fleet.watch = named
-        await world.until(lambda: world.leader() is not None)
+        await world.wait_until(lambda: world.leader() is not None)
         if late:
             count = 0
 
@@ -209,7 +216,7 @@
                 count += 1
                 return 2.0 + count % 5 if count % 2 else None
 
-            world.network.late = after
+            world.network.delivery_delay = after
         jobs = []
         for turn in range(5):
             jobs.append(await world.run_job("array", 3, run_s=9.0, crew="blue", image_gb=0.2))
@@ -225,10 +232,10 @@
             world.crash(leader)
             await curio.sleep(1)
             await world.start(leader)
-            await world.until(lambda: world.leader() is not None, limit=20)
+            await world.wait_until(lambda: world.leader() is not None, limit=20)
         for job in jobs:
-            await world.until_done(job)
-        assert world.starts.total() >= 25
+            await world.wait_until_done(job)
+        assert world.rules.starts.total() >= 25
         assert unnamed == []
 
     World(boot_s=1.0, capacity=20).play(monkeypatch, scenario)
@@ -263,28 +270,28 @@
                 kept.append(request)
             return ()
 
-        world.network.copies = keep
+        world.network.duplicates = keep
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
         gang = await world.run_job("gang", 2, run_s=60.0, bookmark_s=5.0, stow_s=1.0, crew="blue")
-        await world.until(lambda: world.running(stays) == 3 and world.running(gang) == 2)
+        await world.wait_until(lambda: world.running(stays) == 3 and world.running(gang) == 2)
         short = await world.run_job("array", 4, run_s=8.0, crew="red")
-        await world.until(lambda: world.running(short) >= 1)
+        await world.wait_until(lambda: world.running(short) >= 1)
         # An attempt of the gang ends and another begins; a machine goes, another is restarted.
-        world.held(gang)[0][0].hanging = True
+        world.tasks_on_machines(gang)[0][0].stalled = True
         await curio.sleep(LEASE_S + 5)
         for worker in world.fleet.workers.values():
-            worker.hanging = False
-        await world.until(lambda: world.running(gang) == 2 and world.running(stays) == 3)
-        await world.until_done(short)
-        begun = dict(world.starts)
+            worker.stalled = False
+        await world.wait_until(lambda: world.running(gang) == 2 and world.running(stays) == 3)
+        await world.wait_until_done(short)
+        begun = dict(world.rules.starts)
         old = leader_of(world)
-        world.network.copies = None
-        for name in {w.name for w, _ in world.held(stays)}:
+        world.network.duplicates = None
+        for name in {w.name for w, _ in world.tasks_on_machines(stays)}:
             # No controller receives anything of them for a while.
             for number in range(3):
                 world.network.cut(name, f"c{number}", SILENT)
         world.crash(old)
-        await world.until(lambda: world.leader() not in (None, old), limit=10)
+        await world.wait_until(lambda: world.leader() not in (None, old), limit=10)
         await curio.sleep(after)
         tokens = {decode(dict, request.body)["baton"] for request in kept}
         assert len(kept) > 40 and len(tokens) > 1
@@ -303,13 +310,13 @@
         await world.network.heal_all()
         await curio.sleep(20)
         assert world.running(stays) == 3
-        await world.until_done(gang)
+        await world.wait_until_done(gang)
         assert await world.status(short, leader_of(world)) == "done"
-        assert {t: n for t, n in world.starts.items() if t.startswith(stays)} == {
+        assert {t: n for t, n in world.rules.starts.items() if t.startswith(stays)} == {
             t: n for t, n in begun.items() if t.startswith(stays)
         }
         late = await world.run_job("array", 6, run_s=3.0, crew="red")
-        await world.until_done(late, MAX_WAIT_S)
+        await world.wait_until_done(late, MAX_WAIT_S)
 
     World().play(monkeypatch, scenario)
 
@@ -328,7 +335,7 @@
     """
 
     async def scenario(world: World) -> None:
-        await world.until(lambda: world.leader() is not None)
+        await world.wait_until(lambda: world.leader() is not None)
         await curio.sleep(3)
         jobs: list[str] = []
         slowest = 0.0
@@ -339,7 +346,7 @@
             if number % 4 == 3:
                 await curio.sleep(number % 7 * 1.5)
                 began = monotonic().total_seconds()
-                await world.until_told(job, number)
+                await world.cancel_until_confirmed(job, number)
                 slowest = max(slowest, monotonic().total_seconds() - began)
 
         users = []
@@ -360,8 +367,8 @@
                 most = max(most, leader_actor._mailbox.qsize())
                 assert monotonic().total_seconds() - began < MAX_WAIT_S, (job, said)
                 await curio.sleep(1)
-        cancelled = sum(world.told.final[job] == "cancelled" for job in jobs)
-        assert cancelled > 20 and len(world.told.cancelled_at) == cancelled
+        cancelled = sum(world.answers.latest[job] == "cancelled" for job in jobs)
+        assert cancelled > 20 and len(world.answers.cancel_confirmed_at) == cancelled
         assert slowest < 8 and most < 200
         assert world.state.too_many < 20 and world.state.changes < 5 * len(jobs)
 
@@ -377,23 +384,25 @@
     """
 
     async def scenario(world: World) -> None:
-        await world.until(lambda: world.leader() is not None)
+        await world.wait_until(lambda: world.leader() is not None)
         await curio.sleep(3)
         jobs = []
         for number in range(100):
             image = {"build": f"img-{number % 20}", "image_gb": 9.0}
             jobs.append(await world.run_job("array", 1, run_s=60.0, crew="blue", **SMALL, **image))
-        await world.until(lambda: sum(len(w.tasks) for w in world.fleet.workers.values()) > 60)
+        await world.wait_until(lambda: sum(len(w.tasks) for w in world.fleet.workers.values()) > 60)
         # The effect of a command shows in the next heartbeat only.
-        world.network.mute |= set(world.fleet.workers)
+        world.network.sends_nothing |= set(world.fleet.workers)
         leader = leader_of(world)
         began = monotonic().total_seconds()
-        cancellations = [await curio.spawn(world.until_told, job, n) for n, job in enumerate(jobs)]
+        cancellations = [
+            await curio.spawn(world.cancel_until_confirmed, job, n) for n, job in enumerate(jobs)
+        ]
         most = 0
         for _ in range(200):
             await curio.sleep(0.01)
             most = max(most, world.nodes[leader]._cancellations.waiting_for_starts)
-        world.network.mute.clear()
+        world.network.sends_nothing.clear()
         assert {await cancellation.join() for cancellation in cancellations} == {"cancelled"}
         assert 0 < most <= 30 and leader_of(world) == leader
         assert monotonic().total_seconds() - began < 30
@@ -416,24 +425,29 @@
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
         cancelled_job = await world.run_job("daemon", 4, crew="blue")
         array = await world.run_job("array", 2, run_s=70.0, crew="red")
-        await world.until(lambda: world.running(stays) == 3 and world.running(cancelled_job) == 4)
-        await world.until(lambda: world.running(array) == 2)
-        await curio.sleep(SETTLED)
+        await world.wait_until(
+            lambda: world.running(stays) == 3 and world.running(cancelled_job) == 4
+        )
+        await world.wait_until(lambda: world.running(array) == 2)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         leader = leader_of(world)
-        mute = {w.name for w, _ in (*world.held(cancelled_job), *world.held(array))}
-        world.network.mute |= mute
+        silenced = {
+            w.name
+            for w, _ in (*world.tasks_on_machines(cancelled_job), *world.tasks_on_machines(array))
+        }
+        world.network.sends_nothing |= silenced
         await curio.sleep(3)
-        assert await world.until_told(cancelled_job, leader + 1) == "cancelled"
-        await world.until(lambda: not world.held(cancelled_job), limit=4)
+        assert await world.cancel_until_confirmed(cancelled_job, leader + 1) == "cancelled"
+        await world.wait_until(lambda: not world.tasks_on_machines(cancelled_job), limit=4)
         world.crash(leader)
         await curio.sleep(LEASE_S + 12)
         await world.start(leader)
-        await world.until(lambda: world.running(stays) == 3)
-        await world.until_done(array)
-        assert {world.starts[f"{array}/{index}"] for index in range(2)} == {2}
-        world.network.mute.clear()
+        await world.wait_until(lambda: world.running(stays) == 3)
+        await world.wait_until_done(array)
+        assert {world.rules.starts[f"{array}/{index}"] for index in range(2)} == {2}
+        world.network.sends_nothing.clear()
         late = await world.run_job("array", 4, run_s=3.0, crew="blue")
-        await world.until_done(late, MAX_WAIT_S)
+        await world.wait_until_done(late, MAX_WAIT_S)
 
     World(capacity=20).play(monkeypatch, scenario)
 
@@ -446,8 +460,8 @@
 
     async def scenario(world: World) -> None:
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
-        await world.until(lambda: world.running(stays) == 3)
-        await curio.sleep(SETTLED)
+        await world.wait_until(lambda: world.running(stays) == 3)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         jobs: list[str] = []
         cancelled_jobs: list[str] = []
         terms = {world.term()}
@@ -462,17 +476,19 @@
             await curio.sleep(0.5)
             await world.start(number)
             if len(cancelled_jobs) > 2:
-                await curio.spawn(world.until_told, cancelled_jobs.pop(0), number + 1, daemon=True)
+                await curio.spawn(
+                    world.cancel_until_confirmed, cancelled_jobs.pop(0), number + 1, daemon=True
+                )
             await curio.sleep(4)
             world.state.outage = False
-            await world.until(lambda: world.term() not in {0, *terms}, limit=10)
+            await world.wait_until(lambda: world.term() not in {0, *terms}, limit=10)
             terms.add(world.term())
             number = leader_of(world)
             await curio.sleep(5)
         assert len(terms) == 11
         for job in jobs:
-            await world.until_done(job)
-        await world.until(lambda: world.running(stays) == 3)
+            await world.wait_until_done(job)
+        await world.wait_until(lambda: world.running(stays) == 3)
 
     World(capacity=20).play(monkeypatch, scenario)
 
@@ -490,9 +506,11 @@
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
         bound = await world.run_job("array", 4, run_s=50.0, depot="north", crew="blue")
         cancelled_job = await world.run_job("daemon", 3, scatter=True, crew="red")
-        await world.until(lambda: world.running(stays) == 3 and world.running(cancelled_job) == 3)
-        await world.until(lambda: world.running(bound) == 4)
-        await curio.sleep(SETTLED)
+        await world.wait_until(
+            lambda: world.running(stays) == 3 and world.running(cancelled_job) == 3
+        )
+        await world.wait_until(lambda: world.running(bound) == 4)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         inside = ["c0", *(w.name for w in world.fleet.workers.values() if w.zone == "north")]
         outside = ["c1", "c2", "state", "cloud"]
         outside += [w.name for w in world.fleet.workers.values() if w.zone != "north"]
@@ -500,16 +518,16 @@
             for other in outside:
                 world.network.cut(one, other, SILENT)
         await curio.sleep(1)
-        assert await world.until_told(cancelled_job, 1) == "cancelled"
+        assert await world.cancel_until_confirmed(cancelled_job, 1) == "cancelled"
         await curio.sleep(LEASE_S * 2)
         late = await world.run_job("array", 2, run_s=5.0, depot="north", crew="blue")
         for one in inside:
             for other in outside:
                 await world.network.heal(one, other)
         for job in (bound, late):
-            await world.until_done(job, MAX_WAIT_S + 50)
-        await world.until(lambda: world.running(stays) == 3)
-        assert max(world.starts[f"{bound}/{index}"] for index in range(4)) <= 2
+            await world.wait_until_done(job, MAX_WAIT_S + 50)
+        await world.wait_until(lambda: world.running(stays) == 3)
+        assert max(world.rules.starts[f"{bound}/{index}"] for index in range(4)) <= 2
 
     World(capacity=20).play(monkeypatch, scenario)
 
@@ -526,23 +544,26 @@
     async def scenario(world: World) -> None:
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
         array = await world.run_job("array", 3, run_s=30.0, depot="south", crew="blue")
-        await world.until(lambda: world.running(stays) == 3 and world.running(array) == 3)
-        await curio.sleep(SETTLED)
+        await world.wait_until(lambda: world.running(stays) == 3 and world.running(array) == 3)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         cancelled_job = await world.run_job("daemon", 2, crew="red", image_gb=4.0)
         if seen:
-            await world.until(lambda: world.running(cancelled_job) == 2)
+            await world.wait_until(lambda: world.running(cancelled_job) == 2)
             await curio.sleep(2)
         said = await world.cancel(cancelled_job, 2)
         for number in range(3):
             world.crash(number)
         await curio.sleep(LEASE_S + 8)
-        assert not world.held()
+        assert not world.tasks_on_machines()
         for number in range(3):
             await world.start(number)
-        assert said == "cancelled" or await world.until_told(cancelled_job, 0) == "cancelled"
-        await world.until_done(array, MAX_WAIT_S)
-        await world.until(lambda: world.running(stays) == 3, limit=MAX_WAIT_S)
-        assert not world.held(cancelled_job)
+        assert (
+            said == "cancelled"
+            or await world.cancel_until_confirmed(cancelled_job, 0) == "cancelled"
+        )
+        await world.wait_until_done(array, MAX_WAIT_S)
+        await world.wait_until(lambda: world.running(stays) == 3, limit=MAX_WAIT_S)
+        assert not world.tasks_on_machines(cancelled_job)
 
     World(capacity=20).play(monkeypatch, scenario)
 
@@ -556,7 +577,7 @@
     """
 
     async def scenario(world: World) -> None:
-        await world.until(lambda: world.leader() is not None)
+        await world.wait_until(lambda: world.leader() is not None)
         await curio.sleep(3)
         delays = [0.0, 0.1, 0.4, 0.9, 0.2, 1.6]
         turn = 0
@@ -568,7 +589,7 @@
                 return delays[turn % len(delays)]
             return 0.0
 
-        world.network.slow = slow
+        world.network.answer_delay = slow
         jobs: list[str] = []
         cancelled_jobs: list[str] = []
         for number in range(18):
@@ -581,12 +602,12 @@
             if number == 9:
                 await curio.spawn(fail_over, world, "ended", daemon=True)
             if number % 5 == 4:
-                await curio.spawn(world.until_told, job, number, daemon=True)
+                await curio.spawn(world.cancel_until_confirmed, job, number, daemon=True)
             await curio.sleep(1)
         await curio.sleep(8)
-        world.network.slow = None
+        world.network.answer_delay = None
         for job in jobs:
-            await world.until_done(job, 200)
-        assert all(world.told.final[job] in ("cancelled", "done") for job in cancelled_jobs)
+            await world.wait_until_done(job, 200)
+        assert all(world.answers.latest[job] in ("cancelled", "done") for job in cancelled_jobs)
 
     World(capacity=3).play(monkeypatch, scenario)
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -8,17 +8,18 @@
 from micadeal.http.message import Request
 from micadeal.wire.codec import decode
 from tests.fakes import state as state_fake
+from tests.fakes.deployment_settings import CANCEL_S, FOLLOWERS_RENEW_AFTER_S, LEASE_S
 from tests.fakes.fault_histories import PAIRS, History
 from tests.fakes.network import HOLD, REFUSE, SILENT
-from tests.fakes.world import CANCEL_S, LEASE_S, SETTLED, World, leader_of
+from tests.fakes.world import World, leader_of
 
 
 async def start_two_jobs(world: World) -> tuple[str, str]:
     """Start a job that is to stay and one that is to be cancelled, and let time settle them."""
     stays = await world.run_job("daemon", 3, scatter=True, rank="production")
     cancelled_job = await world.run_job("daemon", 4, crew="blue")
-    await world.until(lambda: world.running(stays) == 3 and world.running(cancelled_job) == 4)
-    await curio.sleep(SETTLED)
+    await world.wait_until(lambda: world.running(stays) == 3 and world.running(cancelled_job) == 4)
+    await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
     return stays, cancelled_job
 
 
@@ -26,7 +27,7 @@
     """Begin an outage and wait for longer than a cancellation may take."""
     world.state.outage = True
     await curio.sleep(CANCEL_S + 8)
-    assert not world.held(cancelled_job)
+    assert not world.tasks_on_machines(cancelled_job)
     assert world.running(stays) == 3
 
 
@@ -59,9 +60,9 @@
             reads_jobs = request.path == "/keys" and "starts=job/" in request.query
             return late_by if reads_jobs and address == state_fake.ADDRESS else 0.0
 
-        world.network.slow = slow
+        world.network.answer_delay = slow
         world.crash(gone)
-        await world.until(lambda: world.leader() not in (None, gone))
+        await world.wait_until(lambda: world.leader() not in (None, gone))
         leader = leader_of(world)
         await curio.sleep(0.1)
         assert await world.cancel(cancelled_job, 3 - gone - leader) == "cancelled"
@@ -92,21 +93,21 @@
             for other in range(3):
                 if other != old:
                     world.network.cut(f"c{old}", f"c{other}")
-        apart = world.held(cancelled_job)[0][0]
+        apart = world.tasks_on_machines(cancelled_job)[0][0]
         for other in range(3):
             if other != old:
                 world.network.cut(apart.name, f"c{other}")
-        await world.until(lambda: world.leader() not in (None, old))
+        await world.wait_until(lambda: world.leader() not in (None, old))
         leader = leader_of(world)
         assert await world.cancel(cancelled_job, leader) == "cancelled"
         if peers:
-            await world.until(lambda: world.nodes[old]._leader.name == f"c{leader}", limit=4)
+            await world.wait_until(lambda: world.nodes[old]._leader.name == f"c{leader}", limit=4)
         await curio.sleep(CANCEL_S)
-        assert not world.held(cancelled_job)
+        assert not world.tasks_on_machines(cancelled_job)
         if peers:
             # Over the mesh.
             assert apart.token == world.state.keys["seat/held"][1]
-        await world.until(lambda: world.running(stays) == 3)
+        await world.wait_until(lambda: world.running(stays) == 3)
 
     World().play(monkeypatch, scenario)
 
@@ -123,7 +124,7 @@
     async def scenario(world: World) -> None:
         stays, cancelled_job = await start_two_jobs(world)
         old = leader_of(world)
-        world.network.slow = lambda source, address, request: (
+        world.network.answer_delay = lambda source, address, request: (
             60.0 if request.path == "/keys" and "starts=job/" in request.query else 0.0
         )
         later, other = (old + 1) % 3, (old + 2) % 3
@@ -133,13 +134,13 @@
         await curio.sleep(3)
         for number in (old, other):
             world.network.cut(f"c{number}", "state", REFUSE)
-        await world.until(lambda: world.leader() == later)
+        await world.wait_until(lambda: world.leader() == later)
         assert await world.cancel(cancelled_job, later) == "cancelled"
         await wait_out_an_outage(world, stays, cancelled_job)
         await world.network.heal_all()
         world.state.outage = False
         await curio.sleep(LEASE_S)
-        assert {world.starts[f"{stays}/{index}"] for index in range(3)} == {1}
+        assert {world.rules.starts[f"{stays}/{index}"] for index in range(3)} == {1}
 
     World().play(monkeypatch, scenario)
 
@@ -156,7 +157,7 @@
         stays, cancelled_job = await start_two_jobs(world)
         old = leader_of(world)
         later, other = (old + 1) % 3, (old + 2) % 3
-        world.network.slow = lambda source, address, request: (
+        world.network.answer_delay = lambda source, address, request: (
             60.0 if request.path == "/keys" and "starts=job/" in request.query else 0.0
         )
         world.crash(later)
@@ -166,12 +167,12 @@
         assert await world.cancel(cancelled_job, other) == "cancelled"
         world.network.cut(f"c{other}", "state", REFUSE)
         world.crash(old)
-        await world.until(lambda: world.leader() == later)
+        await world.wait_until(lambda: world.leader() == later)
         world.state.outage = True
         await curio.sleep(6)
         await world.start(old)
         await curio.sleep(CANCEL_S + 2)
-        assert not world.held(cancelled_job)
+        assert not world.tasks_on_machines(cancelled_job)
         assert world.running(stays) == 3
 
     World().play(monkeypatch, scenario)
@@ -194,14 +195,14 @@
         await curio.sleep(0.3)
         for number in range(3):
             await world.start(number)
-        await world.until(lambda: world.leader() is not None)
+        await world.wait_until(lambda: world.leader() is not None)
         await curio.sleep(1)
         leader = leader_of(world)
         assert await world.cancel(cancelled_job, (leader + 1) % 3) == "cancelled"
         await wait_out_an_outage(world, stays, cancelled_job)
         world.state.outage = False
         await curio.sleep(LEASE_S)
-        assert {world.starts[f"{stays}/{index}"] for index in range(3)} == {1}
+        assert {world.rules.starts[f"{stays}/{index}"] for index in range(3)} == {1}
 
     World().play(monkeypatch, scenario)
 
@@ -212,8 +213,8 @@
     """The delayed write gets no answer in time, and is applied after the newer one."""
 
     async def scenario(world: World) -> None:
-        await world.until(lambda: world.leader() is not None)
-        world.network.late = lambda source, address, request: (
+        await world.wait_until(lambda: world.leader() is not None)
+        world.network.delivery_delay = lambda source, address, request: (
             6.0 if request.path == "/txn" and b"older" in request.body else None
         )
         assert (await world.call(0, "POST", "/settings", {"script": "# older"}))[0] == 503
@@ -229,7 +230,7 @@
 
 
 @pytest.mark.parametrize("for_s", [4.5, LEASE_S + 14])
-@pytest.mark.parametrize("how", ["out of reach", "deaf", "held"])
+@pytest.mark.parametrize("how", ["out of reach", "receives nothing", "held"])
 def test_failover_while_machines_with_long_tasks_are_unreachable(
     monkeypatch: pytest.MonkeyPatch, how: str, for_s: float
 ) -> None:
@@ -241,11 +242,17 @@
     async def scenario(world: World) -> None:
         stays, cancelled_job = await start_two_jobs(world)
         array = await world.run_job("array", 3, run_s=50.0, crew="red")
-        await world.until(lambda: world.running(array) == 3)
+        await world.wait_until(lambda: world.running(array) == 3)
         leader = leader_of(world)
-        machines = {w.name for w, _ in (*world.held(array), *world.held(cancelled_job)[:2])}
+        machines = {
+            w.name
+            for w, _ in (
+                *world.tasks_on_machines(array),
+                *world.tasks_on_machines(cancelled_job)[:2],
+            )
+        }
         pairs = [(name, f"c{n}") for name in machines for n in range(3)]
-        if how == "deaf":
+        if how == "receives nothing":
             world.network.receives_nothing |= machines
         else:
             for pair in pairs:
@@ -257,11 +264,13 @@
         world.network.receives_nothing.clear()
         for pair in pairs:
             await world.network.heal(*pair)
-        await world.until_done(array)
-        await world.until(lambda: world.running(stays) == 3 and not world.held(cancelled_job))
+        await world.wait_until_done(array)
+        await world.wait_until(
+            lambda: world.running(stays) == 3 and not world.tasks_on_machines(cancelled_job)
+        )
         after = await world.run_job("array", 4, run_s=5.0, crew="blue")
-        await world.until_done(after)
-        lost = {world.starts[f"{array}/{index}"] for index in range(3)}
+        await world.wait_until_done(after)
+        lost = {world.rules.starts[f"{array}/{index}"] for index in range(3)}
         assert lost == {1} if for_s < LEASE_S else lost <= {1, 2}
 
     World().play(monkeypatch, scenario)
@@ -294,23 +303,25 @@
             world.crash(other)
             await curio.sleep(back_in)
             await world.start(other)
-            await world.until(lambda: world.leader() is not None, limit=10)
+            await world.wait_until(lambda: world.leader() is not None, limit=10)
         for number in range(3):
             world.crash(number)
         await world.start(1)
-        await world.until(lambda: world.leader() == 1, limit=10)
+        await world.wait_until(lambda: world.leader() == 1, limit=10)
         # Nobody else can know of it: it is not confirmed before its tasks are gone.
-        assert await world.cancel(cancelled_job, 1) is None or not world.held(cancelled_job)
+        assert await world.cancel(cancelled_job, 1) is None or not world.tasks_on_machines(
+            cancelled_job
+        )
         await world.start(0)
         await world.start(2)
         await curio.sleep(2)
         assert await world.cancel(cancelled_job, 0) == "cancelled"
         for job in jobs:
-            await world.until_done(job)
-        assert world.running(stays) == 3 and not world.held(cancelled_job)
+            await world.wait_until_done(job)
+        assert world.running(stays) == 3 and not world.tasks_on_machines(cancelled_job)
 
     world = World().play(monkeypatch, scenario)
-    assert max(world.starts.values()) == 1
+    assert max(world.rules.starts.values()) == 1
 
 
 # -- delayed transactions --------------------------------------------------------------------------
@@ -341,7 +352,7 @@
             count += 1
             return 3.0 + count % 9 if count % 2 else None
 
-        world.network.late = late
+        world.network.delivery_delay = late
         jobs = [
             await world.run_job("array", 3, run_s=4.0 + 9 * n, crew="red", image_gb=0.5)
             for n in range(3)
@@ -352,16 +363,16 @@
             world.crash(leader)
             await curio.sleep(0.7)
             await world.start(leader)
-            await world.until(lambda: world.leader() is not None, limit=30)
+            await world.wait_until(lambda: world.leader() is not None, limit=30)
             await curio.sleep(6)
         for attempt in range(30):
             if await world.cancel(cancelled_job, attempt % 3):
                 break
             await curio.sleep(1)
         for job in jobs:
-            await world.until_done(job)
+            await world.wait_until_done(job)
         assert count
-        await world.until(lambda: not world.held(cancelled_job), limit=CANCEL_S)
+        await world.wait_until(lambda: not world.tasks_on_machines(cancelled_job), limit=CANCEL_S)
         await curio.sleep(15)
         for number in range(3):
             assert await world.status(cancelled_job, number) == "cancelled"
@@ -382,13 +393,13 @@
     async def scenario(world: World) -> None:
         stays, cancelled_job = await start_two_jobs(world)
         gang = await world.run_job("gang", 2, run_s=30.0, bookmark_s=5.0, stow_s=1.0, crew="red")
-        await world.until(lambda: world.running(gang) == 2)
+        await world.wait_until(lambda: world.running(gang) == 2)
         leader = leader_of(world)
-        machines = sorted({w.name for w, _ in world.held()})
+        machines = sorted({w.name for w, _ in world.tasks_on_machines()})
         for name in machines:
             world.network.cut(name, f"c{leader}", HOLD)
         for worker in list(world.fleet.workers.values())[::2]:
-            worker.hanging = True
+            worker.stalled = True
         assert await world.cancel(cancelled_job, (leader + 1) % 3) == "cancelled"
         await curio.sleep(9)
         world.crash(leader)
@@ -397,10 +408,10 @@
         for name in machines:
             await world.network.heal(name, f"c{leader}")
         for worker in world.fleet.workers.values():
-            worker.hanging = False
-        await world.until(lambda: not world.held(cancelled_job), limit=8)
-        await world.until_done(gang)
-        await world.until(lambda: world.running(stays) == 3)
+            worker.stalled = False
+        await world.wait_until(lambda: not world.tasks_on_machines(cancelled_job), limit=8)
+        await world.wait_until_done(gang)
+        await world.wait_until(lambda: world.running(stays) == 3)
 
     World().play(monkeypatch, scenario)
 
@@ -420,30 +431,34 @@
     async def scenario(world: World) -> None:
         stays = await world.run_job("daemon", 3, scatter=True, rank="production")
         job = await world.run_job("array", 3, run_s=9.0, crew="blue")
-        await world.until(lambda: world.running(job) == 3)
+        await world.wait_until(lambda: world.running(job) == 3)
         # The others take longer: their machines hang meanwhile.
-        slow = [worker for worker, _ in world.held(job)][1:]
-        slow[1].hanging = True
+        slow = [worker for worker, _ in world.tasks_on_machines(job)][1:]
+        slow[1].stalled = True
         gone = leader_of(world)
-        await world.until(lambda: f"{job}/0" in world.done, limit=20)
-        world.network.late = lambda source, address, request: (
+        await world.wait_until(lambda: f"{job}/0" in world.rules.finished_tasks, limit=20)
+        world.network.delivery_delay = lambda source, address, request: (
             7.0 if request.path == "/txn" and b"finished/" in request.body else None
         )
         await curio.sleep(2)
         world.crash(gone)
         await world.start(gone)
-        first = world.held(job)
+        first = world.tasks_on_machines(job)
         assert await world.status(job, (gone + 1) % 3) != "done"
         await curio.sleep(4)
-        slow[1].hanging = False
-        await world.until(lambda: world.leader() is not None, limit=10)
+        slow[1].stalled = False
+        await world.wait_until(lambda: world.leader() is not None, limit=10)
         second = leader_of(world)
-        await world.until(lambda: not world.held(job) or len(world.held(job)) < len(first))
+        await world.wait_until(
+            lambda: (
+                not world.tasks_on_machines(job) or len(world.tasks_on_machines(job)) < len(first)
+            )
+        )
         world.crash(second)
         await curio.sleep(1)
         await world.start(second)
-        world.network.late = None
-        await world.until_done(job)
+        world.network.delivery_delay = None
+        await world.wait_until_done(job)
         for number in range(3):
             assert await world.status(job, number) == "done"
         assert world.running(stays) == 3
--- a/tests/test_faulty_jobs.py
+++ b/tests/test_faulty_jobs.py
@@ -29,7 +29,9 @@
             await world.run_job("array", 4, fails=True, crew="blue"),
         ]
         await curio.sleep(90)
-        tries = sum(world.starts[task] for task in world.starts if task.split("/")[0] in bad)
+        tries = sum(
+            world.rules.starts[task] for task in world.rules.starts if task.split("/")[0] in bad
+        )
         assert tries < 60
         leader = current_leader(world)
         notes = (await world.call(leader, "GET", "/overview"))[1]["notes"]
@@ -37,10 +39,10 @@
         why = (await world.call(leader, "GET", f"/why/{bad[0]}"))[1]
         assert any("most likely by its own mistake" in line["reason"] for line in why["reasons"])
         for job in good:
-            await world.until_done(job)
+            await world.wait_until_done(job)
         for job in bad:
             assert await world.cancel(job, 1) == "cancelled"
-        await world.until(lambda: not world.cloud.machines, limit=120)
+        await world.wait_until(lambda: not world.cloud.machines, limit=120)
 
     World().play(monkeypatch, scenario)
 
@@ -56,11 +58,11 @@
     async def scenario(world: World) -> None:
         world.fleet.faulty |= {"i-000001", "i-000002"}
         service = await world.run_job("daemon", 4, rank="production", scatter=True)
-        await world.until(lambda: world.running(service) == 4, limit=200)
+        await world.wait_until(lambda: world.running(service) == 4, limit=200)
         await curio.sleep(40)
-        lost = next(worker.name for worker, _ in world.held(service))
+        lost = next(worker.name for worker, _ in world.tasks_on_machines(service))
         world.cloud.take(lost)
-        await world.until(lambda: world.running(service) == 4, limit=45)
+        await world.wait_until(lambda: world.running(service) == 4, limit=45)
 
     World().play(monkeypatch, scenario)
 
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -17,14 +17,15 @@
 from micadeal.leadership.follower_leases import RenewalTiming
 from micadeal.wire import peers
 from micadeal.wire.codec import MessageFormatError, encode
-from tests.fakes.world import CANCEL_S, LEASE_S, SETTLED, World, leader_of
+from tests.fakes.deployment_settings import CANCEL_S, FOLLOWERS_RENEW_AFTER_S, LEASE_S
+from tests.fakes.world import World, leader_of
 
 
 async def _start_service(world: World, tasks: int = 3) -> str:
     """Start a service of some tasks, spread over zones, and wait until nothing changes any more."""
     service = await world.run_job("daemon", tasks, scatter=True, rank="production")
-    await world.until(lambda: world.running(service) == tasks)
-    await curio.sleep(SETTLED)
+    await world.wait_until(lambda: world.running(service) == tasks)
+    await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
     return service
 
 
@@ -33,8 +34,8 @@
 
 
 def _all_started_once(world: World, service: str) -> bool:
-    tasks = [task for task in world.starts if task.startswith(f"{service}/")]
-    return bool(tasks) and all(world.starts[task] == 1 for task in tasks)
+    tasks = [task for task in world.rules.starts if task.startswith(f"{service}/")]
+    return bool(tasks) and all(world.rules.starts[task] == 1 for task in tasks)
 
 
 @pytest.mark.parametrize("restarts", [True, False])
@@ -53,7 +54,7 @@
         await curio.sleep(60)
         assert world.running(service) == 3
         world.state.outage = False
-        await world.until_done(await world.run_job("array", 1, run_s=5.0))
+        await world.wait_until_done(await world.run_job("array", 1, run_s=5.0))
         assert _all_started_once(world, service)
 
     World().play(monkeypatch, scenario)
@@ -86,7 +87,7 @@
         await curio.sleep(LEASE_S * 2)
         assert world.running(service) == 0
         world.state.outage = False
-        await world.until(lambda: world.running(service) == 3)
+        await world.wait_until(lambda: world.running(service) == 3)
 
     World().play(monkeypatch, scenario)
 
@@ -101,14 +102,14 @@
         service = await _start_service(world)
         leader = leader_of(world)
         inside, outside = _followers(leader)
-        worker = world.held(service)[0][0]
+        worker = world.tasks_on_machines(service)[0][0]
         for number in (leader, outside):
             world.network.cut(f"c{inside}", f"c{number}")
             world.network.cut(worker.name, f"c{number}")
         world.network.cut(f"c{inside}", "state")
         await curio.sleep(1)
-        moved = await world.until(
-            lambda: sum(other is not worker for other, _ in world.held(service)) == 3,
+        moved = await world.wait_until(
+            lambda: sum(other is not worker for other, _ in world.tasks_on_machines(service)) == 3,
             limit=LEASE_S + 14,
         )
         assert moved > LEASE_S - 4
@@ -132,7 +133,7 @@
             world.network.cut(f"c{follower}", "state")
         if not reaches_state:
             world.state.outage = True
-        worker = world.held(service)[0][0]
+        worker = world.tasks_on_machines(service)[0][0]
         world.network.cut(worker.name, f"c{leader}")
         await curio.sleep(60)
         world.state.outage = False
@@ -141,7 +142,7 @@
             await world.network.heal(f"c{follower}", f"c{leader}")
             await world.network.heal(f"c{follower}", "state")
         await world.network.heal(worker.name, f"c{leader}")
-        await world.until(lambda: world.running(service) == 3)
+        await world.wait_until(lambda: world.running(service) == 3)
 
     World().play(monkeypatch, scenario)
 
@@ -155,9 +156,9 @@
     async def scenario(world: World) -> None:
         service = await _start_service(world)
         cancelled_by_dependency = await world.run_job("daemon", 2, crew="blue")
-        await world.until(lambda: world.running(cancelled_by_dependency) == 2)
+        await world.wait_until(lambda: world.running(cancelled_by_dependency) == 2)
         leader = leader_of(world)
-        for worker, _ in world.held(cancelled_by_dependency):
+        for worker, _ in world.tasks_on_machines(cancelled_by_dependency):
             world.network.cut(worker.name, f"c{leader}")
         # Its notice reaches one of the followers only.
         world.network.cut(f"c{leader}", f"c{(leader + 2) % 3}")
@@ -165,7 +166,7 @@
         world.crash(leader)
         world.state.outage = True
         await curio.sleep(CANCEL_S + 20)
-        assert not world.held(cancelled_by_dependency)
+        assert not world.tasks_on_machines(cancelled_by_dependency)
         assert world.running(service) == 3
         world.state.outage = False
         await curio.sleep(10)
@@ -181,15 +182,15 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
-        await world.until(lambda: world.running(job) == 2)
+        await world.wait_until(lambda: world.running(job) == 2)
         leader = leader_of(world)
         for follower in _followers(leader):
             world.network.cut(f"c{leader}", f"c{follower}")
-        worker, _ = world.held(job)[0]
+        worker, _ = world.tasks_on_machines(job)[0]
         world.network.cut(worker.name, f"c{leader}")
         assert await world.cancel(job, leader) is None
         await world.network.heal(worker.name, f"c{leader}")
-        await world.until(lambda: not world.held(job), limit=6)
+        await world.wait_until(lambda: not world.tasks_on_machines(job), limit=6)
         await curio.sleep(3)
         assert await world.cancel(job, leader) == "cancelled"
         follower = (leader + 1) % 3
@@ -209,12 +210,12 @@
     async def scenario(world: World) -> None:
         service = await _start_service(world)
         array = await world.run_job("array", 3, run_s=50.0)
-        await world.until(lambda: world.running(array) == 3)
+        await world.wait_until(lambda: world.running(array) == 3)
         leader = leader_of(world)
         other = (leader + 1) % 3
         world.network.cut(f"c{leader}", "state", "hold")
         world.network.cut(f"c{other}", f"c{leader}", "hold")
-        for worker, _ in world.held(service)[:2]:
+        for worker, _ in world.tasks_on_machines(service)[:2]:
             world.network.cut(worker.name, f"c{leader}", "hold")
         world.state.outage = True
         await curio.sleep(30)
@@ -225,8 +226,8 @@
             await world.network.heal(worker.name, f"c{leader}")
         await curio.sleep(5)
         await world.network.heal(f"c{other}", f"c{leader}")
-        await world.until_done(array)
-        await world.until(lambda: world.running(service) == 3)
+        await world.wait_until_done(array)
+        await world.wait_until(lambda: world.running(service) == 3)
 
     World().play(monkeypatch, scenario)
 
@@ -239,23 +240,23 @@
     async def scenario(world: World) -> None:
         service = await _start_service(world)
         spot = await world.run_job("array", 2, run_s=300.0, loaners=True, crew="blue")
-        await world.until(lambda: world.running(spot) == 2)
+        await world.wait_until(lambda: world.running(spot) == 2)
         leader = leader_of(world)
         world.state.outage = True
         await curio.sleep(2)
         world.crash(leader)
         await curio.sleep(20)
-        hung = world.held(service)[0][0]
-        hung.hanging = True
+        hung = world.tasks_on_machines(service)[0][0]
+        hung.stalled = True
         await curio.sleep(3)
-        for name in {w.name for w, _ in world.held(spot) if w.spot}:
+        for name in {w.name for w, _ in world.tasks_on_machines(spot) if w.spot}:
             world.cloud.take(name)
         await curio.sleep(2)
         world.state.outage = False
-        await world.until(lambda: world.leader() not in (None, leader), limit=10)
+        await world.wait_until(lambda: world.leader() not in (None, leader), limit=10)
         await curio.sleep(2)
-        hung.hanging = False
-        await world.until(lambda: world.running(spot) == 2)
+        hung.stalled = False
+        await world.wait_until(lambda: world.running(spot) == 2)
         assert _all_started_once(world, service)
 
     World().play(monkeypatch, scenario)
@@ -268,7 +269,7 @@
     replaced, and those cancellations don't matter any more, followers may renew leases."""
 
     async def scenario(world: World) -> None:
-        await world.until(lambda: world.leader() is not None, limit=10)
+        await world.wait_until(lambda: world.leader() is not None, limit=10)
         earlier = (leader_of(world) + 1) % 3
         world.crash(earlier)
         await world.start(earlier, earlier=True)
@@ -283,8 +284,8 @@
             world.crash(number)
             await curio.sleep(3)
             await world.start(number)
-        await world.until(lambda: world.running(service) == 3)
-        await curio.sleep(SETTLED)
+        await world.wait_until(lambda: world.running(service) == 3)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         world.state.outage = True
         await curio.sleep(3)
         world.crash(leader_of(world))
@@ -392,7 +393,7 @@
             request = Request("POST", path, "", body)
             status, _ = await world.network.request("x", "10.0.0.1:8081", request, seconds(1))
             assert status == 400
-        await world.until_done(await world.run_job("array", 1, run_s=2.0))
+        await world.wait_until_done(await world.run_job("array", 1, run_s=2.0))
 
     World().play(monkeypatch, scenario)
 
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -61,7 +61,7 @@
             assert (await world.call(number, "POST", "/work", spec))[0] == 200
             assert (await world.call(number, "POST", "/work", {**spec, "legs": -1}))[0] == 200
             assert (await world.call(number, "POST", "/work", {**spec, "crew": "x"}))[0] == 200
-        await world.until_done(job)
+        await world.wait_until_done(job)
         status, reply = await world.call(2, "POST", "/work", spec)
         assert (status, reply["status"]) == (200, "done")
 
@@ -75,7 +75,7 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=5.0)
-        await world.until_done(job)
+        await world.wait_until_done(job)
         waiting = await world.run_job("daemon", 1)
         world.state.outage = True
         fresh = world.fleet.jobs[world.job()].spec
@@ -101,7 +101,7 @@
         await curio.sleep(3)
         for tenths in range(0, 30, 3):
             job = await world.run_job("array", 1, run_s=3.0, image_gb=0.1)
-            await world.until(lambda job=job: world.running(job) == 1)  # type: ignore[misc]
+            await world.wait_until(lambda job=job: world.running(job) == 1)  # type: ignore[misc]
             await curio.sleep(2.0 + tenths / 10)
             final = await world.cancel(job, 1)
             assert final in ("cancelled", "done")
@@ -153,11 +153,11 @@
         assert (await world.call(1, "POST", "/settings", bad))[0] == 400
         first = await world.run_job("array", 1, run_s=20.0)
         second = await world.run_job("array", 1, run_s=5.0)
-        await world.until(lambda: world.running(first) == 1)
-        assert not world.starts[f"{second}/0"]
+        await world.wait_until(lambda: world.running(first) == 1)
+        assert not world.rules.starts[f"{second}/0"]
         _, why = await world.call(2, "GET", f"/why/{second}")
         assert "limit of running jobs" in why["reasons"][0]["reason"]
-        await world.until_done(second)
+        await world.wait_until_done(second)
 
     World().play(monkeypatch, scenario)
 
@@ -170,11 +170,11 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=6.0, image_gb=0.1)
-        await world.until(lambda: world.running(job) == 1)
+        await world.wait_until(lambda: world.running(job) == 1)
         await curio.sleep(5.0)
         world.state.cancel_delay = 1.8
         cancelling = await curio.spawn(world.cancel, job, 1)
-        await world.until_done(job)
+        await world.wait_until_done(job)
         assert await cancelling.join() in ("done", None)
         world.state.cancel_delay = 0.0
         assert await world.cancel(job, 2) == "done"
@@ -226,7 +226,7 @@
         assert world.state.requests - before < 5 * 20
         assert await world.cancel(jobs[7], 0) == "cancelled"
         assert await world.status(jobs[7], 1) == "cancelled"
-        await world.until_done(short)
+        await world.wait_until_done(short)
         world.state.outage = True
         assert await world.status(jobs[3], 1) is None
         world.state.outage = False
--- a/tests/test_lost_responses.py
+++ b/tests/test_lost_responses.py
@@ -15,7 +15,12 @@
 from micadeal.http.message import Request
 from micadeal.wire.codec import decode
 from tests.fakes import state as state_fake
-from tests.fakes.world import CANCEL_S, COMING, SETTLED, World, leader_of
+from tests.fakes.deployment_settings import (
+    ANNOUNCED_STATE_LIMITS,
+    CANCEL_S,
+    FOLLOWERS_RENEW_AFTER_S,
+)
+from tests.fakes.world import World, leader_of
 
 #: Prefixes of keys, and ``permit`` for requests on leases.
 KINDS = [
@@ -120,26 +125,28 @@
             lost = lose_every_other_answer(world, kind, on_loss)
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         cancelled = await world.run_job("daemon", 4, crew="blue")
-        await world.until(lambda: world.running(service) == 3 and world.running(cancelled) == 4)
-        await curio.sleep(SETTLED)
+        await world.wait_until(
+            lambda: world.running(service) == 3 and world.running(cancelled) == 4
+        )
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         if kind != "seat/level":
             lost = lose_every_other_answer(world, kind, on_loss)
         if kind == "part/":
             world.state.txn_ops, world.state.value_bytes = 5, 2048
         jobs = await run_jobs_through_failovers(world, kind, crash_writer, writers)
-        assert await world.until_told(cancelled, limit=40) == "cancelled"
-        await world.until(lambda: not world.held(cancelled), limit=CANCEL_S)
+        assert await world.cancel_until_confirmed(cancelled, limit=40) == "cancelled"
+        await world.wait_until(lambda: not world.tasks_on_machines(cancelled), limit=CANCEL_S)
         for job in jobs:
-            await world.until_done(job)
+            await world.wait_until_done(job)
         assert lost, "no answer of the kind was lost"
         world.network.answer_lost = None
         await curio.sleep(12)
         for controller in range(3):
             assert await world.status(cancelled, controller) == "cancelled"
             assert {await world.status(job, controller) for job in jobs} == {"done"}
-        await world.until(lambda: world.running(service) == 3)
+        await world.wait_until(lambda: world.running(service) == 3)
 
-    World(coming=COMING if kind == "part/" else "").play(monkeypatch, scenario)
+    World(announced=ANNOUNCED_STATE_LIMITS if kind == "part/" else "").play(monkeypatch, scenario)
 
 
 def test_controller_that_takes_the_leader_lock_without_an_answer_leads(
@@ -149,8 +156,8 @@
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
-        await world.until(lambda: world.running(service) == 3)
-        await curio.sleep(SETTLED)
+        await world.wait_until(lambda: world.running(service) == 3)
+        await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
         lost: list[str] = []
 
         def answer_lost(source: str, address: str, request: Request) -> bool:
@@ -163,13 +170,13 @@
             crashed = leader_of(world)
             term = world.term()
             world.crash(crashed)
-            await world.until(lambda term=term: world.term() not in (0, term), limit=5)  # type: ignore[misc]
+            await world.wait_until(lambda term=term: world.term() not in (0, term), limit=5)  # type: ignore[misc]
             job = await world.run_job("array", 1, run_s=2.0, image_gb=0.1, crew="blue")
-            await world.until_done(job, 12)
+            await world.wait_until_done(job, 12)
             await world.start(crashed)
             await curio.sleep(2)
         assert len(lost) >= 3
-        assert {world.starts[f"{service}/{index}"] for index in range(3)} == {1}
+        assert {world.rules.starts[f"{service}/{index}"] for index in range(3)} == {1}
 
     World().play(monkeypatch, scenario)
 
@@ -178,7 +185,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(world: World) -> None:
-        await world.until(lambda: world.leader() is not None)
+        await world.wait_until(lambda: world.leader() is not None)
         lost = lose_every_other_answer(world, "settings")
         assert (await world.call(0, "POST", "/settings", {"script": "# mine"}))[0] == 503
         assert (await world.call(1, "GET", "/settings"))[1]["script"] == "# mine"
@@ -195,21 +202,21 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
-        await world.until(lambda: world.running(job) == 2)
+        await world.wait_until(lambda: world.running(job) == 2)
         await curio.sleep(2)
         for controller in range(3):
             job = await world.run_job("daemon", 1, crew="blue", image_gb=0.1)
-            await world.until(lambda job=job: world.running(job) == 1)  # type: ignore[misc]
+            await world.wait_until(lambda job=job: world.running(job) == 1)  # type: ignore[misc]
             await curio.sleep(2)
             lost = lose_every_other_answer(world, "end/")
             cancelling = await curio.spawn(world.cancel, job, controller)
             await curio.sleep(0.02)
             for _ in range(20):
-                await world.look(job)
+                await world.query_all_controllers(job)
             assert lost == [f"c{controller}"]
             await cancelling.join()
             assert await world.cancel(job, controller) == "cancelled"
-            await world.look(job)
+            await world.query_all_controllers(job)
             world.network.answer_lost = None
 
     World().play(monkeypatch, scenario)
--- a/tests/test_malformed_requests.py
+++ b/tests/test_malformed_requests.py
@@ -58,7 +58,7 @@
     """Each controller answers the same, and the job is known to none."""
     job = world.job()
     for number in range(3):
-        assert await world.offer(job, number, **fields) == status, fields
+        assert await world.submit_once(job, number, **fields) == status, fields
     if "name_id" not in fields:
         assert await world.status(job, 0) is None
         assert f"job/{job}" not in world.state.keys and f"end/{job}" not in world.state.keys
@@ -117,23 +117,26 @@
             "running": await world.run_job("daemon", 2),
             "cancelled": await world.run_job("daemon", 2, crew="blue"),
         }
-        await world.until(lambda: world.running(jobs["cancelled"]) == 2)
+        await world.wait_until(lambda: world.running(jobs["cancelled"]) == 2)
         while await world.cancel(jobs["cancelled"], 1) is None:
             await curio.sleep(0.5)
-        await world.until_done(jobs["done"])
+        await world.wait_until_done(jobs["done"])
         for ends in (False, True):
             if ends:
                 world.crash(leader_of(world))
             for became, job in jobs.items():
                 for turn, fields in enumerate(odd):
                     number = turn % 3
-                    if world.on(number):
-                        assert await world.offer(job, number, **fields) == 200, (became, fields)
+                    if world.is_up(number):
+                        assert await world.submit_once(job, number, **fields) == 200, (
+                            became,
+                            fields,
+                        )
             for number in range(3):
-                if world.on(number):
+                if world.is_up(number):
                     assert await world.cancel(jobs["done"], number) == "done"
                     assert await world.cancel(jobs["cancelled"], number) == "cancelled"
         await curio.sleep(5)
-        await world.until(lambda: world.running(jobs["running"]) == 2)
+        await world.wait_until(lambda: world.running(jobs["running"]) == 2)
 
     World().play(monkeypatch, scenario)
--- a/tests/test_partition_scenarios.py
+++ b/tests/test_partition_scenarios.py
@@ -7,6 +7,7 @@
 
 from micadeal.clock import monotonic
 from tests.fakes import state as state_fake
+from tests.fakes.deployment_settings import LEASE_S
 from tests.fakes.scenario_steps import (
     assert_each_task_started_once,
     current_leader,
@@ -14,7 +15,7 @@
     new_leader,
     partition_from_controllers,
 )
-from tests.fakes.world import LEASE_S, World
+from tests.fakes.world import World
 
 
 def test_running_work_survives_a_state_service_outage_longer_than_a_lease(
@@ -24,13 +25,13 @@
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 2, rank="production")
-        await world.until(lambda: world.running(service) == 2)
+        await world.wait_until(lambda: world.running(service) == 2)
         world.state.outage = True
         await curio.sleep(40)
         assert world.running(service) == 2
         world.state.outage = False
         array = await world.run_job("array", 1, run_s=5.0)
-        await world.until_done(array)
+        await world.wait_until_done(array)
         assert world.running(service) == 2
 
     assert_each_task_started_once(World().play(monkeypatch, scenario))
@@ -49,7 +50,7 @@
     async def scenario(world: World) -> None:
         array = await world.run_job("array", 3, run_s=25.0)
         service = await world.run_job("daemon", 1, crew="blue", rank="production")
-        await world.until(lambda: world.running(array) == 3 and world.running(service) == 1)
+        await world.wait_until(lambda: world.running(array) == 3 and world.running(service) == 1)
         leader = current_leader(world)
         world.network.cut(f"c{leader}", "state", mode)
         more = world.job("array", 2, run_s=10.0)
@@ -59,8 +60,8 @@
         await new_leader(world, leader)
         await curio.sleep(40)
         await world.network.heal(f"c{leader}", "state")
-        await world.until_done(array)
-        await world.until_done(more)
+        await world.wait_until_done(array)
+        await world.wait_until_done(more)
         assert await world.status(service) == "cancelled"
 
     assert_each_task_started_once(World().play(monkeypatch, scenario))
@@ -71,9 +72,9 @@
 ) -> None:
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
-        await world.until(lambda: world.running(service) == 3)
+        await world.wait_until(lambda: world.running(service) == 3)
         leader = current_leader(world)
-        workers = [w for w, _ in world.held(service)]
+        workers = [w for w, _ in world.tasks_on_machines(service)]
         for worker in workers[:2]:
             world.network.cut(worker.name, f"c{leader}")
         await curio.sleep(45)
@@ -94,19 +95,19 @@
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, rank="production", accelerators=2.0)
-        await world.until(lambda: world.running(service) == 4)
+        await world.wait_until(lambda: world.running(service) == 4)
         await curio.sleep(5)
         for worker in world.fleet.workers.values():
             partition_from_controllers(world, worker.name)
         gone = set(world.fleet.workers)
         first = current_leader(world)
         world.crash(first)
-        await world.until(lambda: gone <= set(world.cloud.releases), limit=30)
+        await world.wait_until(lambda: gone <= set(world.cloud.releases), limit=30)
         await curio.sleep(1)
         second = current_leader(world)
         assert not world.running(service)
         world.crash(second)
-        assert await world.until(lambda: world.running(service) == 4, limit=30) < 12
+        assert await world.wait_until(lambda: world.running(service) == 4, limit=30) < 12
         await curio.sleep(60)
         assert not [key for key in world.state.keys if key.startswith("leaving/")]
 
@@ -123,9 +124,9 @@
 
     async def scenario(world: World) -> None:
         first = await world.run_job("array", 4, run_s=70.0, accelerators=2.0)
-        await world.until(lambda: world.running(first) == 4)
+        await world.wait_until(lambda: world.running(first) == 4)
         await curio.sleep(10)
-        unreachable = sorted({worker.name for worker, _ in world.held(first)})
+        unreachable = sorted({worker.name for worker, _ in world.tasks_on_machines(first)})
         for name in unreachable:
             partition_from_controllers(world, name)
         # Their leases have expired, their tasks were restarted elsewhere, and no record names them.
@@ -136,7 +137,7 @@
         for name in unreachable:
             await heal_to_controllers(world, name)
         assert not set(unreachable) & set(world.cloud.releases)
-        await world.until_done(first)
+        await world.wait_until_done(first)
 
     World(boot_s=4.0).play(monkeypatch, scenario)
 
@@ -152,7 +153,7 @@
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, rank="production", accelerators=2.0)
-        await world.until(lambda: world.running(service) == 4)
+        await world.wait_until(lambda: world.running(service) == 4)
         first = current_leader(world)
         unreachable = (first + 2) % 3
         for worker in world.fleet.workers.values():
@@ -160,10 +161,10 @@
         world.network.cut(f"c{unreachable}", state_fake.HOST)
         await curio.sleep(10)
         world.crash(first)
-        await world.until(lambda: world.leader() not in (None, first))
+        await world.wait_until(lambda: world.leader() not in (None, first))
         elected = monotonic().total_seconds()
-        workers = {worker for worker, _ in world.held(service)}
-        await world.until(lambda: all(worker.renewed > elected - 3 for worker in workers))
+        workers = {worker for worker, _ in world.tasks_on_machines(service)}
+        await world.wait_until(lambda: all(worker.renewed > elected - 3 for worker in workers))
         assert monotonic().total_seconds() - elected < 3
 
     World().play(monkeypatch, scenario)
@@ -182,7 +183,7 @@
         # The longest interval that the protocol allows where heartbeats come every three seconds.
         world.fleet.report_s = 3.75
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
-        await world.until(lambda: world.running(service) == 4)
+        await world.wait_until(lambda: world.running(service) == 4)
         await curio.sleep(10)
         leader = current_leader(world)
         workers = list(world.fleet.workers.values())
@@ -205,16 +206,16 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=60.0)
-        await world.until(lambda: world.running(job) == 1)
-        worker, _ = world.held(job)[0]
+        await world.wait_until(lambda: world.running(job) == 1)
+        worker, _ = world.tasks_on_machines(job)[0]
         if trouble == "hang":
-            worker.hanging = True
+            worker.stalled = True
         else:
             partition_from_controllers(world, worker.name, "hold")
-        await world.until(lambda: world.starts[f"{job}/0"] == 2, limit=60)
-        worker.hanging = False
+        await world.wait_until(lambda: world.rules.starts[f"{job}/0"] == 2, limit=60)
+        worker.stalled = False
         await heal_to_controllers(world, worker.name)
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     World().play(monkeypatch, scenario)
 
@@ -234,8 +235,8 @@
         leader = current_leader(world)
         held = {name: worker._on_heartbeat() for name, worker in world.fleet.workers.items()}
         job = await world.run_job("array", 1, run_s=60.0, accelerators=2.0)
-        await world.until(lambda: world.running(job) == 1)
-        worker, _ = world.held(job)[0]
+        await world.wait_until(lambda: world.running(job) == 1)
+        worker, _ = world.tasks_on_machines(job)[0]
         # The next leader can't probe the worker: all that it knows of it is the old heartbeat.
         others = [(leader + 1) % 3, (leader + 2) % 3]
         for other in others:
@@ -245,10 +246,10 @@
         status, _ = await world.call(now, "POST", "/checkin", held[worker.name])
         assert status == 200
         await curio.sleep(8)
-        assert world.starts[f"{job}/0"] == 1
+        assert world.rules.starts[f"{job}/0"] == 1
         for other in others:
             await world.network.heal(worker.name, f"c{other}")
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     World().play(monkeypatch, scenario)
 
@@ -260,14 +261,14 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
-        await world.until(lambda: world.running(job) == 2)
+        await world.wait_until(lambda: world.running(job) == 2)
         leader = current_leader(world)
-        for worker, _ in world.held(job):
+        for worker, _ in world.tasks_on_machines(job):
             world.network.cut(worker.name, f"c{leader}")
         assert await world.cancel(job, (leader + 1) % 3) == "cancelled"
         world.crash(leader)
         await curio.sleep(45)
-        assert not world.held(job)
+        assert not world.tasks_on_machines(job)
 
     World().play(monkeypatch, scenario)
 
@@ -283,17 +284,17 @@
     async def scenario(world: World) -> None:
         world.cloud.capacity.update({("south", False): 0, ("west", False): 0})
         gang = await world.run_job("gang", 2, run_s=60.0, one_zone=True, accelerators=2.0)
-        await world.until(lambda: world.running(gang) == 2)
-        worker, _ = world.held(gang)[0]
+        await world.wait_until(lambda: world.running(gang) == 2)
+        worker, _ = world.tasks_on_machines(gang)[0]
         world.cloud.capacity.update({("north", False): 0, ("south", False): 4})
         partition_from_controllers(world, worker.name)
-        world.cloud.take(world.held(gang)[1][0].name)
-        await world.until_done(gang)
+        world.cloud.take(world.tasks_on_machines(gang)[1][0].name)
+        await world.wait_until_done(gang)
         # The silent machine has been given back meanwhile.
         assert {w.zone for w in world.fleet.workers.values()} == {"south"}
 
     world = World().play(monkeypatch, scenario)
-    assert set(world.starts.values()) == {2}
+    assert set(world.rules.starts.values()) == {2}
 
 
 def test_a_delayed_write_of_a_former_leader_changes_nothing(
@@ -309,14 +310,14 @@
         for _ in range(2):
             await world.cloud.add("north", spot=False, up_in=0.5)
         job = await world.run_job("array", 3, run_s=12.0, image_gb=0.1, accelerators=2.0)
-        await world.until(lambda: world.running(job) == 2)
+        await world.wait_until(lambda: world.running(job) == 2)
         leader = current_leader(world)
         await curio.sleep(11.2)
-        assert not world.done
+        assert not world.rules.finished_tasks
         world.network.cut(f"c{leader}", "state", "hold")
-        await world.until(lambda: len(world.done) == 2, limit=2)
+        await world.wait_until(lambda: len(world.rules.finished_tasks) == 2, limit=2)
         await new_leader(world, leader)
-        await world.until_done(job)
+        await world.wait_until_done(job)
         await curio.sleep(20)
         await world.network.heal(f"c{leader}", "state")
         await curio.sleep(8)
@@ -334,8 +335,8 @@
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 1, rank="production", image_gb=0.1)
-        await world.until(lambda: world.running(service) == 1)
-        worker, _ = world.held(service)[0]
+        await world.wait_until(lambda: world.running(service) == 1)
+        worker, _ = world.tasks_on_machines(service)[0]
         leader = current_leader(world)
         for key, (data, stamp, lease) in world.state.keys.items():
             if key.startswith("machine/"):
@@ -343,7 +344,7 @@
         world.network.cut(f"c{leader}", "state")
         await new_leader(world, leader)
         entry = world.state.keys["leader"]
-        await world.until(lambda: worker.token == entry[1], limit=6)
+        await world.wait_until(lambda: worker.token == entry[1], limit=6)
         assert world.running(service) == 1
 
     World().play(monkeypatch, scenario)
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -193,7 +193,7 @@
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 2, rank="production", image_gb=0.1)
-        await world.until(lambda: world.running(service) == 2)
+        await world.wait_until(lambda: world.running(service) == 2)
         leader = world.leader()
         assert leader is not None
         for number in range(3):
@@ -210,15 +210,15 @@
         world.state.keys["machine/broken"] = ({"tasks": 7}, 6, None)
         for number in range(3):
             await world.start(number)
-        await world.until(lambda: world.leader() is not None, limit=10)
+        await world.wait_until(lambda: world.leader() is not None, limit=10)
         await world.run_job("array", 1, run_s=5.0)
         assert await world.cancel(service) == "cancelled"
-        await world.until(
+        await world.wait_until(
             lambda: not any(k.startswith("machine/i-") for k in world.state.keys), limit=60
         )
 
     world = World().play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_transactions_stay_below_64_kib_however_many_tasks_finished() -> None:
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -13,15 +13,16 @@
 from micadeal.fleet.reachability import MAX_EXCUSED_FAILURES, UNREACHABLE_AFTER, Reachability
 from micadeal.http.message import Request
 from micadeal.wire.codec import decode
+from tests.fakes.deployment_settings import LEASE_S
 from tests.fakes.workers import FakeWorker
-from tests.fakes.world import LEASE_S, World, leader_of
+from tests.fakes.world import World, leader_of
 
 #: A lease, the time after it until a silent machine is returned, and a start elsewhere.
 MOVE_LIMIT = LEASE_S + 10
 
 
 def _workers_running(world: World, job: str) -> list[FakeWorker]:
-    return [worker for worker, _ in world.held(job)]
+    return [worker for worker, _ in world.tasks_on_machines(job)]
 
 
 # -- one-way partitions --------------------------------------------------------------------
@@ -31,9 +32,9 @@
 def test_tasks_of_an_unreachable_machine_move_and_it_gets_no_new_ones(
     monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
-        await world.until(lambda: world.running(service) == 3)
+        await world.wait_until(lambda: world.running(service) == 3)
         unreachable = _workers_running(world, service)[0]
         world.network.receives_nothing.add(unreachable.name)
         leader = leader_of(world)
@@ -46,35 +47,35 @@
             world.state.outage = False
         for job in more:
             await world.submit(job)
-        await world.until(lambda: world.running(service) < 3, limit=LEASE_S + 8)
-        took = await world.until(lambda: world.running(service) == 3, limit=MOVE_LIMIT)
+        await world.wait_until(lambda: world.running(service) < 3, limit=LEASE_S + 8)
+        took = await world.wait_until(lambda: world.running(service) == 3, limit=MOVE_LIMIT)
         assert took < MOVE_LIMIT
         for job in more:
-            await world.until_done(job)
+            await world.wait_until_done(job)
         assert unreachable not in _workers_running(world, service)
-        await world.until(lambda: unreachable.name in world.cloud.releases, limit=60)
+        await world.wait_until(lambda: unreachable.name in world.cloud.releases, limit=60)
 
-    world = World().play(monkeypatch, story)
-    assert max(world.starts.values()) <= 2
+    world = World().play(monkeypatch, scenario)
+    assert max(world.rules.starts.values()) <= 2
 
 
 def test_machine_that_becomes_reachable_again_is_used_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         first = await world.run_job("array", 2, run_s=30.0)
-        await world.until(lambda: world.running(first) == 2)
+        await world.wait_until(lambda: world.running(first) == 2)
         machine = _workers_running(world, first)[0]
         world.network.receives_nothing.add(machine.name)
         second = await world.run_job("array", 1, run_s=5.0, crew="blue")
         await curio.sleep(9)
         world.network.receives_nothing.clear()
-        await world.until_done(second)
-        await world.until_done(first)
+        await world.wait_until_done(second)
+        await world.wait_until_done(first)
         assert machine.incarnation == 1
 
-    world = World().play(monkeypatch, story)
-    assert all(count == 1 for count in world.starts.values())
+    world = World().play(monkeypatch, scenario)
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_cancelled_gang_ends_in_a_zone_that_receives_nothing(
@@ -82,10 +83,10 @@
 ) -> None:
     """Guards ``ran_cancelled``: a response that was merely sent is neither a stop nor a lease."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
         gang = await world.run_job("gang", 2, run_s=200.0, one_zone=True, crew="blue")
-        await world.until(lambda: world.running(service) == 4 and world.running(gang) == 2)
+        await world.wait_until(lambda: world.running(service) == 4 and world.running(gang) == 2)
         zone = _workers_running(world, gang)[0].zone
         world.network.receives_nothing |= {
             worker.name for worker in world.fleet.workers.values() if worker.zone == zone
@@ -93,14 +94,14 @@
         assert await world.cancel(gang, 1) == "cancelled"
         await curio.sleep(3)
         world.crash(leader_of(world))
-        await world.until(lambda: not world.held(gang), limit=30)
+        await world.wait_until(lambda: not world.tasks_on_machines(gang), limit=30)
         await curio.sleep(LEASE_S)
-        await world.until(lambda: world.running(service) == 4, limit=60)
+        await world.wait_until(lambda: world.running(service) == 4, limit=60)
         assert not world.network.receives_nothing & {
             worker.name for worker in _workers_running(world, service)
         }
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 def test_leader_whose_responses_reach_nobody_returns_no_machine(
@@ -108,17 +109,17 @@
 ) -> None:
     """Its own responses are lost on the way, rather than those to single machines."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         array = await world.run_job("array", 6, run_s=60.0)
-        await world.until(lambda: world.running(array) == 6)
+        await world.wait_until(lambda: world.running(array) == 6)
         names = set(world.fleet.workers)
         world.network.receives_nothing |= names
         await curio.sleep(25)
         assert not names & set(world.cloud.releases)
         world.network.receives_nothing.clear()
-        await world.until_done(array)
+        await world.wait_until_done(array)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 # -- late copies of heartbeats -------------------------------------------------------------
@@ -133,7 +134,7 @@
         if request.path == "/checkin" and rng.random() < 0.5:
             yield rng.uniform(*delays), rng.choice(controllers)
 
-    world.network.copies = copy
+    world.network.duplicates = copy
 
 
 @pytest.mark.parametrize("delays", [(0.5, 6.0), (5.0, 16.0), (15.0, 45.0)])
@@ -142,23 +143,23 @@
 ) -> None:
     """Heartbeats arrive again after a machine died, a spot machine was taken, a leader crashed."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         _copy_heartbeats(world, 7, delays)
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
         array = await world.run_job("array", 4, run_s=40.0, crew="blue", loaners=True)
-        await world.until(lambda: world.running(service) == 4 and world.running(array) == 4)
+        await world.wait_until(lambda: world.running(service) == 4 and world.running(array) == 4)
         await curio.sleep(8)
         dead = _workers_running(world, service)[0]
         world.cloud.take(dead.name)
-        await world.until(lambda: world.running(service) == 4, limit=MOVE_LIMIT)
+        await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT)
         world.cloud.take(_workers_running(world, array)[0].name)
         world.crash(leader_of(world))
-        await world.until(lambda: world.running(service) == 4, limit=MOVE_LIMIT)
+        await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT)
         late = await world.run_job("array", 2, run_s=5.0)
-        await world.until_done(late)
-        await world.until_done(array)
+        await world.wait_until_done(late)
+        await world.wait_until_done(array)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 def test_copied_heartbeat_of_a_removed_machine_adds_none_at_the_next_leader(
@@ -166,9 +167,9 @@
 ) -> None:
     """The next leader does not know which machines its predecessor saw removed."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         first = await world.run_job("array", 2, run_s=15.0)
-        await world.until(lambda: world.running(first) == 2)
+        await world.wait_until(lambda: world.running(first) == 2)
         gone = _workers_running(world, first)[0]
         sent: list[Request] = []
 
@@ -177,17 +178,17 @@
                 sent.append(request)
             return ()
 
-        world.network.copies = record
-        await world.until_done(first)
+        world.network.duplicates = record
+        await world.wait_until_done(first)
         showing_it_run = [
             request
             for request in sent
             if any(task["status"] == "running" for task in decode(dict, request.body)["legs"])
         ]
-        await world.until(lambda: gone.name in world.cloud.releases)
+        await world.wait_until(lambda: gone.name in world.cloud.releases)
         old = leader_of(world)
         world.crash(old)
-        await world.until(lambda: world.leader() not in (None, old), limit=10)
+        await world.wait_until(lambda: world.leader() not in (None, old), limit=10)
         await curio.sleep(1)
         leader = f"10.0.0.{leader_of(world) + 1}:8080"
         for number in range(5):
@@ -197,9 +198,9 @@
         assert sum(line["up"] + line["booting"] for line in overview["machines"]) == len(
             world.cloud.machines
         )
-        await world.until_done(await world.run_job("array", 2, run_s=5.0))
+        await world.wait_until_done(await world.run_job("array", 2, run_s=5.0))
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 # -- restarted workers ---------------------------------------------------------------------
@@ -215,30 +216,30 @@
     as the old one, or as long as copies of the old one's arrive.
     """
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
-        await world.until(lambda: world.running(service) == 3)
+        await world.wait_until(lambda: world.running(service) == 3)
         await curio.sleep(60)
         if copied:
             _copy_heartbeats(world, 3, (0.5, 30.0))
             await curio.sleep(10)
         machine = _workers_running(world, service)[0]
         machine.begin_anew()
-        await world.until(lambda: machine.name in world.cloud.releases, limit=6)
+        await world.wait_until(lambda: machine.name in world.cloud.releases, limit=6)
         # Another machine boots, and fetches the image.
-        await world.until(lambda: world.running(service) == 3, limit=20)
+        await world.wait_until(lambda: world.running(service) == 3, limit=20)
 
-    world = World().play(monkeypatch, story)
-    assert max(world.starts.values()) == 2
+    world = World().play(monkeypatch, scenario)
+    assert max(world.rules.starts.values()) == 2
 
 
 def test_workers_restart_while_the_next_leader_is_elected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         array = await world.run_job("array", 2, run_s=30.0, crew="blue")
-        await world.until(lambda: world.running(service) == 3 and world.running(array) == 2)
+        await world.wait_until(lambda: world.running(service) == 3 and world.running(array) == 2)
         leader = leader_of(world)
         world.crash(leader)
         await curio.sleep(0.3)
@@ -249,10 +250,10 @@
         world.crash((leader + 1) % 3)
         await curio.sleep(0.2)
         await world.start((leader + 1) % 3)
-        await world.until(lambda: world.running(service) == 3, limit=30)
-        await world.until_done(array)
+        await world.wait_until(lambda: world.running(service) == 3, limit=30)
+        await world.wait_until_done(array)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 # -- controllers ---------------------------------------------------------------------------
@@ -265,10 +266,10 @@
 ) -> None:
     """As leader it gives way to the next one, as follower it reports that it can't serve."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
         gang = await world.run_job("gang", 2, run_s=300.0, crew="blue")
-        await world.until(lambda: world.running(service) == 4 and world.running(gang) == 2)
+        await world.wait_until(lambda: world.running(service) == 4 and world.running(gang) == 2)
         # All know that it runs: else none can be sure, without its leader, that nothing starts.
         await curio.sleep(2)
         leader = leader_of(world)
@@ -293,19 +294,21 @@
         for other in ("state", *(f"c{n}" for n in rest)):
             await world.network.heal(f"c{alone}", other)
         await curio.sleep(20)
-        assert world.running(service) == 4 and not world.held(gang)
+        assert world.running(service) == 4 and not world.tasks_on_machines(gang)
 
-    world = World().play(monkeypatch, story)
-    assert all(count == 1 for task, count in world.starts.items() if not task.endswith("gang"))
+    world = World().play(monkeypatch, scenario)
+    assert all(
+        count == 1 for task, count in world.rules.starts.items() if not task.endswith("gang")
+    )
 
 
 def test_controllers_restart_quickly_many_times_in_a_row(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         array = await world.run_job("array", 4, run_s=40.0, crew="blue")
-        await world.until(lambda: world.running(service) == 3)
+        await world.wait_until(lambda: world.running(service) == 3)
         cancelled = await world.run_job("array", 2, run_s=200.0, crew="blue")
         await curio.sleep(2)
         for number in (0, 1, 2, 2, 0, 1, 1):
@@ -319,10 +322,10 @@
             world.crash(leader)
             await curio.sleep(0.1)
             await world.start(leader)
-        await world.until_done(array)
+        await world.wait_until_done(array)
         assert world.running(service) == 3
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 # -- what messages prove -------------------------------------------------------------------
@@ -386,22 +389,22 @@
 def test_malformed_heartbeat_is_refused_without_effect(
     monkeypatch: pytest.MonkeyPatch, malformed: dict[str, object]
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=20.0)
-        await world.until(lambda: world.running(job) == 1)
+        await world.wait_until(lambda: world.running(job) == 1)
         worker = _workers_running(world, job)[0]
         heartbeat = worker._on_heartbeat() | malformed
         for number in range(3):
             assert (await world.call(number, "POST", "/checkin", heartbeat))[0] == 400
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
 
 
 def test_unknown_task_states_and_task_ids_have_no_effect(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=20.0)
-        await world.until(lambda: world.running(job) == 1)
+        await world.wait_until(lambda: world.running(job) == 1)
         worker = _workers_running(world, job)[0]
         odd = [
             {"leg": "no task", "try": 1, "status": "running"},
@@ -410,6 +413,6 @@
         heartbeat = worker._on_heartbeat()
         heartbeat["legs"] = heartbeat["legs"] + odd
         assert (await world.call(leader_of(world), "POST", "/checkin", heartbeat))[0] == 200
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
-    World().play(monkeypatch, story)
+    World().play(monkeypatch, scenario)
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -35,7 +35,7 @@
         ours = source == f"c{number}" and address == state_fake.ADDRESS
         return SLOW if ours and which(request) else 0.0
 
-    world.network.slow = slow
+    world.network.answer_delay = slow
 
 
 @pytest.mark.parametrize("version_known", [False, True])
@@ -50,7 +50,7 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
-        await world.until(lambda: world.running(job) == 2)
+        await world.wait_until(lambda: world.running(job) == 2)
         await curio.sleep(2)
         leader = leader_of(world)
         number, other = (leader + 1) % 3, (leader + 2) % 3
@@ -59,14 +59,14 @@
         slow_state_service_answers(
             world, number, lambda request: request.path == "/txn" or reads_job_record(request)
         )
-        ask = world.status if request_kind == "status" else world.offer
+        ask = world.status if request_kind == "status" else world.submit_once
         asking = await curio.spawn(ask, job, number)
         await curio.sleep(SLOW / 2)
         assert await world.cancel(job, other) == "cancelled"
         assert not asking.terminated
         assert await asking.join() in ("cancelled", 200)
-        assert world.told.crossed == []
-        assert world.told.final[job] == "cancelled"
+        assert world.answers.overtaken == []
+        assert world.answers.latest[job] == "cancelled"
 
     World().play(monkeypatch, scenario)
 
@@ -78,20 +78,20 @@
     cancels at once: the 201 must not say that the job is pending."""
 
     async def scenario(world: World) -> None:
-        await world.until(lambda: world.leader() is not None)
+        await world.wait_until(lambda: world.leader() is not None)
         await curio.sleep(3)
         leader = leader_of(world)
         number, other = (leader + 1) % 3, (leader + 2) % 3
         slow_state_service_answers(world, number, lambda request: request.path == "/txn")
         job = world.job("daemon", 1)
-        submitting = await curio.spawn(world.offer, job, number)
+        submitting = await curio.spawn(world.submit_once, job, number)
         await curio.sleep(SLOW / 5)
-        assert await world.offer(job, other) == 200
+        assert await world.submit_once(job, other) == 200
         while await world.cancel(job, other) is None:
             await curio.sleep(0.05)
         assert not submitting.terminated
         assert await submitting.join() == 200
-        assert world.told.crossed == []
+        assert world.answers.overtaken == []
 
     World().play(monkeypatch, scenario)
 
@@ -105,13 +105,13 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=6.0, image_gb=0.1)
-        await world.until(lambda: world.running(job) == 1)
+        await world.wait_until(lambda: world.running(job) == 1)
         await curio.sleep(5)
         leader = leader_of(world)
         number, other = (leader, (leader + 1) % 3) if by_leader else ((leader + 1) % 3, leader)
         slow_state_service_answers(world, number, reads_job_record)
         asked = 0
-        while world.told.final.get(job) != "done":
+        while world.answers.latest.get(job) != "done":
             # Each at a moment of its own around the end: questions of both overlap.
             await curio.spawn(world.status, job, number, daemon=True)
             await world.status(job, other)
@@ -121,8 +121,8 @@
         assert asked > 3
         assert await world.status(job, number) == "done"
         if by_leader:
-            assert world.told.crossed == []
-        assert all(late <= SLOW + 0.05 for _, late in world.told.crossed)
+            assert world.answers.overtaken == []
+        assert all(late <= SLOW + 0.05 for _, late in world.answers.overtaken)
 
     World().play(monkeypatch, scenario)
 
@@ -139,24 +139,24 @@
             # Alternately of a controller's own and of a follower's making.
             number = turn % 3
             job = world.job("array", 1, run_s=1.0, image_gb=0.1, crew="blue")
-            assert await world.offer(job, number) == 201
+            assert await world.submit_once(job, number) == 201
             for _ in range(3):
-                await world.look(job)
+                await world.query_all_controllers(job)
             if turn % 3 == 1:
                 while await world.cancel(job, (number + 1) % 3) is None:
-                    await world.look(job)
+                    await world.query_all_controllers(job)
             else:
-                await world.until(lambda job=job: world._all_done(job))  # type: ignore[misc]
+                await world.wait_until(lambda job=job: world.all_tasks_done(job))  # type: ignore[misc]
                 if turn % 3 == 2:
                     await curio.sleep(turn / 100)
                     while await world.cancel(job, (number + 2) % 3) is None:
-                        await world.look(job)
-            while world.told.final[job] not in ("done", "cancelled"):
-                await world.look(job)
+                        await world.query_all_controllers(job)
+            while world.answers.latest[job] not in ("done", "cancelled"):
+                await world.query_all_controllers(job)
             for _ in range(3):
-                await world.look(job)
-        assert world.told.answers > 12 * 36
-        assert {"done", "cancelled"} <= set(world.told.final.values())
+                await world.query_all_controllers(job)
+        assert world.answers.count > 12 * 36
+        assert {"done", "cancelled"} <= set(world.answers.latest.values())
 
     World().play(monkeypatch, scenario)
 
@@ -170,13 +170,13 @@
         large: dict[str, Any] = {"rigs": ["box", *(f"{n:0>200}" for n in range(60))]}
         job = await world.run_job("daemon", 1)
         for number in range(3):
-            assert await world.offer(job, number, **large) == 200
+            assert await world.submit_once(job, number, **large) == 200
         while await world.cancel(job, 1) is None:
             await curio.sleep(0.2)
         for number in range(3):
-            assert await world.offer(job, number, **large) == 200
+            assert await world.submit_once(job, number, **large) == 200
             unknown = world.job("daemon", 1)
-            assert await world.offer(unknown, number, **large) == 400
+            assert await world.submit_once(unknown, number, **large) == 400
             assert await world.status(unknown, number) is None
 
     World().play(monkeypatch, scenario)
@@ -193,7 +193,7 @@
     async def scenario(world: World) -> None:
         await curio.sleep(4)
         job = await world.run_job("array", 2, run_s=90.0, image_gb=12.0)
-        await world.until(lambda: any(w.tasks for w in world.fleet.workers.values()))
+        await world.wait_until(lambda: any(w.tasks for w in world.fleet.workers.values()))
         leader = leader_of(world)
         machines = [w.name for w in world.fleet.workers.values() if w.tasks]
         for name in machines:
@@ -203,11 +203,11 @@
         other = (leader + 1) % 3
         assert await world.cancel(job, other) is None
         assert world.state.keys[f"end/{job}"][0]["status"] == "cancelled"
-        began, confirmed = world.starts.total(), None
+        began, confirmed = world.rules.starts.total(), None
         for _ in range(60):
             confirmed = confirmed or await world.cancel(job, other)
             await curio.sleep(1)
         assert confirmed == "cancelled"
-        assert began == 0 and not world.held(job)
+        assert began == 0 and not world.tasks_on_machines(job)
 
     World().play(monkeypatch, scenario)
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -55,7 +55,7 @@
 
 def _world() -> World:
     world = World(teams=TEAMS, capacity=3)
-    world.limits = {"red": 18.0, "blue": 18.0}
+    world.rules.team_limits = {"red": 18.0, "blue": 18.0}
     return world
 
 
@@ -73,10 +73,10 @@
             world.crash(leader)
             await curio.sleep(5)
             await world.start(leader)
-            await world.until(lambda: world.running(large) == tasks, limit=START_LIMIT_S - 85)
+            await world.wait_until(lambda: world.running(large) == tasks, limit=START_LIMIT_S - 85)
         else:
-            await world.until(lambda: world.running(large) == tasks, limit=START_LIMIT_S)
-        await world.until_done(large)
+            await world.wait_until(lambda: world.running(large) == tasks, limit=START_LIMIT_S)
+        await world.wait_until_done(large)
 
     _world().play(monkeypatch, scenario)
 
@@ -91,8 +91,8 @@
             await world.run_job("daemon", 1, rank="production", crew="blue", depot=zone)
         await _saturate(world, ["red", "blue", "grey"], 2.5)
         large = await world.run_job("gang", 3, run_s=30.0, crew="red", **WHOLE_MACHINES)
-        await world.until(lambda: world.running(large) == 3, limit=START_LIMIT_S)
-        assert {worker.zone for worker, _ in world.held(large)} == {"west"}
+        await world.wait_until(lambda: world.running(large) == 3, limit=START_LIMIT_S)
+        assert {worker.zone for worker, _ in world.tasks_on_machines(large)} == {"west"}
 
     _world().play(monkeypatch, scenario)
 
@@ -112,7 +112,7 @@
             started.update(job for job in (large, *single) if world.running(job))
             return len(started) == 3
 
-        await world.until(all_started, limit=START_LIMIT_S)
+        await world.wait_until(all_started, limit=START_LIMIT_S)
         # Between the end of a task and the next start a team may have one less for a moment.
         samples = [await _sample_usage(world) for _ in range(20)]
         assert sum(used["red"] >= 6 and used["blue"] >= 6 for used in samples) >= 15
@@ -133,12 +133,12 @@
 
     async def scenario(world: World) -> None:
         low = await world.run_job("array", 60, run_s=60.0, crew="grey", rank="low")
-        await world.until(lambda: world.running(low) == 18, limit=60)
+        await world.wait_until(lambda: world.running(low) == 18, limit=60)
         standard = await world.run_job("array", 6, run_s=60.0, crew="red")
-        await world.until(lambda: world.running(standard) == 6, limit=10)
+        await world.wait_until(lambda: world.running(standard) == 6, limit=10)
         large = await world.run_job("gang", 3, run_s=30.0, crew="blue", **WHOLE_MACHINES)
-        await world.until(lambda: world.running(large) == 3, limit=30)
-        await world.until_done(low, limit=500)
+        await world.wait_until(lambda: world.running(large) == 3, limit=30)
+        await world.wait_until_done(low, limit=500)
 
     _world().play(monkeypatch, scenario)
 
@@ -156,7 +156,7 @@
             started.update(job for job in jobs if world.running(job) == 3)
             return len(started) == 2
 
-        await world.until(all_started, limit=START_LIMIT_S)
+        await world.wait_until(all_started, limit=START_LIMIT_S)
 
     _world().play(monkeypatch, scenario)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -27,12 +27,13 @@
 )
 from micadeal.rollout.migration import MIN_PRESENCE, MigrationBacklog, plan
 from micadeal.wire.state import Item, LeaderRecord, LevelRecord
+from tests.fakes.deployment_settings import ANNOUNCED_STATE_LIMITS
 from tests.fakes.kernel import run_stepped
 from tests.fakes.network import HOLD
-from tests.fakes.world import COMING, World, leader_of
+from tests.fakes.world import World, leader_of
 
 BEFORE_PIPELINES: dict[str, Any] = {"earlier": True}
-BEFORE_LEVELS: dict[str, Any] = {"unlevelled": True}
+BEFORE_LEVELS: dict[str, Any] = {"before_levels": True}
 NEXT_BUILD: dict[str, Any] = {"build": Build("next", 0, 2)}
 SMALL_TASK: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
 
@@ -76,7 +77,7 @@
             await replace_controller(world, number, 0.1, **version)
         service = await world.run_job("daemon", 2, rank="production", crew="blue")
         jobs = [await world.run_job("array", 4, run_s=40.0, loaners=True)]
-        await world.until(lambda: world.running(service) == 2)
+        await world.wait_until(lambda: world.running(service) == 2)
         versions = dict.fromkeys(range(3), version)
         for number in range(3):
             assert world.level() == 0
@@ -85,36 +86,36 @@
             versions[number] = {}
             await replace_controller(world, number)
             jobs.append(await world.run_job("array", 2, run_s=3.0))
-        assert await world.until(lambda: world.level() == 1, limit=8) < 5
+        assert await world.wait_until(lambda: world.level() == 1, limit=8) < 5
         found = (await overview(world))["level"]
         assert found["level"] == found["writes"] == 1
         for job in jobs:
-            await world.until_done(job)
-        await world.until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1)
+            await world.wait_until_done(job)
+        await world.wait_until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1)
         assert world.running(service) == 2
 
     world = World().play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_rolling_update_with_300_workers_and_leader_crashes_loses_no_task(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(world: World) -> None:
-        world.limits = {"red": 600.0, "blue": 600.0}
+        world.rules.team_limits = {"red": 600.0, "blue": 600.0}
         for number in range(3):
             await replace_controller(world, number, 0.1, **BEFORE_LEVELS)
         services = [
             await world.run_job("daemon", 30, run_s=0.0, accelerators=2.0) for _ in range(10)
         ]
-        await world.until(lambda: sum(world.running(s) for s in services) >= 280, limit=200)
+        await world.wait_until(lambda: sum(world.running(s) for s in services) >= 280, limit=200)
         versions = dict.fromkeys(range(3), BEFORE_LEVELS)
         for number in range(3):
             leader = leader_of(world)
             await replace_controller(world, leader, **versions[leader])
             versions[number] = {}
             await replace_controller(world, number)
-        await world.until(lambda: world.level() == 1, limit=8)
+        await world.wait_until(lambda: world.level() == 1, limit=8)
         await curio.sleep(20)
         assert sum(world.running(s) for s in services) == 300
 
@@ -124,7 +125,7 @@
     )
     world = World(teams=teams, capacity=400).play(monkeypatch, scenario)
     assert len(world.fleet.workers) >= 300
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_overview_names_what_level_waits_for(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -154,7 +155,7 @@
         await curio.sleep(6)
         assert f"c{cut} is seen by others only" in await pending_reasons(world)
         await world.network.heal(f"c{leader}", f"c{cut}")
-        await world.until(lambda: world.level() == 1, limit=8)
+        await world.wait_until(lambda: world.level() == 1, limit=8)
 
     World().play(monkeypatch, scenario)
 
@@ -166,29 +167,29 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 3, run_s=60.0)
-        await world.until(lambda: world.level() == 1, limit=10)
+        await world.wait_until(lambda: world.level() == 1, limit=10)
         await replace_controller(world, 0, 1.0, **BEFORE_PIPELINES)
         await replace_controller(world, 1, 1.0, **BEFORE_LEVELS)
-        await world.until(lambda: world.leader() == 2, limit=10)
+        await world.wait_until(lambda: world.leader() == 2, limit=10)
         await curio.sleep(5)
         # As followers they serve users by layouts that have not changed.
         for number in range(2):
             other = world.job("daemon", 1, run_s=0.0, crew="blue")
             status, _ = await world.call(number, "POST", "/work", world.fleet.jobs[other].spec)
             assert status == 201
-            world.told.accepted.add(other)
-            await world.until(lambda job=other: world.running(job) == 1, limit=60)  # type: ignore[misc]
+            world.answers.accepted.add(other)
+            await world.wait_until(lambda job=other: world.running(job) == 1, limit=60)  # type: ignore[misc]
             assert await world.status(other, 1 - number) in ("pending", "running")
             assert await world.cancel(other, number) == "cancelled"
-            await world.until(lambda job=other: not world.held(job), limit=30)  # type: ignore[misc]
+            await world.wait_until(lambda job=other: not world.tasks_on_machines(job), limit=30)  # type: ignore[misc]
         world.crash(2)
         token = world.state.keys["leader"][1]
         await curio.sleep(20)
         # No controller may lead now: for both versions, an existing key ``leader`` is a taken lock.
         assert world.leader() is None and world.state.keys["leader"][1] == token
         await world.start(2)
-        await world.until(lambda: world.leader() == 2, limit=10)
-        await world.until_done(job)
+        await world.wait_until(lambda: world.leader() == 2, limit=10)
+        await world.wait_until_done(job)
         assert "knows of no levels" not in await pending_reasons(world)  # nothing is to be raised
         members = {m["name"]: m["build"] for m in (await overview(world))["level"]["members"]}
         assert members["c0"] == members["c1"] == "before levels"
@@ -232,7 +233,7 @@
         for number in range(3):
             await replace_controller(world, number, 0.1, **NEXT_BUILD)
         job = await world.run_job("array", 2, run_s=30.0)
-        await world.until(lambda: world.level() == 2, limit=15)
+        await world.wait_until(lambda: world.level() == 2, limit=15)
         leader = leader_of(world)
         other = (leader + 1) % 3
         await replace_controller(world, other, 1.0)
@@ -245,10 +246,10 @@
         lines = {m["name"]: m["presence"] for m in reply["level"]["members"]}
         assert status == 200 and "serves nobody" in lines[f"c{other}"]
         world.crash(leader)
-        await world.until(lambda: world.leader() not in (None, leader), limit=10)
+        await world.wait_until(lambda: world.leader() not in (None, leader), limit=10)
         assert world.leader() != other
         await world.start(leader, **NEXT_BUILD)
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     World().play(monkeypatch, scenario)
 
@@ -262,31 +263,33 @@
         for number in range(3):
             await replace_controller(world, number, 0.1, **NEXT_BUILD)
         job = await world.run_job("array", 6_000, **SMALL_TASK, crew="blue", vcpus=4.0)
-        await world.until(lambda: world.level() == 2, limit=15)
-        await world.until(lambda: any(k.startswith(f"finished/{job}") for k in world.state.keys))
+        await world.wait_until(lambda: world.level() == 2, limit=15)
+        await world.wait_until(
+            lambda: any(k.startswith(f"finished/{job}") for k in world.state.keys)
+        )
         await set_highest_level(world, 0)
-        await world.until(lambda: world.state.keys["seat/level"][0]["writes"] == 0, limit=10)
+        await world.wait_until(lambda: world.state.keys["seat/level"][0]["writes"] == 0, limit=10)
         leader = leader_of(world)
         await replace_controller(world, leader, **NEXT_BUILD)
-        await world.until(lambda: world.level() == 0, limit=60)
+        await world.wait_until(lambda: world.level() == 0, limit=60)
         assert not any(k.startswith("finished/") for k in world.state.keys)
         assert "seat/held" not in world.state.keys
         # Now, and only now, an earlier version may be started, and leads with what it finds.
         for number in range(3):
             await replace_controller(world, number, 1.0, **BEFORE_LEVELS)
-        await world.until(lambda: world.leader() is not None, limit=10)
-        done = len(world.done)
-        await world.until(lambda: len(world.done) > done + 5)
+        await world.wait_until(lambda: world.leader() is not None, limit=10)
+        done = len(world.rules.finished_tasks)
+        await world.wait_until(lambda: len(world.rules.finished_tasks) > done + 5)
         for number in range(3):
             await replace_controller(world, number, 1.0)
         await set_highest_level(world, None)
-        await world.until(lambda: world.level() == 1, limit=15)
-        await world.until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1, limit=60)
+        await world.wait_until(lambda: world.level() == 1, limit=15)
+        await world.wait_until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1, limit=60)
         assert not any(k.startswith("done/") for k in world.state.keys)
 
     world = World(capacity=4).play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
-    assert len(world.done) > 20
+    assert all(count == 1 for count in world.rules.starts.values())
+    assert len(world.rules.finished_tasks) > 20
 
 
 @pytest.mark.parametrize("lost", ["before", "after"])
@@ -312,14 +315,14 @@
 
         world.network.serve("state", "10.2.0.1:2379", once)
         job = await world.run_job("array", 3, run_s=30.0)
-        await world.until(lambda: world.level() == 1, limit=20)
+        await world.wait_until(lambda: world.level() == 1, limit=20)
         token = world.state.keys["leader"][0]["term"]
         await curio.sleep(10)
         assert swallowed and world.state.keys["leader"][0]["term"] == token
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     world = World().play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_level_is_raised_despite_leader_crashes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -327,15 +330,15 @@
         job = await world.run_job("array", 3, run_s=60.0)
         for moment in ("before", "after"):
             if moment == "after":
-                await world.until(lambda: world.level() == 1, limit=20)
+                await world.wait_until(lambda: world.level() == 1, limit=20)
             leader = leader_of(world)
             await replace_controller(world, leader, 4.0)
-        await world.until(lambda: world.leader() is not None, limit=10)
+        await world.wait_until(lambda: world.leader() is not None, limit=10)
         assert world.level() == 1
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     world = World().play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_partitioned_leader_delays_raise_and_does_not_undo_it(
@@ -346,24 +349,24 @@
     async def scenario(world: World) -> None:
         await set_highest_level(world, 0)
         job = await world.run_job("array", 6, run_s=40.0, crew="blue")
-        await world.until(lambda: world.running(job) >= 2)
+        await world.wait_until(lambda: world.running(job) >= 2)
         old = leader_of(world)
         others = [n for n in range(3) if n != old]
         for host in ("state", "cloud", *(f"c{n}" for n in others)):
             world.network.cut(f"c{old}", host, HOLD)
-        await world.until(lambda: world.leader() not in (None, old), limit=10)
+        await world.wait_until(lambda: world.leader() not in (None, old), limit=10)
         await set_highest_level(world, None)
         await curio.sleep(6)
         assert world.level() == 0 and f"c{old} is silent" in await pending_reasons(world)
         # If it were lost for good, the operator would remove it from the settings.
         for host in ("state", "cloud", *(f"c{n}" for n in others)):
             await world.network.heal(f"c{old}", host)
-        await world.until(lambda: world.level() == 1, limit=10)
+        await world.wait_until(lambda: world.level() == 1, limit=10)
         assert world.leader() != old
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     world = World().play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_partitioned_follower_serves_users_after_raise(
@@ -374,21 +377,21 @@
     async def scenario(world: World) -> None:
         await set_highest_level(world, 0)
         job = await world.run_job("daemon", 2, run_s=0.0)
-        await world.until(lambda: world.running(job) == 2)
+        await world.wait_until(lambda: world.running(job) == 2)
         leader = leader_of(world)
         follower = (leader + 1) % 3
         await set_highest_level(world, None)
-        await world.until(lambda: world.level() == 1, limit=10)
+        await world.wait_until(lambda: world.level() == 1, limit=10)
         for number in range(3):
             if number != follower:
                 world.network.cut(f"c{follower}", f"c{number}")
         other = world.job("array", 2, run_s=5.0)
         status, _ = await world.call(follower, "POST", "/work", world.fleet.jobs[other].spec)
         assert status == 201
-        world.told.accepted.add(other)
+        world.answers.accepted.add(other)
         assert await world.cancel(job, follower) is None  # too few peers can learn of it
-        await world.until_done(other)
-        await world.until(lambda: not world.held(job), limit=30)
+        await world.wait_until_done(other)
+        await world.wait_until(lambda: not world.tasks_on_machines(job), limit=30)
 
     World().play(monkeypatch, scenario)
 
@@ -408,12 +411,12 @@
         await curio.sleep(30)
         assert world.level() == 0 and "c2 is never seen" in await pending_reasons(world)
         for number in range(2):
-            await replace_controller(world, number, without=2)
-        await world.until(lambda: world.level() == 1, limit=12)
-        await world.until_done(job)
+            await replace_controller(world, number, removed=2)
+        await world.wait_until(lambda: world.level() == 1, limit=12)
+        await world.wait_until_done(job)
 
     world = World().play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_damaged_records_are_named_and_block_leadership(
@@ -426,7 +429,7 @@
         await curio.sleep(8)
         assert world.level() == 0 and "seat/member/c1 can't be read" in await pending_reasons(world)
         await replace_controller(world, 1, 1.0)
-        await world.until(lambda: world.level() == 1, limit=12)
+        await world.wait_until(lambda: world.level() == 1, limit=12)
         good = world.state.keys["seat/level"]
         world.state.keys["seat/level"] = ({"level": -3}, world.state.revision + 1, None)
         world.state.revision += 1
@@ -438,8 +441,8 @@
         assert 1 <= len(refused) <= 3  # once each
         world.state.revision += 1
         world.state.keys["seat/level"] = (good[0], world.state.revision, None)
-        await world.until(lambda: world.leader() is not None, limit=10)
-        await world.until_done(job)
+        await world.wait_until(lambda: world.leader() is not None, limit=10)
+        await world.wait_until_done(job)
 
     World().play(monkeypatch, scenario)
 
@@ -473,7 +476,7 @@
         for number in range(3):
             await replace_controller(world, number, 0.1, **BEFORE_LEVELS)
         big = await world.run_job("array", 6_000, **SMALL_TASK, crew="blue", vcpus=4.0)
-        await world.until(lambda: any(k.startswith(f"done/{big}") for k in world.state.keys))
+        await world.wait_until(lambda: any(k.startswith(f"done/{big}") for k in world.state.keys))
         for number in range(3):
             if number == 2:
                 world.state.outage = True
@@ -482,15 +485,15 @@
                 world.state.txn_ops, world.state.value_bytes = 5, 2048
             else:
                 await replace_controller(world, number)
-        await world.until(lambda: world.level() == 1, limit=15)
+        await world.wait_until(lambda: world.level() == 1, limit=15)
         world.state.outage = True
         await curio.sleep(6)
         world.state.outage = False
-        await world.until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1, limit=60)
+        await world.wait_until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1, limit=60)
         assert not any(k.startswith("done/") for k in world.state.keys)
 
-    world = World(coming=COMING, capacity=2).play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    world = World(announced=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 def test_retiring_leader_hands_over_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -499,23 +502,23 @@
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, rank="production")
         job = await world.run_job("array", 8, run_s=30.0, crew="blue")
-        await world.until(lambda: world.running(service) == 3 and world.running(job) >= 2)
+        await world.wait_until(lambda: world.running(service) == 3 and world.running(job) >= 2)
         gaps: list[float] = []
         for _ in range(2):
             leader = leader_of(world)
             await curio.spawn(world.nodes[leader].retire, daemon=True)
-            await world.until(lambda led=leader: world.leader() != led, limit=10)  # type: ignore[misc]
-            gaps.append(await world.until(lambda: world.leader() is not None, limit=10))
+            await world.wait_until(lambda led=leader: world.leader() != led, limit=10)  # type: ignore[misc]
+            gaps.append(await world.wait_until(lambda: world.leader() is not None, limit=10))
             world.crash(leader)
             await curio.sleep(5)
             await world.start(leader)
             await curio.sleep(10)
         assert max(gaps) < 1
         assert world.running(service) == 3
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     world = World().play(monkeypatch, scenario)
-    assert all(count == 1 for count in world.starts.values())
+    assert all(count == 1 for count in world.rules.starts.values())
 
 
 # -- decisions ---------------------------------------------------------------------------------
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -19,14 +19,14 @@
         array = await world.run_job("array", 4, loaners=True)
         gang = await world.run_job("gang", 3, one_zone=True, crew="blue")
         service = await world.run_job("daemon", 2, scatter=True, rank="production")
-        await world.until(lambda: world.running(service) == 2)
-        await world.until_done(array)
-        await world.until_done(gang)
+        await world.wait_until(lambda: world.running(service) == 2)
+        await world.wait_until_done(array)
+        await world.wait_until_done(gang)
         assert await world.status(service, 1) == "running"
         assert await world.cancel(service, 2) == "cancelled"
-        await world.until(lambda: not world.held(service), limit=10)
+        await world.wait_until(lambda: not world.tasks_on_machines(service), limit=10)
         assert await world.status(service, 0) == "cancelled"
-        await world.until(lambda: not world.cloud.machines, limit=200)
+        await world.wait_until(lambda: not world.cloud.machines, limit=200)
 
     assert_each_task_started_once(World().play(monkeypatch, scenario))
 
@@ -36,7 +36,7 @@
 ) -> None:
     async def scenario(world: World) -> None:
         jobs = [await world.run_job("array", 3, run_s=30.0) for _ in range(2)]
-        await world.until(lambda: sum(map(world.running, jobs)) >= 4)
+        await world.wait_until(lambda: sum(map(world.running, jobs)) >= 4)
         leader = current_leader(world)
         world.crash(leader)
         late = await world.run_job("array", 1, crew="blue", run_s=5.0)
@@ -44,7 +44,7 @@
         await curio.sleep(5)
         await world.start(leader)
         for job in [*jobs, late]:
-            await world.until_done(job)
+            await world.wait_until_done(job)
 
     assert_each_task_started_once(World().play(monkeypatch, scenario))
 
@@ -53,7 +53,7 @@
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 4, run_s=40.0)
         service = await world.run_job("daemon", 1, rank="production", crew="blue")
-        await world.until(lambda: world.running(job) == 4 and world.running(service) == 1)
+        await world.wait_until(lambda: world.running(job) == 4 and world.running(service) == 1)
         for number in range(3):
             world.crash(number)
         await curio.sleep(6)
@@ -61,7 +61,7 @@
             await world.start(number)
         await curio.sleep(4)
         assert world.running(service) == 1
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     assert_each_task_started_once(World().play(monkeypatch, scenario))
 
@@ -69,13 +69,13 @@
 def test_a_cancellation_wins_over_a_start_in_progress(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
         warm = await world.run_job("daemon", 1, run_s=1.0)
-        await world.until(lambda: world.running(warm) == 1)
+        await world.wait_until(lambda: world.running(warm) == 1)
         for wait in (0.0, 0.02, 0.1, 0.5, 1.0, 2.0):
             job = await world.run_job("array", 1, run_s=90.0)
             await curio.sleep(wait)
             assert await world.cancel(job, 1) == "cancelled"
             await curio.sleep(6)
-            assert not world.held(job)
+            assert not world.tasks_on_machines(job)
 
     World().play(monkeypatch, scenario)
 
@@ -85,14 +85,14 @@
 
     async def scenario(world: World) -> None:
         jobs = [await world.run_job("array", 6, run_s=20.0) for _ in range(4)]
-        await world.until(lambda: sum(map(world.running, jobs)) == 8)
+        await world.wait_until(lambda: sum(map(world.running, jobs)) == 8)
         leader = current_leader(world)
         assert await world.cancel(jobs[0], leader) == "cancelled"
         world.crash(leader)
         await curio.sleep(5)
         await world.start(leader)
         for job in jobs[1:]:
-            await world.until_done(job)
+            await world.wait_until_done(job)
 
     World().play(monkeypatch, scenario)
 
@@ -100,26 +100,28 @@
 def test_a_gang_that_loses_a_machine_restarts_as_a_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
         gang = await world.run_job("gang", 3, run_s=40.0, one_zone=True, accelerators=2.0)
-        await world.until(lambda: world.running(gang) == 3)
-        world.cloud.take(world.held(gang)[0][0].name)
-        await world.until(lambda: world.running(gang) == 3 and len(world.starts) == 3, limit=90)
-        await world.until_done(gang)
+        await world.wait_until(lambda: world.running(gang) == 3)
+        world.cloud.take(world.tasks_on_machines(gang)[0][0].name)
+        await world.wait_until(
+            lambda: world.running(gang) == 3 and len(world.rules.starts) == 3, limit=90
+        )
+        await world.wait_until_done(gang)
 
     world = World().play(monkeypatch, scenario)
-    assert set(world.starts.values()) == {2}
+    assert set(world.rules.starts.values()) == {2}
 
 
 def test_a_spot_reclaim_notice_makes_tasks_checkpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=60.0, loaners=True, bookmark_s=30.0, stow_s=2.0)
-        await world.until(lambda: world.running(job) == 1)
-        worker, _ = world.held(job)[0]
+        await world.wait_until(lambda: world.running(job) == 1)
+        worker, _ = world.tasks_on_machines(job)[0]
         assert worker.spot
         await curio.sleep(20)
         worker.reclaim_expected_at = monotonic().total_seconds() + 15
         await curio.sleep(15)
         world.cloud.take(worker.name)
-        await world.until_done(job)
+        await world.wait_until_done(job)
         assert world.fleet.jobs[job].progress > 15
 
     World().play(monkeypatch, scenario)
@@ -134,27 +136,29 @@
         bad = await world.run_job("array", 8, fails=True, accelerators=2.0)
         good = [await world.run_job("array", 4, crew="blue", run_s=15.0) for _ in range(3)]
         for job in good:
-            await world.until_done(job)
+            await world.wait_until_done(job)
         await curio.sleep(60)
         assert await world.status(bad) in ("pending", "running")
         assert await world.cancel(bad) == "cancelled"
 
     world = World().play(monkeypatch, scenario)
-    tries = sum(count for task, count in world.starts.items() if task.startswith("req-000001/"))
+    tries = sum(
+        count for task, count in world.rules.starts.items() if task.startswith("req-000001/")
+    )
     assert 3 <= tries <= 16
 
 
 def test_a_faulty_machine_is_drained_and_returned(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
         keep = await world.run_job("daemon", 1, accelerators=1.0)
-        await world.until(lambda: world.running(keep) == 1)
-        worker, _ = world.held(keep)[0]
+        await world.wait_until(lambda: world.running(keep) == 1)
+        worker, _ = world.tasks_on_machines(keep)[0]
         world.fleet.faulty.add(worker.name)
         jobs = [await world.run_job("array", 1, crew="blue", run_s=10.0) for _ in range(3)]
         for job in jobs:
-            await world.until_done(job)
+            await world.wait_until_done(job)
         assert await world.cancel(keep) == "cancelled"
-        await world.until(lambda: worker.name in world.cloud.releases, limit=30)
+        await world.wait_until(lambda: worker.name in world.cloud.releases, limit=30)
 
     World().play(monkeypatch, scenario)
 
@@ -163,7 +167,7 @@
     async def scenario(world: World) -> None:
         world.cloud.never_boot = {1}
         job = await world.run_job("array", 1, run_s=10.0)
-        await world.until_done(job)
+        await world.wait_until_done(job)
         assert "i-000001" in world.cloud.releases
 
     World().play(monkeypatch, scenario)
@@ -174,7 +178,7 @@
         world.cloud.capacity.update({("north", True): 0, ("south", True): 0, ("west", True): 0})
         world.cloud.capacity.update({("north", False): 0, ("south", False): 1})
         job = await world.run_job("array", 6, run_s=10.0, loaners=True)
-        await world.until_done(job)
+        await world.wait_until_done(job)
 
     World().play(monkeypatch, scenario)
 
@@ -183,7 +187,7 @@
     async def scenario(world: World) -> None:
         await curio.sleep(5)
         name = await world.cloud.add("north", spot=False, up_in=1.0)
-        await world.until(lambda: name in world.cloud.releases, limit=120)
+        await world.wait_until(lambda: name in world.cloud.releases, limit=120)
 
     World().play(monkeypatch, scenario)
 
@@ -194,9 +198,9 @@
         for _ in range(3):
             await world.cloud.add("north", spot=False, up_in=0.5)
         batch = await world.run_job("array", 6, run_s=300.0, bookmark_s=5.0, stow_s=1.0)
-        await world.until(lambda: world.running(batch) == 6)
+        await world.wait_until(lambda: world.running(batch) == 6)
         live = await world.run_job("daemon", 1, rank="production", crew="blue")
-        assert await world.until(lambda: world.running(live) == 1, limit=20) < 12
+        assert await world.wait_until(lambda: world.running(live) == 1, limit=20) < 12
 
     World().play(monkeypatch, scenario)
 
@@ -207,11 +211,11 @@
         for _ in range(4):
             await world.cloud.add("north", spot=False, up_in=0.5)
         greedy = await world.run_job("array", 8, run_s=400.0, crew="blue")
-        await world.until(lambda: world.running(greedy) == 8)
+        await world.wait_until(lambda: world.running(greedy) == 8)
         poor = await world.run_job("array", 8, run_s=400.0)
         await curio.sleep(10)
         assert world.running(poor) == 0
-        await world.until(lambda: world.running(poor) == 4, limit=40)
+        await world.wait_until(lambda: world.running(poor) == 4, limit=40)
         await curio.sleep(40)
         assert (world.running(poor), world.running(greedy)) == (4, 4)
 
@@ -223,7 +227,7 @@
 ) -> None:
     async def scenario(world: World) -> None:
         jobs = [await world.run_job("array", 4, run_s=25.0, loaners=True) for _ in range(2)]
-        await world.until(lambda: sum(map(world.running, jobs)) >= 6)
+        await world.wait_until(lambda: sum(map(world.running, jobs)) >= 6)
         for number in range(3):
             world.crash(number)
         for name in [m.name for m in world.cloud.machines.values() if m.spot][:2]:
@@ -232,7 +236,7 @@
         for number in range(3):
             await world.start(number)
         for job in jobs:
-            await world.until_done(job)
+            await world.wait_until_done(job)
 
     World().play(monkeypatch, scenario)
 
@@ -243,7 +247,7 @@
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 2, scatter=True, rank="production")
         jobs = [await world.run_job("array", 3, run_s=25.0, loaners=True) for _ in range(2)]
-        await world.until(lambda: world.running(service) == 2)
+        await world.wait_until(lambda: world.running(service) == 2)
         for number in range(3):
             world.crash(number)
             jobs.append(await world.run_job("array", 1, run_s=5.0))
@@ -251,7 +255,7 @@
             await world.start(number)
             await curio.sleep(5)
         for job in jobs:
-            await world.until_done(job)
+            await world.wait_until_done(job)
         assert world.running(service) == 2
 
     assert_each_task_started_once(World().play(monkeypatch, scenario))
@@ -269,15 +273,15 @@
     async def scenario(world: World) -> None:
         # By its owner's estimate it would be done before the machine goes, so it stays.
         job = await world.run_job("array", 1, run_s=60.0, expect_s=1.0, loaners=True, image_gb=0.5)
-        await world.until(lambda: world.running(job) == 1)
+        await world.wait_until(lambda: world.running(job) == 1)
         await curio.sleep(15)
-        worker, _ = world.held(job)[0]
+        worker, _ = world.tasks_on_machines(job)[0]
         if notice is not None:
             worker.reclaim_expected_at = monotonic().total_seconds() + notice
             await curio.sleep(notice)
         world.cloud.take(worker.name)
-        assert await world.until(lambda: world.running(job) == 1, limit=60) < limit
-        await world.until_done(job)
+        assert await world.wait_until(lambda: world.running(job) == 1, limit=60) < limit
+        await world.wait_until_done(job)
 
     World(boot_s=2.0).play(monkeypatch, scenario)
 
@@ -288,19 +292,19 @@
     async def scenario(world: World) -> None:
         long = await world.run_job("array", 1, run_s=90.0, loaners=True, expect_s=90.0)
         short = await world.run_job("array", 1, run_s=20.0, loaners=True, expect_s=20.0)
-        await world.until(lambda: world.running(long) == 1 and world.running(short) == 1)
-        worker, _ = world.held(long)[0]
-        assert world.held(short)[0][0] is worker
+        await world.wait_until(lambda: world.running(long) == 1 and world.running(short) == 1)
+        worker, _ = world.tasks_on_machines(long)[0]
+        assert world.tasks_on_machines(short)[0][0] is worker
         await curio.sleep(5)
         worker.reclaim_expected_at = monotonic().total_seconds() + 25
         await curio.sleep(8)
         # The long one is on its way elsewhere, the short one goes on and ends in time.
-        assert all(w is not worker for w, _ in world.held(long))
+        assert all(w is not worker for w, _ in world.tasks_on_machines(long))
         assert world.running(short) == 1
-        await world.until(lambda: world.running(long) == 1, limit=12)
-        await world.until_done(short)
+        await world.wait_until(lambda: world.running(long) == 1, limit=12)
+        await world.wait_until_done(short)
         world.cloud.take(worker.name)
-        await world.until_done(long)
+        await world.wait_until_done(long)
 
     world = World(boot_s=4.0).play(monkeypatch, scenario)
-    assert sorted(world.starts.values()) == [1, 2]
+    assert sorted(world.rules.starts.values()) == [1, 2]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 from micadeal.cli.main import main
 from micadeal.operator.platform import InvalidSettingsError, parse
 from micadeal.operator.script import EXAMPLE, InvalidScriptError, evaluate
-from tests.fakes.world import TEAMS, settings
+from tests.fakes.deployment_settings import TEAMS, settings
 
 
 def test_platform_settings_are_read_and_unknown_fields_ignored() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,11 +18,12 @@
 from micadeal.wire import state as records
 from micadeal.wire.codec import decode, encode, json_size
 from micadeal.wire.users import Shape, Status
+from tests.fakes.deployment_settings import ANNOUNCED_STATE_LIMITS
 from tests.fakes.previous_versions import forget
 from tests.fakes.random_clusters import RandomDeployment
 from tests.fakes.records_of_previous_versions import WRITTEN
 from tests.fakes.submissions import spec
-from tests.fakes.world import COMING, World
+from tests.fakes.world import World
 
 MESSAGE_TYPES: dict[str, Any] = {
     "leader": records.LeaderRecord,
@@ -79,7 +80,7 @@
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 2, rank="production", crew="blue")
         array = await world.run_job("array", 4, run_s=60.0, loaners=True)
-        await world.until(lambda: world.running(service) == 2 and world.running(array) >= 2)
+        await world.wait_until(lambda: world.running(service) == 2 and world.running(array) >= 2)
         versions = dict.fromkeys(range(3), True)
 
         async def restart(number: int) -> None:
@@ -101,11 +102,11 @@
             jobs.append(await world.run_job("array", 3, waits_on=[jobs[-1]], **SMALL_TASK))
         await restart(world.leader() or 0)
         for job in [*jobs, array]:
-            await world.until_done(job)
+            await world.wait_until_done(job)
         assert world.running(service) == 2
 
-    world = World(coming=COMING).play(monkeypatch, scenario, earlier=True)
-    assert all(count == 1 for count in world.starts.values())
+    world = World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario, earlier=True)
+    assert all(count == 1 for count in world.rules.starts.values())
     assert world.state.refused == 0
 
 
@@ -127,16 +128,18 @@
                 [i for i in stored if i // TASKS_PER_CHUNK == chunk], chunk * TASKS_PER_CHUNK
             )
             world.state.keys[f"done/{big}/{chunk}"] = ({"bits": bits}, world.state.revision, None)
-        world.done |= {f"{big}/{index}" for index in stored}
+        world.rules.finished_tasks |= {f"{big}/{index}" for index in stored}
         world.state.txn_ops, world.state.value_bytes = 5, 2048
         for number in range(3):
             await world.start(number)
         await curio.sleep(3)
         long = await world.run_job("array", 1, rigs=["box", *names], **SMALL_TASK)
         assert f"part/{long}/1" in world.state.keys
-        await world.until(lambda: len(world.done) > len(stored) + 12)
-        await world.until(lambda: any(k.startswith(f"finished/{big}/") for k in world.state.keys))
-        await world.until_done(long)
+        await world.wait_until(lambda: len(world.rules.finished_tasks) > len(stored) + 12)
+        await world.wait_until(
+            lambda: any(k.startswith(f"finished/{big}/") for k in world.state.keys)
+        )
+        await world.wait_until_done(long)
         leader = world.leader()
         assert leader is not None
         world.crash(leader)
@@ -148,13 +151,13 @@
         assert len(read.finished) > len(small)
         await curio.sleep(5)
         await world.start(leader)
-        await world.until_done(big)
-        assert all(world.starts[f"{big}/{index}"] <= 1 for index in read.finished)
-        assert not any(world.starts[f"{big}/{index}"] for index in stored)
+        await world.wait_until_done(big)
+        assert all(world.rules.starts[f"{big}/{index}"] <= 1 for index in read.finished)
+        assert not any(world.rules.starts[f"{big}/{index}"] for index in stored)
         await curio.sleep(30)
         assert not [k for k in world.state.keys if k.startswith(("done/", "finished/", "part/"))]
 
-    world = World(coming=COMING, capacity=2).play(monkeypatch, scenario)
+    world = World(announced=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
     assert world.state.refused < 12
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -18,7 +18,8 @@
     cause_of,
     observe,
 )
-from tests.fakes.world import ZONES, World
+from tests.fakes.deployment_settings import ZONES
+from tests.fakes.world import World
 
 PRESENT, UNREACHABLE, SEEN_BY_OTHERS = Presence.PRESENT, Presence.SILENT, Presence.SEEN_BY_OTHERS
 
@@ -112,7 +113,7 @@
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 24, run_s=0.0, crew="blue", scatter=True)
-        await world.until(lambda: world.running(job) == 24)
+        await world.wait_until(lambda: world.running(job) == 24)
         leader = world.leader()
         assert leader is not None
         number = leader if where == "inside" else (leader + 1) % 3
@@ -121,7 +122,7 @@
         assert sum(w.zone == zone for w in world.fleet.workers.values()) >= 3
         for one, other in cuts:
             world.network.cut(one, other)
-        await world.until(lambda: "cut off" in logged_states(caplog, zone), limit=15)
+        await world.wait_until(lambda: "cut off" in logged_states(caplog, zone), limit=15)
         if where == "outside":
             found = await world.call(leader, "GET", "/overview")
             assert any(f"zone {zone} is cut off" in note for note in found[1]["notes"])
@@ -135,7 +136,7 @@
         assert not [note for note in found[1]["notes"] if note.startswith("zone ")]
 
     world = World(teams=LARGE_TEAMS)
-    world.limits = {"blue": 80.0, "red": 8.0}
+    world.rules.team_limits = {"blue": 80.0, "red": 8.0}
     world.play(monkeypatch, scenario)
 
 
