--- a/tests/fakes/decision_scenarios.py
+++ b/tests/fakes/decision_scenarios.py
@@ -25,7 +25,8 @@
 from micadeal.operator.policy import Policy, TeamPolicy
 from micadeal.rollout.feature_level import FeatureLevel
 from micadeal.state.limits import Limits
-from tests.fakes.decision_world import ZONES, DecisionWorld, FixedTime
+from tests.fakes.decision_world import ZONES, DecisionWorld
+from tests.fakes.stepped_clock import FixedTime
 
 GOLDEN = Path(__file__).parent.parent / "golden" / "decisions.json"
 QUICK = Policy(
@@ -61,7 +62,7 @@
 def all_shapes(clock: FixedTime) -> DecisionWorld:
     """An array, a gang, a service and work without accelerators, from rental to idle returns."""
     world = DecisionWorld(clock, teams(4, 4), objectives=(Objective("wait", "live", seconds(4)),))
-    world.boxes(4)
+    world.add_boxes(4)
     world.list_machines()
     world.run(2)
     world.submit("req-array", legs=7, loaners=True)
@@ -80,7 +81,7 @@
 def below_guarantee(clock: FixedTime) -> DecisionWorld:
     """A starved team has the newest tasks of others stopped, first those that can save."""
     world = DecisionWorld(clock, teams(0, 6, 2), QUICK)
-    world.boxes(4, spot=False)
+    world.add_boxes(4, spot=False)
     no_more_machines(world)
     world.list_machines()
     world.run(2)
@@ -98,14 +99,14 @@
 def production_first(clock: FixedTime) -> DecisionWorld:
     """Low work gives way to production at once, and machines are cleared for it."""
     world = DecisionWorld(clock, teams(0, 2), QUICK)
-    world.boxes(3, spot=False)
+    world.add_boxes(3, spot=False)
     no_more_machines(world)
     world.list_machines()
     world.run(2)
     world.submit("req-low", **{**LOW, "loaners": False}, legs=5, expect_s=100.0, stow_s=3.0)
     world.submit("req-usual", legs=2, expect_s=100.0, bookmark_s=0.0)
     world.run(8)
-    world.boxes(2, spot=False)
+    world.add_boxes(2, spot=False)
     world.list_machines()
     world.run(2)
     world.submit("req-low-gang", **{**GANG, "one_zone": False}, rank="low", legs=2, expect_s=99.0)
@@ -123,7 +124,7 @@
 def a_gang_gives_way(clock: FixedTime) -> DecisionWorld:
     """A low gang is stopped whole for production, and a usual one for a team's guarantee."""
     world = DecisionWorld(clock, teams(0, 4), QUICK)
-    world.boxes(4, spot=False, zones=("north",))
+    world.add_boxes(4, spot=False, zones=("north",))
     no_more_machines(world)
     world.list_machines()
     world.run(2)
@@ -140,7 +141,7 @@
 def room_for_a_gang(clock: FixedTime) -> DecisionWorld:
     """Machines are kept for a large gang among small work that keeps coming."""
     world = DecisionWorld(clock, teams(2, 8), QUICK)
-    world.boxes(6, spot=False, zones=("north", "south"))
+    world.add_boxes(6, spot=False, zones=("north", "south"))
     no_more_machines(world)
     world.list_machines()
     world.run(2)
@@ -158,7 +159,7 @@
 def pipelines(clock: FixedTime) -> DecisionWorld:
     """Jobs that wait for others, with priorities and deadlines passed on, and one cancelled."""
     world = DecisionWorld(clock, teams(0, 0), QUICK)
-    world.boxes(3)
+    world.add_boxes(3)
     world.list_machines()
     world.run(2)
     world.submit("req-a", legs=2, rank="low", expect_s=3.0)
@@ -181,7 +182,7 @@
 def taken_by_the_cloud(clock: FixedTime) -> DecisionWorld:
     """Notices: tasks save while there is time, or are stopped at once; the machines vanish."""
     world = DecisionWorld(clock, teams(4, 4), QUICK)
-    world.boxes(6, spot=True)
+    world.add_boxes(6, spot=True)
     world.list_machines()
     world.run(2)
     world.submit("req-saves", legs=4, loaners=True, expect_s=60.0)
@@ -202,7 +203,7 @@
 def silent_machines(clock: FixedTime) -> DecisionWorld:
     """Leases run out, machines come back or are given back; one sends but does not hear."""
     world = DecisionWorld(clock, teams(4, 4), QUICK)
-    world.boxes(7, spot=False)
+    world.add_boxes(7, spot=False)
     world.list_machines()
     world.run(2)
     world.submit("req-array", legs=6, expect_s=50.0)
@@ -211,11 +212,11 @@
     world.run(4)
     names = sorted(world.workers)
     for name in names[:3]:
-        world.workers[name].silent = True
+        world.workers[name].unreachable = True
     world.workers[names[3]].receives_nothing = True
     world.submit("req-more", legs=4, expect_s=9.0, build="scan-3")
     world.run(19)
-    world.workers[names[0]].silent = False
+    world.workers[names[0]].unreachable = False
     world.run(60)
     return world
 
@@ -223,18 +224,18 @@
 def failures(clock: FixedTime) -> DecisionWorld:
     """A faulty machine is emptied; a job that fails everywhere backs off and gets no machine."""
     world = DecisionWorld(clock, teams(4, 4), QUICK)
-    world.boxes(5, spot=False)
+    world.add_boxes(5, spot=False)
     world.list_machines()
     faulty = sorted(world.workers)[1]
     world.workers[faulty].faulty = True
     world.run(2)
-    world.mistaken.add("req-mistake")
+    world.fleet.failing_jobs.add("req-mistake")
     world.submit("req-mistake", legs=2, expect_s=4.0)
     world.submit("req-good", legs=4, expect_s=12.0)
     world.submit("req-fine", legs=3, expect_s=12.0, crew="blue", build="fine-1")
     world.submit("req-gang", **GANG, legs=2, crew="blue")
     world.run(40)
-    world.mistaken.clear()
+    world.fleet.failing_jobs.clear()
     world.run(40)
     return world
 
@@ -242,7 +243,7 @@
 def cancelled(clock: FixedTime) -> DecisionWorld:
     """Cancelled before their placement, before it is written, while they start and run."""
     world = DecisionWorld(clock, teams(4, 4), QUICK)
-    world.boxes(4, spot=False)
+    world.add_boxes(4, spot=False)
     world.list_machines()
     world.run(2)
     world.submit("req-unplaced", legs=2)
@@ -283,9 +284,9 @@
 def lost_answers(clock: FixedTime) -> DecisionWorld:
     """Transactions whose answer is lost, that are carried out or not; records are merged."""
     world = DecisionWorld(clock, teams(4, 4), QUICK, limits=Limits(150, 24, 8, 900))
-    world.fates = {1: "never", 2: "unanswered", 4: "never", 5: "unanswered", 9: "never"}
-    world.fates |= {12: "unanswered", 15: "never", 18: "unanswered", 22: "never"}
-    world.boxes(6, spot=False)
+    world.state.outcomes = {1: "never", 2: "unanswered", 4: "never", 5: "unanswered", 9: "never"}
+    world.state.outcomes |= {12: "unanswered", 15: "never", 18: "unanswered", 22: "never"}
+    world.add_boxes(6, spot=False)
     world.list_machines()
     world.run(2)
     for number in range(8):
@@ -300,7 +301,7 @@
 def later_layout(clock: FixedTime) -> DecisionWorld:
     """Level 1: finished sets in small parts; many machines are returned with tasks on them."""
     world = DecisionWorld(clock, teams(4, 4), QUICK, level=FeatureLevel.FENCED)
-    world.boxes(6, spot=True)
+    world.add_boxes(6, spot=True)
     world.list_machines()
     world.run(2)
     small: dict[str, Any] = {"vcpus": 1.0, "accelerators": 0.2, "loaners": True}
@@ -320,7 +321,7 @@
 def new_leader(clock: FixedTime) -> DecisionWorld:
     """A second leader takes over in the midst of it, and a third one soon after."""
     world = DecisionWorld(clock, teams(4, 4), QUICK)
-    world.boxes(6, spot=False)
+    world.add_boxes(6, spot=False)
     world.list_machines()
     world.run(2)
     world.submit("req-array", legs=12, expect_s=5.0)
@@ -329,7 +330,7 @@
     world.submit("req-next", legs=3, waits_on=["req-array"])
     world.run(9)
     world.cancel("req-gang")
-    world.workers[sorted(world.workers)[2]].silent = True
+    world.workers[sorted(world.workers)[2]].unreachable = True
     world.change_leader()
     world.run(2)
     world.list_machines()
@@ -353,7 +354,7 @@
     )
     objectives = (Objective("wait", "scan", seconds(4)),)
     world = DecisionWorld(clock, teams(0, 2, 2, limit=10.0), policy, objectives)
-    world.boxes(5)
+    world.add_boxes(5)
     world.list_machines()
     world.run(2)
     for number in range(12):
@@ -373,7 +374,7 @@
 
 def traffic(clock: FixedTime, seed: int, machines: int, steps: int, arrivals: int) -> DecisionWorld:
     """Random jobs, and machines that fail in all ways, the same for the same seed."""
-    dice = random.Random(seed)
+    draw = random.Random(seed)
     policy = replace(QUICK, gather_after=seconds(8))
     objectives = (Objective("wait", "live", seconds(4)),)
     world = DecisionWorld(
@@ -384,69 +385,69 @@
         FeatureLevel.FENCED if seed % 2 else FeatureLevel.FIRST,
         Limits(150, 120, 32, 8192),
     )
-    world.boxes(machines)
+    world.add_boxes(machines)
     for zone in ZONES:
         world.capacity |= {("box", zone, True): 9, ("box", zone, False): 6}
     world.list_machines()
     world.run(2)
     for step in range(steps):
-        for _ in range(dice.randrange(arrivals + 1) if step < steps * 2 // 3 else 0):
-            _random_job(world, dice)
-        _random_trouble(world, dice)
+        for _ in range(draw.randrange(arrivals + 1) if step < steps * 2 // 3 else 0):
+            _random_job(world, draw)
+        _random_trouble(world, draw)
         if step % 8 == 7:
             world.list_machines()
         world.run(1)
     return world
 
 
-def _random_job(world: DecisionWorld, dice: random.Random) -> None:
+def _random_job(world: DecisionWorld, draw: random.Random) -> None:
     number = len(world.jobs) + 1
-    fields: dict[str, Any] = dice.choice(
+    fields: dict[str, Any] = draw.choice(
         [
-            {**SERVICE, "legs": dice.choice([2, 3])},
-            {**GANG, "legs": dice.choice([1, 2, 4, 8])},
-            {**LOW, "legs": dice.randrange(1, 30)},
-            {"legs": dice.randrange(1, 30), "loaners": True},
-            {"legs": dice.randrange(1, 12), "rank": "high"},
-            {"legs": dice.randrange(1, 6), "accelerators": 0.0, "vcpus": 6.0, "build": "cpu-1"},
+            {**SERVICE, "legs": draw.choice([2, 3])},
+            {**GANG, "legs": draw.choice([1, 2, 4, 8])},
+            {**LOW, "legs": draw.randrange(1, 30)},
+            {"legs": draw.randrange(1, 30), "loaners": True},
+            {"legs": draw.randrange(1, 12), "rank": "high"},
+            {"legs": draw.randrange(1, 6), "accelerators": 0.0, "vcpus": 6.0, "build": "cpu-1"},
         ]
     )
     fields |= {
-        "crew": dice.choice(["red", "blue", "green"]),
-        "expect_s": dice.choice([3.0, 6.0, 15.0]),
+        "crew": draw.choice(["red", "blue", "green"]),
+        "expect_s": draw.choice([3.0, 6.0, 15.0]),
     }
-    fields["stow_s"] = dice.choice([1.0, 2.0, 4.0])
-    if dice.random() < 0.3:
+    fields["stow_s"] = draw.choice([1.0, 2.0, 4.0])
+    if draw.random() < 0.3:
         fields["bookmark_s"] = 0.0
-    if dice.random() < 0.2:
-        fields["build"] = f"{fields.get('build', 'scan-1')}-{dice.randrange(5)}"
-    if world.jobs and dice.random() < 0.15:
-        fields["waits_on"] = [dice.choice(list(world.jobs))]
-    if dice.random() < 0.1:
+    if draw.random() < 0.2:
+        fields["build"] = f"{fields.get('build', 'scan-1')}-{draw.randrange(5)}"
+    if world.jobs and draw.random() < 0.15:
+        fields["waits_on"] = [draw.choice(list(world.jobs))]
+    if draw.random() < 0.1:
         fields["due_s"] = 30.0
     job_id = world.submit(f"req-{number:04d}", **fields)
-    if dice.random() < 0.05:
-        world.mistaken.add(job_id)
+    if draw.random() < 0.05:
+        world.fleet.failing_jobs.add(job_id)
 
 
-def _random_trouble(world: DecisionWorld, dice: random.Random) -> None:
+def _random_trouble(world: DecisionWorld, draw: random.Random) -> None:
     names = sorted(world.workers)
     if not names:
         return
-    if dice.random() < 0.1:
-        world.give_notice(dice.choice(names), dice.choice([2.0, 6.0, 12.0]))
-    if dice.random() < 0.08:
-        world.workers[dice.choice(names)].silent = True
-    if dice.random() < 0.15:
-        world.workers[dice.choice(names)].silent = False
-    if dice.random() < 0.05:
-        world.workers[dice.choice(names)].receives_nothing = True
-    if dice.random() < 0.05:
-        world.workers[dice.choice(names)].faulty = True
-    if world.jobs and dice.random() < 0.15:
-        world.cancel(dice.choice(list(world.jobs)))
-    if dice.random() < 0.2:
-        world.fates[world.transactions + 1] = dice.choice(["never", "unanswered"])
+    if draw.random() < 0.1:
+        world.give_notice(draw.choice(names), draw.choice([2.0, 6.0, 12.0]))
+    if draw.random() < 0.08:
+        world.workers[draw.choice(names)].unreachable = True
+    if draw.random() < 0.15:
+        world.workers[draw.choice(names)].unreachable = False
+    if draw.random() < 0.05:
+        world.workers[draw.choice(names)].receives_nothing = True
+    if draw.random() < 0.05:
+        world.workers[draw.choice(names)].faulty = True
+    if world.jobs and draw.random() < 0.15:
+        world.cancel(draw.choice(list(world.jobs)))
+    if draw.random() < 0.2:
+        world.state.outcomes[world.transactions + 1] = draw.choice(["never", "unanswered"])
 
 
 # -- recording ---------------------------------------------------------------------------------
