--- a/tests/fakes/decision_scenarios.py
+++ b/tests/fakes/decision_scenarios.py
@@ -1,56 +1,28 @@
 """Made-up deployments whose decisions are pinned by `tests/test_decision_trace.py`.
 
-Each scenario plays a deployment and returns it with its trace.  To record them anew, which is only
-right after a decision was changed on purpose, never to make the test pass:
-
-    python3 -m tests.fakes.decision_scenarios
+Each scenario plays a deployment and returns it with its trace.  Their names are keys of the golden
+file.
 """
 
 from __future__ import annotations
 
-import hashlib
-import json
-import random
-from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
-from pathlib import Path
 from typing import Any
 
-import click
-import pytest
-
 from micadeal.clock import seconds
-from micadeal.operator.platform import Objective, Team
-from micadeal.operator.policy import Policy, TeamPolicy
+from micadeal.operator.platform import Objective
+from micadeal.operator.policy import TeamPolicy
 from micadeal.rollout.feature_level import FeatureLevel
 from micadeal.state.limits import Limits
+from tests.fakes.decision_jobs import GANG, LOW, QUICK, SERVICE, teams
+from tests.fakes.decision_traffic import traffic
 from tests.fakes.decision_world import ZONES, DecisionWorld
 from tests.fakes.stepped_clock import FixedTime
 
-GOLDEN = Path(__file__).parent.parent / "golden" / "decisions.json"
-QUICK = Policy(
-    minimum_timeout=seconds(3), share_timeout=seconds(6), gather_after=seconds(5)
-)  # fmt: skip
-GANG: dict[str, Any] = {
-    "shape": "gang", "vcpus": 14.0, "accelerators": 2.0, "ram_gb": 50.0, "one_zone": True,
-    "lane": "train", "build": "train-1",
-}  # fmt: skip
-SERVICE: dict[str, Any] = {
-    "shape": "daemon", "rank": "production", "scatter": True, "lane": "live", "build": "live-1",
-}  # fmt: skip
-LOW: dict[str, Any] = {"rank": "low", "loaners": True, "lane": "batch", "build": "batch-1"}
-
-
-def teams(*guarantees: float, limit: float | None = None) -> dict[str, Team]:
-    names = ("red", "blue", "green")[: len(guarantees)]
-    return {
-        name: Team(name, 0.0, guarantee, None, limit)
-        for name, guarantee in zip(names, guarantees, strict=True)
-    }
-
 
 def no_more_machines(world: DecisionWorld) -> None:
+    """Let the cloud refuse all rentals from now on."""
     for rig in ("box", "slab"):
         for zone in ZONES:
             world.capacity |= {(rig, zone, True): 0, (rig, zone, False): 0}
@@ -60,7 +32,7 @@
 
 
 def all_shapes(clock: FixedTime) -> DecisionWorld:
-    """An array, a gang, a service and work without accelerators, from rental to idle returns."""
+    """Run an array, a gang, a service and work without gpus, from rental to idle returns."""
     world = DecisionWorld(clock, teams(4, 4), objectives=(Objective("wait", "live", seconds(4)),))
     world.add_boxes(4)
     world.list_machines()
@@ -79,7 +51,7 @@
 
 
 def below_guarantee(clock: FixedTime) -> DecisionWorld:
-    """A starved team has the newest tasks of others stopped, first those that can save."""
+    """Stop the newest tasks of others for a starved team, first those that can save."""
     world = DecisionWorld(clock, teams(0, 6, 2), QUICK)
     world.add_boxes(4, spot=False)
     no_more_machines(world)
@@ -122,7 +94,7 @@
 
 
 def a_gang_gives_way(clock: FixedTime) -> DecisionWorld:
-    """A low gang is stopped whole for production, and a usual one for a team's guarantee."""
+    """Stop a low gang whole for production, and a usual one for a team's guarantee."""
     world = DecisionWorld(clock, teams(0, 4), QUICK)
     world.add_boxes(4, spot=False, zones=("north",))
     no_more_machines(world)
@@ -222,7 +194,7 @@
 
 
 def failures(clock: FixedTime) -> DecisionWorld:
-    """A faulty machine is emptied; a job that fails everywhere backs off and gets no machine."""
+    """Empty a faulty machine; a job that fails everywhere backs off and gets no machine."""
     world = DecisionWorld(clock, teams(4, 4), QUICK)
     world.add_boxes(5, spot=False)
     world.list_machines()
@@ -241,7 +213,7 @@
 
 
 def cancelled(clock: FixedTime) -> DecisionWorld:
-    """Cancelled before their placement, before it is written, while they start and run."""
+    """Cancel jobs before their placement, before it is written, while they start and run."""
     world = DecisionWorld(clock, teams(4, 4), QUICK)
     world.add_boxes(4, spot=False)
     world.list_machines()
@@ -265,7 +237,7 @@
 
 
 def scarce_machines(clock: FixedTime) -> DecisionWorld:
-    """The cloud has few machines: partial answers, refusals, pauses, spot work on ordinary ones."""
+    """Rent from a cloud with few machines: partial answers, refusals, pauses, other kinds."""
     world = DecisionWorld(clock, teams(2, 2, limit=12.0), QUICK)
     no_more_machines(world)
     world.capacity |= {("box", "north", True): 1, ("box", "south", True): 2}
@@ -319,7 +291,7 @@
 
 
 def new_leader(clock: FixedTime) -> DecisionWorld:
-    """A second leader takes over in the midst of it, and a third one soon after."""
+    """Let a second leader take over in the midst of it, and a third one soon after."""
     world = DecisionWorld(clock, teams(4, 4), QUICK)
     world.add_boxes(6, spot=False)
     world.list_machines()
@@ -369,88 +341,7 @@
     return world
 
 
-# -- larger deployments ------------------------------------------------------------------------
-
-
-def traffic(clock: FixedTime, seed: int, machines: int, steps: int, arrivals: int) -> DecisionWorld:
-    """Random jobs, and machines that fail in all ways, the same for the same seed."""
-    draw = random.Random(seed)
-    policy = replace(QUICK, gather_after=seconds(8))
-    objectives = (Objective("wait", "live", seconds(4)),)
-    world = DecisionWorld(
-        clock,
-        teams(machines * 0.8, machines * 0.4, 0),
-        policy,
-        objectives,
-        FeatureLevel.FENCED if seed % 2 else FeatureLevel.FIRST,
-        Limits(150, 120, 32, 8192),
-    )
-    world.add_boxes(machines)
-    for zone in ZONES:
-        world.capacity |= {("box", zone, True): 9, ("box", zone, False): 6}
-    world.list_machines()
-    world.run(2)
-    for step in range(steps):
-        for _ in range(draw.randrange(arrivals + 1) if step < steps * 2 // 3 else 0):
-            _random_job(world, draw)
-        _random_trouble(world, draw)
-        if step % 8 == 7:
-            world.list_machines()
-        world.run(1)
-    return world
-
-
-def _random_job(world: DecisionWorld, draw: random.Random) -> None:
-    number = len(world.jobs) + 1
-    fields: dict[str, Any] = draw.choice(
-        [
-            {**SERVICE, "legs": draw.choice([2, 3])},
-            {**GANG, "legs": draw.choice([1, 2, 4, 8])},
-            {**LOW, "legs": draw.randrange(1, 30)},
-            {"legs": draw.randrange(1, 30), "loaners": True},
-            {"legs": draw.randrange(1, 12), "rank": "high"},
-            {"legs": draw.randrange(1, 6), "accelerators": 0.0, "vcpus": 6.0, "build": "cpu-1"},
-        ]
-    )
-    fields |= {
-        "crew": draw.choice(["red", "blue", "green"]),
-        "expect_s": draw.choice([3.0, 6.0, 15.0]),
-    }
-    fields["stow_s"] = draw.choice([1.0, 2.0, 4.0])
-    if draw.random() < 0.3:
-        fields["bookmark_s"] = 0.0
-    if draw.random() < 0.2:
-        fields["build"] = f"{fields.get('build', 'scan-1')}-{draw.randrange(5)}"
-    if world.jobs and draw.random() < 0.15:
-        fields["waits_on"] = [draw.choice(list(world.jobs))]
-    if draw.random() < 0.1:
-        fields["due_s"] = 30.0
-    job_id = world.submit(f"req-{number:04d}", **fields)
-    if draw.random() < 0.05:
-        world.fleet.failing_jobs.add(job_id)
-
-
-def _random_trouble(world: DecisionWorld, draw: random.Random) -> None:
-    names = sorted(world.workers)
-    if not names:
-        return
-    if draw.random() < 0.1:
-        world.give_notice(draw.choice(names), draw.choice([2.0, 6.0, 12.0]))
-    if draw.random() < 0.08:
-        world.workers[draw.choice(names)].unreachable = True
-    if draw.random() < 0.15:
-        world.workers[draw.choice(names)].unreachable = False
-    if draw.random() < 0.05:
-        world.workers[draw.choice(names)].receives_nothing = True
-    if draw.random() < 0.05:
-        world.workers[draw.choice(names)].faulty = True
-    if world.jobs and draw.random() < 0.15:
-        world.cancel(draw.choice(list(world.jobs)))
-    if draw.random() < 0.2:
-        world.state.outcomes[world.transactions + 1] = draw.choice(["never", "unanswered"])
-
-
-# -- recording ---------------------------------------------------------------------------------
+# -- all scenarios ----------------------------------------------------------------------------
 
 Scenario = Callable[[FixedTime], DecisionWorld]
 #: All that they decide is kept.
@@ -469,59 +360,3 @@
     "traffic_60": lambda clock: traffic(clock, 3, 60, 40, 4),
     "traffic_150": lambda clock: traffic(clock, 4, 150, 25, 8),
 }
-
-
-def play(name: str) -> list[dict[str, Any]]:
-    """The trace of a scenario, step by step, as it is read back from JSON."""
-    clock = FixedTime()
-    with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("micadeal.clock.time", clock)
-        world = (SMALL | LARGE)[name](clock)
-    steps: list[dict[str, Any]] = json.loads(json.dumps(world.steps))
-    return steps
-
-
-def golden_form(name: str, steps: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """What is kept of a trace."""
-    if name in SMALL:
-        return [step for step in steps if step["events"]]
-    return [
-        {
-            "at": step["at"],
-            "counts": dict(sorted(Counter(event[0] for event in step["events"]).items())),
-            "sha256": hashlib.sha256(json.dumps(step["events"]).encode()).hexdigest(),
-        }
-        for step in steps
-    ]
-
-
-def render(traces: dict[str, list[dict[str, Any]]]) -> str:
-    """JSON with one event a line, so that a change can be read in a diff."""
-    scenarios: list[str] = []
-    for name, steps in traces.items():
-        lines: list[str] = []
-        for step in steps:
-            if "events" in step:
-                events = ",\n".join("   " + _compact(event) for event in step["events"])
-                lines.append(f'  {{"at":{step["at"]},"events":[\n{events}]}}')
-            else:
-                lines.append("  " + _compact(step))
-        body = ",\n".join(lines)
-        scenarios.append(f' "{name}":[\n{body}]')
-    return "{\n" + ",\n".join(scenarios) + "\n}\n"
-
-
-def _compact(value: Any) -> str:
-    return json.dumps(value, separators=(",", ":"))
-
-
-@click.command()
-@click.option("--output", type=click.Path(path_type=Path), default=GOLDEN, show_default=True)
-def main(output: Path) -> None:
-    """Record the decisions of all scenarios."""
-    output.parent.mkdir(exist_ok=True)
-    output.write_text(render({name: golden_form(name, play(name)) for name in SMALL | LARGE}))
-
-
-if __name__ == "__main__":
-    main()
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -1,4 +1,4 @@
-"""A network in memory: delays, lost, held, copied and late requests, lost answers."""
+"""A network in memory: delayed, lost and duplicated requests, lost and delayed answers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 Handler = server.Handler
 
-#: How long what a stopped process waits for never comes.
+#: Longer than any scenario: what a stopped process waits for never comes.
 FOR_EVER_S = 3600.0
 
 
@@ -165,7 +165,7 @@
         await self._deliver(sent.address, sent.request)
 
     async def _deliver(self, address: str, request: Request) -> None:
-        """Let a request be handled of which nobody hears the answer."""
+        """Let a request be handled whose answer nobody receives."""
         if address in self._servers:
             _, handler = self._servers[address]
             await handler(request)
@@ -194,9 +194,11 @@
         self._process = process
 
     def client(self, address: str, keep: int) -> FakeClient:
+        """Return a client for an address."""
         return FakeClient(self._network, self._host, self._process, address)
 
     def server(self, address: SocketAddress, handler: Handler, most: int) -> FakeServer:
+        """Return a server for an address of the host."""
         return FakeServer(self._network, self._host, f"{address[0]}:{address[1]}", handler)
 
 
@@ -218,6 +220,7 @@
         timeout: timedelta,
         idempotent: bool = True,
     ) -> tuple[int, bytes]:
+        """Send a request; what a stopped process sends or waits for never arrives."""
         await self._stop_if_off()
         path, _, query = target.partition("?")
         request = Request(method, path, query, body)
@@ -230,7 +233,7 @@
             await curio.sleep(FOR_EVER_S)
 
     async def close(self) -> None:
-        pass
+        """Do nothing: there are no connections."""
 
 
 class FakeServer:
@@ -243,6 +246,7 @@
         self._handler = handler
 
     async def run(self) -> None:
+        """Serve until the host is closed."""
         self._network.serve(self._host, self._address, self._handler)
         while True:
             await curio.sleep(FOR_EVER_S)
--- a/tests/fakes/previous_versions.py
+++ b/tests/fakes/previous_versions.py
@@ -63,14 +63,18 @@
     keys: tuple[str, ...] = UNKNOWN_KEYS
 
     def client(self, address: str, keep: int) -> FakeClient:
+        """Return a client that drops unknown fields in both directions."""
         client = _Client(self._network, self._host, self._process, address)
         client.reader = self
         return client
 
     def forget(self, body: bytes) -> bytes:
+        """Return a body without the fields that the version does not know."""
         return encode(forget(decode(Any, body), self.fields)) if body else body
 
     def server(self, address: tuple[str, int], handler: Handler, most: int) -> FakeServer:
+        """Return a server that drops unknown fields in both directions."""
+
         async def read_as_before(request: Request) -> Answer:
             body = self.forget(request.body)
             answer = await handler(Request(request.method, request.path, request.query, body))
@@ -132,9 +136,11 @@
         self._watch = state.watch_client()
 
     def resign(self, reason: str = "") -> None:
+        """Give up leadership."""
         self._resigned = True
 
     async def run(self) -> None:
+        """Take part in elections for ever."""
         while True:
             try:
                 await self._run_round()
--- a/tests/fakes/protocol_rules.py
+++ b/tests/fakes/protocol_rules.py
@@ -110,8 +110,10 @@
         self._check_quota(attempts)
 
     def _check_cancelled_are_gone(self, attempts: Iterable[TaskAttempt]) -> None:
-        """Check ``ran_cancelled``: tasks are gone in time after their job, or one that it waits on,
-        was confirmed as cancelled."""
+        """Check ``ran_cancelled``: tasks are gone in time after a confirmed cancellation.
+
+        That of their job, or of one that it waits on.
+        """
         now = now_s()
         confirmed_at = self._answers.cancel_confirmed_at
         for attempt in attempts:
--- a/tests/fakes/stepped_clock.py
+++ b/tests/fakes/stepped_clock.py
@@ -23,4 +23,4 @@
 
     def monotonic(self) -> float:
         """Fail: decisions are made at a time that is passed to them."""
-        raise AssertionError("decisions are told the time")
+        raise AssertionError("decisions are passed the time")
--- a/tests/fakes/stepped_state.py
+++ b/tests/fakes/stepped_state.py
@@ -34,7 +34,7 @@
         return convert(Event, {"drop": f"job/{job_id}", "stamp": self.revision})
 
     def commit(self, number: int, transaction: Wire) -> bool:
-        """Apply a transaction if its conditions hold; return whether the writer is told so."""
+        """Apply a transaction if its conditions hold; return whether the writer learns of it."""
         outcome = self.outcomes.get(number, "applied")
         conditions = transaction["if"]
         versions = {key: item.version for key, item in self.items.items()}
--- a/tests/test_decision_trace.py
+++ b/tests/test_decision_trace.py
@@ -4,7 +4,7 @@
 rentals, returns, orders to workers and transactions are compared in their outside forms.
 
 Never record the file anew to make this test pass.  After a decision was changed on purpose, record
-it (`tests/fakes/decision_scenarios.py` says how) and explain each difference in the commit.
+it (`tests/fakes/decision_recording.py` says how) and explain each difference in the commit.
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
 
 import pytest
 
-from tests.fakes.decision_scenarios import GOLDEN, LARGE, SMALL, golden_form, play
+from tests.fakes.decision_recording import GOLDEN, golden_form, play
+from tests.fakes.decision_scenarios import LARGE, SMALL
 
 Steps = list[dict[str, Any]]
 MOST_BYTES = 1_500_000
@@ -107,7 +108,7 @@
 def test_the_trace_is_the_same_in_every_process(tmp_path: Path) -> None:
     """Guards the other tests against an order that hashes decide: such a trace proves nothing."""
     script = (
-        "import json, sys; from tests.fakes.decision_scenarios import play;"
+        "import json, sys; from tests.fakes.decision_recording import play;"
         "print(json.dumps([play(name) for name in sys.argv[1:]]))"
     )
     names = ["all_shapes", "failures", "lost_answers", "traffic_20"]
