--- a/bench/model_follower_leases/explorer.py
+++ b/bench/model_follower_leases/explorer.py
@@ -33,35 +33,38 @@
     path: tuple[str, ...] = ()
 
 
+#: A peer that has run, and given its complete list, for long.
+_SETTLED_PEER = PeerState(
+    asked=None,
+    speaks_since=OLDEST,
+    quiet_until=None,
+    born=OLDEST,
+    consent=0,
+    consent_until=None,
+    bound_token=0,
+    bound_until=None,
+    told=OLDEST,
+    listed=OLDEST,
+)
+#: A controller that has run for long and hears the leader.
+_SETTLED_CONTROLLER = ControllerState(
+    born=OLDEST,
+    token=TOKEN,
+    led=0,
+    bound_token=0,
+    bound_until=None,
+    lists_job=False,
+    peers=(_SETTLED_PEER, _SETTLED_PEER),
+)
+
+
 def initial_states(crashes: int, reading: bool) -> list[State]:
     """Return the states in which a search starts.
 
     Either a leader that has led for long; or, with ``reading``, one elected just now, when nothing
     was cancelled yet, or the job was a while ago, as the two others know.
     """
-    peer = PeerState(
-        asked=None,
-        speaks_since=OLDEST,
-        quiet_until=None,
-        born=OLDEST,
-        consent=0,
-        consent_until=None,
-        bound_token=0,
-        bound_until=None,
-        told=OLDEST,
-        listed=OLDEST,
-    )
-    controller = intern(
-        ControllerState(
-            born=OLDEST,
-            token=TOKEN,
-            led=0,
-            bound_token=0,
-            bound_until=None,
-            lists_job=False,
-            peers=(peer, peer),
-        )
-    )
+    controller = intern(_SETTLED_CONTROLLER)
     settled = State(
         controllers=(controller, controller, controller),
         leads=True,
--- a/bench/model_follower_leases/moves.py
+++ b/bench/model_follower_leases/moves.py
@@ -21,6 +21,7 @@
     LEADER,
     LEASE,
     TOKEN,
+    ControllerId,
     LateAnswer,
     Records,
     State,
@@ -51,6 +52,10 @@
     state: State | None
 
 
+def _has_records(state: State) -> bool:
+    return state.records in (Records.READ, Records.MISLEADING)
+
+
 @dataclass(frozen=True, slots=True)
 class Moves:
     """Generates moves.  ``max_late``: how many late answers may be in flight at once."""
@@ -171,32 +176,44 @@
         ):
             # The task would be started elsewhere, and it is still here.
             raise RuleBrokenError("ran_twice")
-        job_listed = fields(leader).lists_job
-        yield from self._reads(state, job_listed)
-        has_records = state.records in (Records.READ, Records.MISLEADING)
-        if state.confirmed is None and has_records:
+        yield from self._reads(state, fields(leader).lists_job)
+        if _has_records(state):
+            yield from self._answer_with_full_authority(state)
+        yield from self._answer_by_lists(state, leader_believes)
+
+    def _answer_with_full_authority(self, state: State) -> Iterator[Move]:
+        """Let the leader answer the worker, or hear of the cancellation by its watch."""
+        leader = state.controllers[LEADER]
+        if state.confirmed is None:
             yield Move(
                 "the leader answers, the state service is reachable",
                 state._replace(heard=0, informed=0, renewed=0),
             )
-        elif has_records and not (job_listed and state.records == Records.READ):
-            # The watch delivers it; the task is stopped with the next answer.
+        elif not (fields(leader).lists_job and state.records == Records.READ):
+            # The task is stopped with the next answer.
             listed = with_controller(state, LEADER, with_job_listed(leader))
             yield Move(
                 "the leader hears of the cancellation",
                 state._replace(controllers=listed, records=Records.READ),
             )
-        informed = state.informed if has_records or self.false_inputs.informed_by_election else None
-        if self.false_inputs.answers_for_ever or leader_may_renew(
+
+    def _answer_by_lists(self, state: State, leader_believes: ControllerId) -> Iterator[Move]:
+        """Let the leader answer the worker while it receives no changes of jobs."""
+        has_records = _has_records(state)
+        informed_at_all = has_records or self.false_inputs.informed_by_election
+        informed = state.informed if informed_at_all else None
+        if not self.false_inputs.answers_for_ever and not leader_may_renew(
             leader_believes, informed, self.false_inputs.lists_ageless
         ):
-            stops_task = job_listed and state.records != Records.MISLEADING
-            if self.false_inputs.stops_by_records_only and not has_records:
-                stops_task = False
-            yield Move(
-                "the leader answers, the state service is unreachable",
-                None if stops_task else state._replace(heard=0, renewed=0),
-            )
+            return
+        job_listed = fields(state.controllers[LEADER]).lists_job
+        stops_task = job_listed and state.records != Records.MISLEADING
+        if self.false_inputs.stops_by_records_only and not has_records:
+            stops_task = False
+        yield Move(
+            "the leader answers, the state service is unreachable",
+            None if stops_task else state._replace(heard=0, renewed=0),
+        )
 
     def _reads(self, state: State, job_listed: bool) -> Iterator[Move]:
         """Let a new leader read its records: the service answers, then the answer arrives."""
--- a/bench/model_rollout/explorer.py
+++ b/bench/model_rollout/explorer.py
@@ -15,6 +15,7 @@
     Entry,
     Snapshot,
     State,
+    Store,
     name_of,
     process_of,
 )
@@ -53,18 +54,7 @@
         Controller(kind, index * PROCESSES_PER_CONTROLLER)
         for index, kind in enumerate((2, 2, third))
     )
-    store = [
-        _member(index, controller)
-        for index, controller in enumerate(controllers)
-        if controller.kind is not None
-    ]
-    leader = msgspec.json.encode({"controller": name_of(0), "lease": _FIRST_LEASE})
-    store.append(Entry(LEADER, leader, _ELECTED, None if level else _FIRST_LEASE))
-    if level:
-        record = msgspec.json.encode({"level": level, "writes": level, "oldest": level})
-        store.append(Entry(LOCK_HOLDER, leader, _ELECTED, _FIRST_LEASE))
-        store.append(Entry(LEVEL, record, _ELECTED, None))
-    entries = tuple(sorted(store))
+    entries = _initial_store(controllers, level)
     seen = Snapshot(entries, _ELECTED)
     serving = [
         controller if controller.kind is None else controller._replace(registered=True, seen=seen)
@@ -86,6 +76,22 @@
     )
 
 
+def _initial_store(controllers: tuple[Controller, ...], level: int) -> Store:
+    """Return the store in which the first controller leads at ``level``."""
+    store = [
+        _member(index, controller)
+        for index, controller in enumerate(controllers)
+        if controller.kind is not None
+    ]
+    leader = msgspec.json.encode({"controller": name_of(0), "lease": _FIRST_LEASE})
+    store.append(Entry(LEADER, leader, _ELECTED, None if level else _FIRST_LEASE))
+    if level:
+        record = msgspec.json.encode({"level": level, "writes": level, "oldest": level})
+        store.append(Entry(LOCK_HOLDER, leader, _ELECTED, _FIRST_LEASE))
+        store.append(Entry(LEVEL, record, _ELECTED, None))
+    return tuple(sorted(store))
+
+
 def _member(index: int, controller: Controller) -> Entry:
     """Return the member record of a controller's first process."""
     _, changes = leader_locks.registration(
