--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -110,16 +110,18 @@
     patch.setattr(CancellationBroadcaster, "broadcast", alone)
 
 
-def _told_while_tasks_may_start(patch: pytest.MonkeyPatch) -> None:
+def _confirmed_while_tasks_may_start(patch: pytest.MonkeyPatch) -> None:
     broadcast = CancellationBroadcaster.broadcast
 
-    async def settled(self: CancellationBroadcaster, job_id: str) -> CancellationConfirmation:
+    async def no_start_possible(
+        self: CancellationBroadcaster, job_id: str
+    ) -> CancellationConfirmation:
         return (await broadcast(self, job_id))._replace(no_task_can_start=True)
 
     async def nothing_starts(self: CancellationBroadcaster, job_id: str) -> bool:
         return False
 
-    patch.setattr(CancellationBroadcaster, "broadcast", settled)
+    patch.setattr(CancellationBroadcaster, "broadcast", no_start_possible)
     patch.setattr(CancellationBroadcaster, "may_tasks_start", nothing_starts)
 
 
@@ -132,7 +134,7 @@
     patch.setattr(OutboundCalls, "write", unconditional)
 
 
-def _old_reports_are_news(patch: pytest.MonkeyPatch) -> None:
+def _stale_heartbeats_count(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(reconciliation, "_looks_older", lambda machine, heartbeat: False)
 
 
@@ -182,11 +184,11 @@
         ["gap", "follower crash", "machines out of reach"],
     ),
     "no task may start when a cancellation is confirmed": (
-        _told_while_tasks_may_start,
+        _confirmed_while_tasks_may_start,
         ["gap", "follower crash"],
     ),
     "writes are conditional on versions": (_writes_without_versions, ["late writes", "hand over"]),
-    "stale heartbeats change nothing": (_old_reports_are_news, ["late reports", "hand over"]),
+    "stale heartbeats change nothing": (_stale_heartbeats_count, ["late reports", "hand over"]),
     "only some absences end an attempt": (_any_absence_frees, ["late reports", "leader crash"]),
     "a lease has to be expired": (_silence_frees_at_once, ["machines out of reach"]),
     "only silence after our token counts": (
--- a/bench/model_follower_leases/conversion.py
+++ b/bench/model_follower_leases/conversion.py
@@ -92,7 +92,7 @@
         consent_until=consent_until,
         bound_token=view.committed_token if bound_until is not None else 0,
         bound_until=bound_until,
-        told=_clamp(to_instant(view.synced_list_asked_at), -CANCEL - 1),
+        synced_list_at=_clamp(to_instant(view.synced_list_asked_at), -CANCEL - 1),
         listed=_clamp(to_instant(view.list_asked_at), -CANCEL - 1),
     )
 
@@ -118,7 +118,7 @@
             to_time(peer.consent_until),
             peer.bound_token,
             to_time(peer.bound_until),
-            to_time(peer.told),
+            to_time(peer.synced_list_at),
             to_time(peer.listed),
         )
     if state.lists_job:
@@ -162,7 +162,7 @@
         born=_earlier(peer.born),
         consent_until=peer.consent_until if consents_endless else _earlier(peer.consent_until),
         bound_until=_earlier(peer.bound_until),
-        told=_earlier(peer.told),
+        synced_list_at=_earlier(peer.synced_list_at),
         listed=_earlier(peer.listed),
     )
 
@@ -246,16 +246,16 @@
         return peer._replace(
             consent=0,
             consent_until=None,
-            told=peer.told if peer.told == 0 else OLDEST,
+            synced_list_at=peer.synced_list_at if peer.synced_list_at == 0 else OLDEST,
             listed=OLDEST if listed is not None and listed != 0 else listed,
         )
     # Whether the list was given since the owner's start: nothing else is asked of it.
-    given = peer.told is not None and peer.told >= owner_born
+    given = peer.synced_list_at is not None and peer.synced_list_at >= owner_born
     return peer._replace(
         quiet_until=None,
         born=OLDEST,
         bound_token=0,
         bound_until=None,
-        told=OLDEST if owner_born == OLDEST else (0 if given else None),
+        synced_list_at=OLDEST if owner_born == OLDEST else (0 if given else None),
         listed=None,
     )
--- a/bench/model_follower_leases/explorer.py
+++ b/bench/model_follower_leases/explorer.py
@@ -34,7 +34,7 @@
 
 
 #: A peer that has run, and given its complete list, for long.
-_SETTLED_PEER = PeerState(
+_LONG_KNOWN_PEER = PeerState(
     asked=None,
     speaks_since=OLDEST,
     quiet_until=None,
@@ -43,18 +43,18 @@
     consent_until=None,
     bound_token=0,
     bound_until=None,
-    told=OLDEST,
+    synced_list_at=OLDEST,
     listed=OLDEST,
 )
 #: A controller that has run for long and hears the leader.
-_SETTLED_CONTROLLER = ControllerState(
+_LONG_RUNNING_CONTROLLER = ControllerState(
     born=OLDEST,
     token=TOKEN,
     led=0,
     bound_token=0,
     bound_until=None,
     lists_job=False,
-    peers=(_SETTLED_PEER, _SETTLED_PEER),
+    peers=(_LONG_KNOWN_PEER, _LONG_KNOWN_PEER),
 )
 
 
@@ -64,7 +64,7 @@
     Either a leader that has led for long; or, with ``reading``, one elected just now, when nothing
     was cancelled yet, or the job was a while ago, as the two others know.
     """
-    controller = intern(_SETTLED_CONTROLLER)
+    controller = intern(_LONG_RUNNING_CONTROLLER)
     settled = State(
         controllers=(controller, controller, controller),
         leads=True,
--- a/bench/model_follower_leases/moves.py
+++ b/bench/model_follower_leases/moves.py
@@ -249,13 +249,15 @@
                 witnesses = [index for index in CONTROLLERS if index != teller]
             for witness in witnesses:
                 listed = with_job_listed(state.controllers[teller])
-                told = state._replace(
+                after_confirmation = state._replace(
                     controllers=with_controller(state, teller, listed), confirmed=0
                 )
-                listed = with_job_listed(told.controllers[witness])
+                listed = with_job_listed(after_confirmation.controllers[witness])
                 yield Move(
                     f"{teller} confirms that the job is cancelled, {witness} knows",
-                    told._replace(controllers=with_controller(told, witness, listed)),
+                    after_confirmation._replace(
+                        controllers=with_controller(after_confirmation, witness, listed)
+                    ),
                 )
 
     def _crashes(self, state: State) -> Iterator[Move]:
--- a/bench/model_follower_leases/state.py
+++ b/bench/model_follower_leases/state.py
@@ -52,7 +52,7 @@
     consent_until: Instant | None
     bound_token: int
     bound_until: Instant | None
-    told: Instant | None
+    synced_list_at: Instant | None
     listed: Instant | None
 
 
--- a/bench/model_rollout/guards.py
+++ b/bench/model_rollout/guards.py
@@ -50,7 +50,7 @@
     return _level_change(*args[:-1], [])
 
 
-def _plan_without_silent(record: Any, own: Any, observations: Any, *args: Any) -> Any:
+def _plan_without_absent_peers(record: Any, own: Any, observations: Any, *args: Any) -> Any:
     """Plan as if the peers that have shown no process did not exist."""
     shown = {name: seen for name, seen in observations.items() if seen.process}
     return _plan(record, own, shown, *args)
@@ -77,7 +77,7 @@
     ),
     "all others have shown the level, and are recorded with it": Guard(
         {
-            "micadeal.rollout.migration.plan": _plan_without_silent,
+            "micadeal.rollout.migration.plan": _plan_without_absent_peers,
             "micadeal.rollout.migration.confirm": lambda *_: (),
         },
         {"third": 1},
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -163,7 +163,7 @@
     if machine.draining or machine.reclaim_expected_at is not None:
         line.draining += 1
     elif machine.heard is None or now - machine.heard > timeout:
-        line.silent += 1
+        line.unresponsive += 1
     else:
         line.up += 1
     if (kind := cluster.types.get(machine.machine_type)) is not None:
--- a/micadeal/wire/peers.py
+++ b/micadeal/wire/peers.py
@@ -194,7 +194,7 @@
     reason: str
 
 
-class MachineLine(msgspec.Struct, rename={"draining": "leaving"}):
+class MachineLine(msgspec.Struct, rename={"draining": "leaving", "unresponsive": "silent"}):
     """The machines of one type, zone and kind in an ``Overview``."""
 
     machine_type: str
@@ -204,7 +204,7 @@
     #: to be returned or taken.
     up: int
     booting: int
-    silent: int
+    unresponsive: int
     draining: int
     #: Accelerators that tasks take, and that there are, on all that have booted.
     gpus_used: float
