--- a/micadeal/cli/__init__.py
+++ b/micadeal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line: one module for each group of commands, and what they share."""
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Starts micadeal from a checkout whose dependencies were built into ``target/deps``."""
+"""Run micadeal from a checkout whose dependencies were installed into ``target/deps``."""
 
 import sys
 from pathlib import Path
