--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -30,7 +30,7 @@
 from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.controller.leader import Leader
 from micadeal.controller.outbound import OutboundCalls
-from micadeal.controller.persistence.record_writer import WriteBatch
+from micadeal.controller.persistence.batches import WriteBatch
 from micadeal.controller.record_loader import RecordLoader
 from micadeal.fleet.machines import Machine
 from micadeal.scheduling import machine_loss, reconciliation, reported_tasks, worker_commands
--- a/micadeal/controller/api/confirmation.py
+++ b/micadeal/controller/api/confirmation.py
@@ -56,7 +56,7 @@
         """Return the answer once a user may be given it.
 
         Guards ``ran_cancelled``: before that, so many controllers know of the cancellation that
-        any which acts for the leader will hear of it, whoever crashes meanwhile.  And no task of
+        any which acts for the leader will learn of it, whoever crashes meanwhile.  And no task of
         the job starts afterwards: a leader has seen that none can any more, or every task has been
         gone for certain, as if the user had been answered when enough controllers knew.
 
--- a/micadeal/controller/api/dependencies.py
+++ b/micadeal/controller/api/dependencies.py
@@ -31,8 +31,8 @@
     def cancellations_propagated(self, asked: timedelta) -> bool:
         """Whether a job's own record is enough for an answer to a question put at ``asked``.
 
-        As long as the leader's word is fresh, whatever was cancelled longer ago than that has been
-        recorded for all jobs after it.
+        As long as the leader's last report is fresh, whatever was cancelled before it is recorded
+        for all jobs that depend on it.
         """
         return (
             self.propagated_until is not None
@@ -64,8 +64,8 @@
     async def has_cancelled_ancestor(self, jobs: RecordedJobs, asked: timedelta) -> bool:
         """Whether one of the jobs, or one further up, is cancelled.
 
-        Guards ``orphaned``: without a fresh word of the leader (no leader for long, an outage) the
-        records of all jobs further up are read.
+        Guards ``orphaned``: without a fresh report of the leader (no leader for long, an outage)
+        the records of all jobs further up are read.
         """
         if self.cancellations_propagated(asked):
             return False
--- a/micadeal/controller/api/jobs.py
+++ b/micadeal/controller/api/jobs.py
@@ -95,7 +95,7 @@
         self._dependencies.propagated_until = until
 
     def over(self, job_id: str) -> None:
-        """Note that a job's end is recorded, by the word of another controller or of the leader."""
+        """Note that a job's end is recorded, as another controller or the leader reports."""
         self._answers.note_ended(job_id)
 
     @property
--- a/micadeal/controller/api/known_answers.py
+++ b/micadeal/controller/api/known_answers.py
@@ -66,7 +66,7 @@
         self._counted_at: timedelta | None = None
 
     def note_ended(self, job_id: str) -> None:
-        """Note that a job's end is recorded, by the word of another."""
+        """Note that a job's end is recorded, as another controller or the leader reports."""
         if job_id not in self.final and JOB_ID.match(job_id):
             self.ended.add(job_id, None)
 
--- a/micadeal/controller/api/status.py
+++ b/micadeal/controller/api/status.py
@@ -66,7 +66,7 @@
         if (final := self._answers.final.get(job_id)) is not None:
             return final
         asked = monotonic()
-        if await self._is_unchanged(job_id):
+        if await self._version_holds(job_id):
             return self._answers.in_progress(job_id)
         item = await self._state.get(JOBS + job_id)
         if item is None:
@@ -78,7 +78,7 @@
             return await self._reader.read_end(job_id, cannot_start=True)
         return self._answers.in_progress(job_id)
 
-    async def _is_unchanged(self, job_id: str) -> bool:
+    async def _version_holds(self, job_id: str) -> bool:
         """Whether the record of an independent job is still at the version last read."""
         version = self._independent_versions.get(job_id)
         if version is None:
--- a/micadeal/controller/persistence/job_ends.py
+++ b/micadeal/controller/persistence/job_ends.py
@@ -83,10 +83,10 @@
         self._cluster.job_ended(end.job_id, end.record, now)
 
     def failed(self, end: JobEndWrite, items: Mapping[str, Item | None], now: timedelta) -> None:
-        """Take over an end that is there all the same.
+        """Take over an end that exists all the same.
 
-        If the job is gone from the service it is over, one way or the other: the watch of jobs
-        tells the cluster state.
+        If only the job's record is gone, the job has ended in another way, which the watch of jobs
+        will report.
         """
         self._under_way.discard(end.job_id)
         item = items.get(f"{ENDS}{end.job_id}")
--- a/micadeal/controller/persistence/stored_keys.py
+++ b/micadeal/controller/persistence/key_tracker.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class StoredKeys:
+class KeyTracker:
     """Owns the versions of all keys, and which keys are to be dropped or may change late.
 
     Every write depends on the version that is kept here.  A transaction whose answer was lost may
--- a/micadeal/controller/persistence/placement_chunks.py
+++ b/micadeal/controller/persistence/placement_chunks.py
@@ -26,7 +26,7 @@
     _size: int = 0
 
     def add(self, attempt: Attempt) -> bool:
-        """Add an attempt if there is room for it; the first one is always added."""
+        """Add an attempt if it fits; the first one is always added."""
         machine = self.cluster.machines[attempt.machine]
         size = max_json_size(attempt.job_id) + ATTEMPT_BYTES
         if machine.name not in self._machine_names:
--- a/micadeal/controller/persistence/placements.py
+++ b/micadeal/controller/persistence/placements.py
@@ -90,14 +90,14 @@
             if item is None:
                 self._keys.mark_unconfirmed(write.key)
             else:
-                self._take_stored(write, item, now)
+                self._take_existing(write, item, now)
         for key, item in items.items():
             if item is None and key in self._cluster.records:
                 self._cluster.record_gone(key)
 
-    def _take_stored(self, write: PlacementWrite, item: Item, now: timedelta) -> None:
+    def _take_existing(self, write: PlacementWrite, item: Item, now: timedelta) -> None:
         """Take over a record that exists, perhaps by an earlier transaction under its key."""
-        stored = {
+        existing = {
             (entry.name, task)
             for entry in convert(PlacedRecord, item.value).machines
             for task in entry.tasks
@@ -105,10 +105,10 @@
         named = [
             attempt
             for attempt in write.attempts
-            if (attempt.machine, attempt.placed_task) in stored
+            if (attempt.machine, attempt.placed_task) in existing
         ]
         self._cluster.written(write.key, named, now)
-        if len(named) < len(stored):
+        if len(named) < len(existing):
             self._cluster.shrunk.setdefault(write.key, now)
 
     def _put(self, draft: BatchDraft, chunk: PlacementChunk) -> None:
--- a/micadeal/controller/persistence/returned_machines.py
+++ b/micadeal/controller/persistence/returned_machines.py
@@ -34,11 +34,11 @@
         #: All machines that this term has named.
         self._named: set[str] = set()
 
-    def load(self, stored: VersionedRecord[LeavingRecord], now: timedelta) -> list[str]:
+    def load(self, loaded: VersionedRecord[LeavingRecord], now: timedelta) -> list[str]:
         """Return the machines that an earlier leader was returning less than 40 s ago."""
-        self._keys.versions[stored.key] = stored.version
-        self._recorded_at[stored.key] = now
-        record = stored.record
+        self._keys.versions[loaded.key] = loaded.version
+        self._recorded_at[loaded.key] = now
+        record = loaded.record
         if record is None or utc_now().timestamp() - record.at >= RETENTION.total_seconds():
             return []
         return record.machines
--- a/micadeal/controller/persistence/writer_context.py
+++ b/micadeal/controller/persistence/writer_context.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from micadeal.controller.persistence.batches import WriteBatch
-from micadeal.controller.persistence.stored_keys import StoredKeys
+from micadeal.controller.persistence.key_tracker import KeyTracker
 from micadeal.rollout.feature_level import FeatureLevel
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.state.limits import Limits
@@ -48,7 +48,7 @@
     limits: WriteLimits
     #: Says in which layouts records are written, and whether later ones are written back.
     level: LevelRecord
-    keys: StoredKeys = field(default_factory=StoredKeys)
+    keys: KeyTracker = field(default_factory=KeyTracker)
 
     @property
     def writes_fenced_layouts(self) -> bool:
