--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -152,18 +152,19 @@
             OperatorApi(self._leader, self._peer_links),
             SettingsApi(self._state),
         )
-        self._peer_api = PeerApi(
-            PeerApiConfig(
-                leader=self._leader,
-                state_contact=self._state_contact,
-                peer_links=self._peer_links,
-                feature_levels=self._feature_levels,
-                follower_leases=self._follower_leases,
-                heartbeats=heartbeats,
-                jobs=self._job_api,
-                cancellations=self._cancellations,
-                on_leader_announced=self._on_leader_announced,
-            )
+        self._peer_api = PeerApi(self._peer_api_config(heartbeats))
+
+    def _peer_api_config(self, heartbeats: HeartbeatApi) -> PeerApiConfig:
+        return PeerApiConfig(
+            leader=self._leader,
+            state_contact=self._state_contact,
+            peer_links=self._peer_links,
+            feature_levels=self._feature_levels,
+            follower_leases=self._follower_leases,
+            heartbeats=heartbeats,
+            jobs=self._job_api,
+            cancellations=self._cancellations,
+            on_leader_announced=self._on_leader_announced,
         )
 
     def _all_started(self) -> frozenset[str]:
--- a/micadeal/controller/zone_observer.py
+++ b/micadeal/controller/zone_observer.py
@@ -11,9 +11,10 @@
 from micadeal.rollout.membership import Presence, presence
 from micadeal.zones.zone_monitor import ZoneMonitor
 
-#: For the zone monitor a machine is silent after this many heartbeat intervals.  That is sooner
-#: than it stops receiving new work (scheduling/capacity.py): here one machine alone says nothing.
-SILENT_HEARTBEATS = 2
+#: A machine counts as silent for the zone monitor after this many heartbeat intervals.  That is
+#: sooner than it stops receiving new work (scheduling/capacity.py): here one machine alone says
+#: nothing.
+MAX_MISSED_HEARTBEATS = 2
 #: From the best to the worst.
 PRESENCE_ORDER = list(Presence)
 
@@ -23,7 +24,7 @@
 
     def __init__(self, platform: Platform, feature_levels: FeatureLevels, now: timedelta) -> None:
         self._peers = platform.peers
-        self._max_silence = platform.workers.heartbeat_interval * SILENT_HEARTBEATS
+        self._max_silence = platform.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS
         self._feature_levels = feature_levels
         self._monitor = ZoneMonitor(platform.zones, platform.zone, now)
 
--- a/tests/fakes/kernel.py
+++ b/tests/fakes/kernel.py
@@ -36,6 +36,7 @@
 
 
 def run_stepped(main: Callable[[], Awaitable[None]], monkeypatch: Any) -> None:
+    """Run ``main`` to its end in stepped time; the process's clocks are patched for that."""
     clock = _Clock()
     monkeypatch.setattr(time, "monotonic", clock.monotonic)
     monkeypatch.setattr(time, "time", clock.time)
