--- a/micadeal/scheduling/arrivals.py
+++ b/micadeal/scheduling/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrival rates of job classes, and the work that they let expect."""
+"""Arrival rates of job classes, and the forecast of work that needs warm capacity."""
 
 from __future__ import annotations
 
@@ -15,42 +15,45 @@
 from micadeal.scheduling.plan import ExpectedWork
 from micadeal.wire.users import Submission
 
-#: Warm capacity as a multiple of what arrives in a boot time on average: more than that where
-#: capacity costs a fraction.
+#: Ratio of warm capacity to the average number of tasks that arrive within one boot time.  Spot
+#: capacity costs a fraction of the on-demand price, so more of it is kept.
 WARM_FACTOR_ON_DEMAND = 1.0
 WARM_FACTOR_SPOT = 1.5
-#: Classes whose arrivals are kept.
+#: Number of classes whose arrivals are recorded.
 MAX_CLASSES = 100
-#: Arrivals kept per class, and over which windows their rate is taken.
+#: Number of arrivals recorded per class.
 MAX_ARRIVALS = 100
+#: Windows over which the arrival rate is measured.
 ARRIVAL_WINDOWS = (seconds(60), seconds(120), seconds(180))
 MEDIAN_INDEX = len(ARRIVAL_WINDOWS) // 2
-#: Older arrivals count as this old: a new leader learns of them all at once.
+#: Arrivals older than this are recorded with this age: a new leader loads all jobs in one step.
 MAX_ARRIVAL_AGE = seconds(600)
-#: Kind of an objective on the time that jobs of a class may wait for their start.
+#: Kind of objective that limits how long jobs of a class may wait for their start.
 WAIT_OBJECTIVE = "wait"
 
 
 @dataclass(frozen=True, slots=True)
 class _Arrival:
-    at: timedelta
+    arrived_at: timedelta
     tasks: int
 
 
 @dataclass(slots=True)
 class ClassArrivals:
-    """When jobs of one class arrived, and what the last of them asked for."""
+    """Arrivals of jobs of one class, and the specification of the newest one."""
 
     arrivals: deque[_Arrival] = field(default_factory=lambda: deque(maxlen=MAX_ARRIVALS))
     spec: Submission | None = None
     images: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_ARRIVALS))
 
     def rate(self, now: timedelta, window: timedelta) -> float:
-        """Return the tasks per second within the window."""
+        """Return the arrival rate within the window, in tasks per second."""
         if len(self.arrivals) == MAX_ARRIVALS:
-            # More came than are remembered: they tell of the time since the first of them.
-            window = max(min(window, now - self.arrivals[0].at), seconds(1))
-        tasks = sum(arrival.tasks for arrival in self.arrivals if now - arrival.at <= window)
+            # Older arrivals were dropped, so the recorded ones cover only the time since the first.
+            window = max(min(window, now - self.arrivals[0].arrived_at), seconds(1))
+        tasks = sum(
+            arrival.tasks for arrival in self.arrivals if now - arrival.arrived_at <= window
+        )
         return tasks / window.total_seconds()
 
 
@@ -68,34 +71,35 @@
         return frozenset(objective.job_class for objective in self._objectives)
 
     def add(self, job: Job, now: timedelta) -> None:
-        """Take note of a job that arrived."""
-        entry = self._by_class.pop(job.spec.job_class, None) or ClassArrivals()
-        self._by_class[job.spec.job_class] = entry
+        """Record the arrival of a job."""
+        history = self._by_class.pop(job.spec.job_class, None) or ClassArrivals()
+        self._by_class[job.spec.job_class] = history
         if len(self._by_class) > MAX_CLASSES:
-            # Class names are the users' choice: the one without arrivals for longest is dropped.
+            # Users choose class names freely, so the number of classes is bounded by dropping the
+            # one whose last arrival is the oldest.
             del self._by_class[next(iter(self._by_class))]
         tasks = job.spec.tasks
         if job.is_gang:
-            # A large gang needs more slots at once than are likely to be left: a machine's worth.
+            # Warm capacity rarely suffices for a large gang: it counts as one machine's worth.
             tasks = min(tasks, self._offers.most_on_one(job.spec))
-        entry.arrivals.append(_Arrival(max(job.submitted, now - MAX_ARRIVAL_AGE), tasks))
-        entry.spec = job.spec
-        entry.images.append(job.spec.image)
+        history.arrivals.append(_Arrival(max(job.submitted, now - MAX_ARRIVAL_AGE), tasks))
+        history.spec = job.spec
+        history.images.append(job.spec.image)
 
     def expected_work(self, now: timedelta) -> tuple[ExpectedWork, ...]:
-        """Return the work that needs warm capacity: it is to start sooner than a machine boots."""
+        """Return the expected work whose wait objective is shorter than a machine's boot time."""
         boot_times = [kind.boot_s for kind in self._offers.types.values()]
         if not boot_times:
             return ()
         boot_s = min(boot_times)
-        result: list[ExpectedWork] = []
+        expected: list[ExpectedWork] = []
         for objective in self._objectives:
-            entry = self._by_class.get(objective.job_class)
-            if entry is None or entry.spec is None or objective.target >= seconds(boot_s):
+            history = self._by_class.get(objective.job_class)
+            if history is None or history.spec is None or objective.target >= seconds(boot_s):
                 continue
-            # A burst must not pass for a rate for long: the median over the windows counts.
-            rate = sorted(entry.rate(now, window) for window in ARRIVAL_WINDOWS)[MEDIAN_INDEX]
-            factor = WARM_FACTOR_SPOT if entry.spec.spot_allowed else WARM_FACTOR_ON_DEMAND
+            # The median over the windows keeps a short burst from counting as a lasting rate.
+            rate = sorted(history.rate(now, window) for window in ARRIVAL_WINDOWS)[MEDIAN_INDEX]
+            factor = WARM_FACTOR_SPOT if history.spec.spot_allowed else WARM_FACTOR_ON_DEMAND
             tasks = max(1, math.ceil(rate * boot_s * factor))
-            result.append(ExpectedWork(entry.spec, tasks, frozenset(entry.images)))
-        return tuple(result)
+            expected.append(ExpectedWork(history.spec, tasks, frozenset(history.images)))
+        return tuple(expected)
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -1,8 +1,9 @@
-"""Which pending jobs are deferred to a cheaper or cleaner hour: the scheduler's side of ``timing``.
+"""Deferral of flexible jobs to a cheaper or lower-carbon hour: the scheduler's side of ``timing``.
 
-A deferred job uses nothing and counts as no demand, as a job past its team's running limit does in
-the design (4.7).  Instants here are of the monotonic clock, as in all decisions; windows are chosen
-in UTC.  The two are related anew at each refresh, so a wall clock that is set takes effect at once.
+A deferred job uses no capacity and does not count as demand.  The design (4.7) treats a job past
+its team's running limit the same way.  Instants here are of the monotonic clock, as in all
+scheduling decisions; windows are chosen in UTC.  Each refresh reads both clocks again, so a change
+of the wall clock takes effect at the next refresh.
 """
 
 from __future__ import annotations
@@ -30,61 +31,65 @@
 from micadeal.timing.signal import SLOT, Profile, Signal, cost_curve
 from micadeal.wire.users import Submission
 
-#: How often windows are chosen anew.
+#: Interval at which windows are chosen again.
 REFRESH_INTERVAL = seconds(15)
-#: A team below its guarantee for so long has nothing deferred; a boot and a fetch take less.
+#: Jobs of a team that has been below its guarantee for this long are not deferred.  A boot and an
+#: image fetch take less time.
 STARVATION_TIMEOUT = seconds(120)
-#: Jobs whose windows are chosen at one time.
+#: Maximum number of jobs whose windows are chosen in one call of ``refresh``.
 AT_ONCE = 300
-#: Nothing is deferred to a window further ahead.
+#: Jobs are not deferred to windows further in the future than this.
 HORIZON = timedelta(hours=48)
-#: Time to start beside boot and fetch: heartbeats, cycles, and a failover of the leader.
+#: Start time in addition to boot and fetch: heartbeats, scheduling cycles and a leader failover.
 START_MARGIN = seconds(60)
 MAX_DURATION = timedelta(days=7)
-#: Estimates count no further than this, so that they stay representable.
+#: Estimates are capped at this value, so that they stay representable as ``timedelta``.
 MAX_ESTIMATE_S = 1e7
-#: Instants further from now than this are cut, so that they stay representable in UTC.
+#: Offsets from the last refresh are clamped to this, so that instants stay representable in UTC.
 MAX_OFFSET = timedelta(days=400)
-#: A rest smaller than this is no further round of tasks, but rounding.
+#: A fraction of a round of tasks that is smaller than this is a rounding error, not another round.
 ROUND_TOLERANCE = 1e-9
 
 
 class Deferral:
-    """Defers flexible jobs during one leader's term."""
+    """Decides which flexible jobs are deferred, during one leader's term."""
 
     def __init__(self, cluster: ClusterState, local: tzinfo, drift: timedelta) -> None:
-        """``local``: time zone in which days repeat themselves; ``drift``: of the wall clocks."""
+        """Set up deferral without any signals.
+
+        ``local``: time zone of the daily pattern of prices and carbon intensities.  ``drift``:
+        largest difference between the wall clocks of controllers and signal feeds.
+        """
         self._cluster = cluster
         self._local = local
-        #: How far apart the clocks of controllers and signal feeds may be.
         self._drift = drift
         self._signals: dict[tuple[str, Quantity], Signal] = {}
-        self._errors = EstimateErrors()
-        self._keepers: dict[str, HoldTracker] = {}
-        #: The last refresh, on the monotonic clock (None: due at once) and in UTC.
+        self._estimate_errors = EstimateErrors()
+        self._hold_trackers: dict[str, HoldTracker] = {}
+        #: Time of the last refresh, on the monotonic clock (None: a refresh is due) and in UTC.
         self._refreshed_at: timedelta | None = None
         self._refreshed_utc = datetime.min
         self._policy = Policy()
         self._teams: Mapping[str, Mapping[str, TeamState]] = {}
-        #: Teams with demand below their guarantee, by (team, resource).
+        #: Since when teams with unmet demand are below their guarantee, by (team, resource).
         self._starved_since: dict[tuple[str, str], timedelta] = {}
-        #: What to multiply estimates with, by class that may be deferred.
+        #: Factors for the estimates of running time, by class that may be deferred.
         self._error_factors: dict[str, float] = {}
-        #: Jobs whose windows are still to be chosen anew; taken from the end.
+        #: Jobs whose windows are still to be chosen in this refresh; taken from the end.
         self._queue: list[Job] = []
         cluster.completed_run_times = []
 
     def take(self, series: Series) -> None:
-        """Take in new prices or carbon intensities of a zone."""
+        """Add new prices or carbon intensities of a zone."""
         key = (series.zone, series.quantity)
         signal = self._signals.setdefault(key, Signal(Profile(self._local)))
         signal.take(series)
         self._refreshed_at = None
 
-    def learn(self, ends: Iterable[tuple[str, float]]) -> None:
-        """Take in ended tasks: their class, and the time taken as a multiple of the estimate."""
-        for job_class, ratio in ends:
-            self._errors.ended(job_class, ratio)
+    def learn(self, ended_tasks: Iterable[tuple[str, float]]) -> None:
+        """Record ended tasks: their class, and the ratio of running time to estimate."""
+        for job_class, ratio in ended_tasks:
+            self._estimate_errors.ended(job_class, ratio)
 
     # -- deciding --------------------------------------------------------------------------
 
@@ -92,16 +97,17 @@
         self,
         policy: Policy,
         teams: Mapping[str, Mapping[str, TeamState]],
-        waits: frozenset[str],
+        urgent_classes: frozenset[str],
         now: timedelta,
         utc_now: datetime,
     ) -> None:
-        """Choose windows anew, every ``REFRESH_INTERVAL`` and some jobs at a time.
+        """Choose windows for flexible jobs again, every ``REFRESH_INTERVAL``.
 
-        In between ``held`` decides on jobs that have come since.
+        Each call decides on a limited number of jobs.  ``held`` decides on jobs that arrive in
+        between.
 
-        ``teams``: of the last cycle, by resource.  ``waits``: classes with a waiting-time
-        objective, which are never deferred.
+        ``teams``: team states of the last cycle, by resource.  ``urgent_classes``: classes with a
+        waiting-time objective, which are never deferred.
         """
         due = self._refreshed_at is None or (
             not self._queue and now - self._refreshed_at >= REFRESH_INTERVAL
@@ -109,44 +115,57 @@
         if due:
             self._refreshed_at, self._refreshed_utc = now, utc_now
             self._policy, self._teams = policy, teams
-            self._begin_refresh(waits)
-        # Guards against a leader that answers nobody for a second: 10,000 jobs take that long.
+            self._begin_refresh(urgent_classes)
+        # Guards against a leader that answers no request for a second: choosing windows for 10,000
+        # jobs takes that long.
         for _ in range(min(len(self._queue), AT_ONCE)):
             job = self._queue.pop()
-            keeper = self._keepers.get(job.spec.job_class)
-            if keeper is not None and _deferrable(job):
-                keeper.consider(self._work(job), utc_now)
+            tracker = self._hold_trackers.get(job.spec.job_class)
+            if tracker is not None and _is_deferrable(job):
+                tracker.consider(self._to_deferrable_job(job), utc_now)
 
-    def _begin_refresh(self, waits: frozenset[str]) -> None:
+    def _begin_refresh(self, urgent_classes: frozenset[str]) -> None:
         policy, utc_now = self._policy, self._refreshed_utc
         self._update_starved()
         self.learn(self._cluster.completed_run_times or ())
         self._cluster.completed_run_times = []
-        factors = {name: self._errors.factor(name) for name in policy.flexible if name not in waits}
+        factors = {
+            name: self._estimate_errors.factor(name)
+            for name in policy.flexible
+            if name not in urgent_classes
+        }
         self._error_factors = {name: f for name, f in factors.items() if f is not None}
         by_class = self._deferrable_by_class()
         all_jobs = [job for jobs in by_class.values() for job in jobs]
-        shares = {_pool(job): _share(job, self._teams) for job in all_jobs}
+        units_by_pool = {_pool_name(job): _available_units(job, self._teams) for job in all_jobs}
         pools = PoolCapacities(
-            {name: share for name, share in shares.items() if math.isfinite(share)}
+            {
+                name: available
+                for name, available in units_by_pool.items()
+                if math.isfinite(available)
+            }
         )
-        self._keepers = {name: self._keepers.get(name) or HoldTracker() for name in by_class}
+        self._hold_trackers = {
+            name: self._hold_trackers.get(name) or HoldTracker() for name in by_class
+        }
         for name, jobs in by_class.items():
-            curve = cost_curve(self._weighted(policy.flexible[name]), utc_now, utc_now + HORIZON)
-            self._keepers[name].begin({job.id for job in jobs}, curve, utc_now, pools)
-        # Reversed, since it is taken from the end: the least time left comes first.
+            curve = cost_curve(
+                self._weighted_signals(policy.flexible[name]), utc_now, utc_now + HORIZON
+            )
+            self._hold_trackers[name].begin({job.id for job in jobs}, curve, utc_now, pools)
+        # Reversed, because jobs are taken from the end: the one that must finish first comes first.
         self._queue = sorted(all_jobs, key=lambda job: (job.latest, job.id), reverse=True)
 
     def _deferrable_by_class(self) -> dict[str, list[Job]]:
         by_class: dict[str, list[Job]] = {name: [] for name in self._error_factors}
         for job in self._cluster.live_jobs():
             jobs = by_class.get(job.spec.job_class)
-            if jobs is not None and _deferrable(job) and not self._is_starved(job):
+            if jobs is not None and _is_deferrable(job) and not self._is_starved(job):
                 jobs.append(job)
         return by_class
 
     def _update_starved(self) -> None:
-        """Note which teams have demand below their guarantee, and since when."""
+        """Record which teams with unmet demand are below their guarantee, and since when."""
         assert self._refreshed_at is not None
         usage = self._cluster.usage()
         starved = {
@@ -165,10 +184,10 @@
             return False
         return self._refreshed_at - since >= STARVATION_TIMEOUT
 
-    def _weighted(self, settings: Flexible) -> list[tuple[Signal, float]]:
-        """Return the signals with their weights; empty if one that counts is missing.
+    def _weighted_signals(self, settings: Flexible) -> list[tuple[Signal, float]]:
+        """Return the signals with their weights; empty if a signal with a weight is missing.
 
-        All zones count alike: where a job will run is not known before it is placed.
+        All zones have the same weight: the zone of a job is not known before it is placed.
         """
         weights = {Quantity.PRICE: settings.money, Quantity.CARBON: settings.carbon}
         weighted: list[tuple[Signal, float]] = []
@@ -179,15 +198,15 @@
             weighted += [(signal, weight / len(signals)) for signal in signals]
         return weighted
 
-    def _work(self, job: Job) -> DeferrableJob:
-        """Describe the job to the choice of windows."""
+    def _to_deferrable_job(self, job: Job) -> DeferrableJob:
+        """Return the description of a job by which its window is chosen."""
         spec = job.spec
         assert job.latest is not None
-        share = _share(job, self._teams)
+        available = _available_units(job, self._teams)
         units = spec.tasks * job.units
-        parallel = units if job.is_gang else min(units, max(share, job.units))
-        rounds = math.ceil(units / parallel - ROUND_TOLERANCE)
-        estimate = seconds(min(spec.estimate_s, MAX_ESTIMATE_S)) * rounds
+        parallel_units = units if job.is_gang else min(units, max(available, job.units))
+        task_rounds = math.ceil(units / parallel_units - ROUND_TOLERANCE)
+        estimate = seconds(min(spec.estimate_s, MAX_ESTIMATE_S)) * task_rounds
         latest = latest_safe_start(
             self._to_utc(job.ready),
             self._to_utc(job.latest),
@@ -197,13 +216,15 @@
             self._policy.flexible[spec.job_class].slack,
         )
         duration = min(estimate, MAX_DURATION)
-        # Full slots: jobs of like length share their list of windows.
-        rounded = SLOT * math.ceil(max(duration / SLOT, 1.0))
+        # Rounded up to full slots, so that jobs of similar length share a list of windows.
+        rounded_duration = SLOT * math.ceil(max(duration / SLOT, 1.0))
         horizon = self._refreshed_utc + HORIZON
-        return DeferrableJob(job.id, parallel, rounded, min(latest, horizon), _pool(job))
+        return DeferrableJob(
+            job.id, parallel_units, rounded_duration, min(latest, horizon), _pool_name(job)
+        )
 
     def _start_overhead(self, spec: Submission) -> timedelta:
-        """Return how long a start may take: boot, image fetch, and margins."""
+        """Return how long a start may take: boot, image fetch and margins."""
         kinds = [kind for kind in self._cluster.types.values() if kind.fetch_gb_per_s > 0]
         boot = max((kind.boot_s for kind in kinds), default=0.0)
         fetch = max((spec.image_gb / kind.fetch_gb_per_s for kind in kinds), default=0.0)
@@ -217,29 +238,30 @@
     # -- queries ---------------------------------------------------------------------------
 
     def queued_since(self, job: Job) -> timedelta | None:
-        """Return from when a flexible job counts in its team's queue; None: as any other job.
+        """Return the instant by which a flexible job is ordered in its team's queue.
 
-        It can wait until its latest safe start, deferred or not, so it goes behind what can't.
+        This is its latest safe start, whether it is deferred or not: a job that can wait goes
+        behind jobs that can't.  None: the job is ordered as any other job.
         """
-        keeper = self._keepers.get(job.spec.job_class)
-        latest = None if keeper is None else keeper.latest.get(job.id)
+        tracker = self._hold_trackers.get(job.spec.job_class)
+        latest = None if tracker is None else tracker.latest.get(job.id)
         if latest is None or self._refreshed_at is None:
             return None
         return self._refreshed_at + (latest - self._refreshed_utc)
 
     def held(self, job: Job, now: timedelta) -> Hold | None:
-        """Return until when and why the job is deferred, or None."""
-        keeper = self._keepers.get(job.spec.job_class)
-        if keeper is None or self._refreshed_at is None:
+        """Return the hold by which the job is deferred, or None."""
+        tracker = self._hold_trackers.get(job.spec.job_class)
+        if tracker is None or self._refreshed_at is None:
             return None
-        if not keeper.decided(job.id) and _deferrable(job) and not self._is_starved(job):
-            # It arrived, or its dependencies were done, after windows were chosen.
-            keeper.consider(self._work(job), self._to_utc(now))
-        return keeper.held(job.id, self._to_utc(now))
+        if not tracker.decided(job.id) and _is_deferrable(job) and not self._is_starved(job):
+            # It arrived, or its dependencies completed, after windows were chosen.
+            tracker.consider(self._to_deferrable_job(job), self._to_utc(now))
+        return tracker.held(job.id, self._to_utc(now))
 
 
-def _deferrable(job: Job) -> bool:
-    """Return whether the job has a deadline, is not urgent, and has nothing started."""
+def _is_deferrable(job: Job) -> bool:
+    """Return whether the job has a deadline, is not urgent and has no started tasks."""
     return (
         job.latest is not None
         and not job.is_service
@@ -250,13 +272,13 @@
     )
 
 
-def _pool(job: Job) -> str:
-    """Return the name of the capacity that the job shares with others of its team."""
+def _pool_name(job: Job) -> str:
+    """Return the name of the capacity pool that the job shares with other jobs of its team."""
     return f"{job.spec.team} {job.resource}"
 
 
-def _share(job: Job, teams: Mapping[str, Mapping[str, TeamState]]) -> float:
-    """Return what deferred work of the team may count on: its guarantee, or else its share."""
+def _available_units(job: Job, teams: Mapping[str, Mapping[str, TeamState]]) -> float:
+    """Return the units available to deferred jobs of the team: its guarantee, or else its share."""
     state = teams.get(job.resource, {}).get(job.spec.team)
     if state is None:
         return math.inf
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -1,6 +1,6 @@
-"""What operators ask of the leader: why a job is pending, and an overview of the deployment.
+"""Answers to operators' questions: why a job is pending, and an overview of the deployment.
 
-The texts are part of the interface: they are answered over HTTP and compared by scripts.
+The texts are part of the interface: they are served over HTTP and compared by scripts.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from micadeal.sharing.shares import booked
 from micadeal.wire.peers import MachineLine, Overview, StuckJob, TeamLine, WhyAnswer, WhyLine
 
-#: A job that has waited this long with nothing started is stuck.
+#: A job without started tasks is stuck after waiting this long.
 STUCK_AFTER = seconds(60)
-#: And one that failed more often than this.
-MAX_FAILURES = 2
-#: Stuck jobs, and machines in one note, that are named.
+#: A job with more failed tasks than this is stuck as well.
+STUCK_FAILURES = 2
+#: Number of stuck jobs listed, and of machines named in one note.
 MAX_STUCK_JOBS = 20
 MAX_NAMED_MACHINES = 5
-#: A machine without a heartbeat for so many intervals is shown as silent.
+#: A machine is shown as unresponsive after this many heartbeat intervals without a heartbeat.
 UNRESPONSIVE_AFTER_INTERVALS = 3
 
 
 def why(scheduler: Scheduler, job_id: str, now: timedelta) -> WhyAnswer | None:
-    """Return why tasks of a job are pending; None if the leader knows of no such live job."""
+    """Return why tasks of a job are pending; None if the leader has no live job of this id."""
     job = scheduler.cluster.jobs.get(job_id)
     if job is None or job.over:
         return None
@@ -50,7 +50,7 @@
 
 
 def overview(scheduler: Scheduler, leader: str, now: timedelta, state_reachable: bool) -> Overview:
-    """Return the state of the deployment at a glance.
+    """Return an overview of the deployment.
 
     ``leader``: name of this controller; ``state_reachable``: whether it reaches the state service.
     """
@@ -115,14 +115,14 @@
 
 
 def _stuck_jobs(scheduler: Scheduler, now: timedelta) -> list[_StuckEntry]:
-    """Return all jobs that are stuck, the longest first."""
+    """Return all stuck jobs, sorted by waiting time, longest first."""
     stuck: list[_StuckEntry] = []
     for job in scheduler.cluster.live_jobs():
         waited = now - max(job.ready, job.last_progress)
-        failing = sum(job.errors.values()) > MAX_FAILURES
-        if not failing and (waited < STUCK_AFTER or job.attempts or not job.waiting_count()):
+        fails_often = sum(job.errors.values()) > STUCK_FAILURES
+        if not fails_often and (waited < STUCK_AFTER or job.attempts or not job.waiting_count()):
             continue
-        # A deferred job is pending by intention, and ``why`` tells until when.
+        # A deferred job is pending on purpose; ``why`` states until when.
         if scheduler.deferral is None or scheduler.deferral.held(job, now) is None:
             stuck.append(_StuckEntry(waited, job))
     stuck.sort(key=lambda entry: (-entry.waited, entry.job.id))
@@ -140,7 +140,7 @@
 
 
 def _machine_lines(cluster: ClusterState, now: timedelta) -> list[MachineLine]:
-    """Return a line for each offer of which there are machines."""
+    """Return a line for each offer with existing machines."""
     groups: dict[tuple[str, str, bool], list[Machine]] = {}
     for machine in cluster.machines.values():
         groups.setdefault((machine.machine_type, machine.zone, machine.spot), []).append(machine)
@@ -176,14 +176,14 @@
 
 
 def _notes(scheduler: Scheduler, now: timedelta) -> list[str]:
-    """Return what needs an operator's attention, in alphabetical order."""
+    """Return notes on what needs an operator's attention, in alphabetical order."""
     notes = [_refusal_note(offer) for offer in scheduler.instance_offers.any_paused(now)]
     names_by_note: dict[str, list[str]] = {}
     for machine in scheduler.cluster.machines.values():
         note = _machine_note(machine, scheduler.cluster, now)
         if note is not None:
             names_by_note.setdefault(note, []).append(machine.name)
-    notes += [f"{note}: {_some_of(names)}" for note, names in names_by_note.items()]
+    notes += [f"{note}: {_abbreviate(names)}" for note, names in names_by_note.items()]
     return sorted(notes)
 
 
@@ -193,7 +193,7 @@
 
 
 def _machine_note(machine: Machine, cluster: ClusterState, now: timedelta) -> str | None:
-    """Return what is wrong with a machine, or None; the first that applies."""
+    """Return the first note that applies to a machine, or None."""
     if machine.draining == ReturnReason.FAULTY:
         return "failed tasks of several jobs and are being emptied"
     if machine.reclaim_expected_at is not None:
@@ -208,8 +208,8 @@
     return None
 
 
-def _some_of(names: list[str]) -> str:
-    """Return a few names and a count: the cloud reclaims dozens of machines at once."""
-    text = ", ".join(sorted(names)[:MAX_NAMED_MACHINES])
-    more = len(names) - MAX_NAMED_MACHINES
-    return f"{text} and {more} more" if more > 0 else text
+def _abbreviate(names: list[str]) -> str:
+    """Return some names and the count of the rest: the cloud may reclaim dozens of machines."""
+    listed = ", ".join(sorted(names)[:MAX_NAMED_MACHINES])
+    unnamed = len(names) - MAX_NAMED_MACHINES
+    return f"{listed} and {unnamed} more" if unnamed > 0 else listed
--- a/micadeal/scheduling/gang_placement.py
+++ b/micadeal/scheduling/gang_placement.py
@@ -1,4 +1,4 @@
-"""Placement of gangs: all tasks at once, or none."""
+"""Placement of gangs: all tasks of a gang are placed together, or none of them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class GangPlacement:
-    """Places whole gangs; their tasks share one attempt number."""
+    """Places whole gangs; the tasks of a gang share one attempt number."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
     def _choose_existing(
         self, job: Job, candidates: list[MachineCapacity]
     ) -> list[MachineCapacity] | None:
-        """Choose and book capacities that exist or are planned already."""
+        """Choose and book capacities that exist or are already planned."""
         chosen = None
         if self._pool.gang_search_due(job):
             self._pool.examined += len(candidates)
@@ -67,38 +67,41 @@
     def _choose_with_planned(
         self, job: Job, candidates: list[MachineCapacity]
     ) -> list[MachineCapacity] | None:
-        """Choose and book capacities with machines planned for this gang among them."""
+        """Choose and book capacities, including machines that are planned for this gang."""
         if len(job.errors) > MAX_AVOIDED_MACHINES:
             return None
-        new = self._scale_out.gang_candidates(job.spec)
-        if not new:
+        new_machines = self._scale_out.gang_candidates(job.spec)
+        if not new_machines:
             return None
-        chosen = choose_gang(job.spec, [*candidates, *new], self._pool.spot_scarce)
-        for capacity in new:
+        chosen = choose_gang(job.spec, [*candidates, *new_machines], self._pool.spot_scarce)
+        for capacity in new_machines:
             if capacity.booked:
                 self._scale_out.add(capacity)
         return chosen
 
     def _book(self, job: Job, chosen: list[MachineCapacity]) -> None:
-        """Start the gang if all its machines are up; else reserve them."""
+        """Start the gang if all its machines are up; otherwise reserve them."""
         for capacity in dict.fromkeys(chosen):
             self._pool.note_booking(capacity, job.spec)
         if not all(capacity.up for capacity in chosen):
             self._bookings.reserve_gang(job, chosen)
             return
-        number = self._cluster.next_number()
+        attempt_number = self._cluster.next_number()
         for capacity in chosen:
-            self._bookings.book_task(job, capacity, number)
+            self._bookings.book_task(job, capacity, attempt_number)
 
     def _should_wait(self, job: Job, chosen: list[MachineCapacity]) -> bool:
-        """Return whether the gang had better wait for machines that hold its image.
+        """Return whether the gang should wait for machines that cache its image.
 
-        A gang starts with its slowest fetch, and all its machines must become free in one place.
+        A gang starts only after its slowest fetch.  If it is limited to one zone, all its machines
+        must become free in the same zone.
         """
         if not all(capacity.up for capacity in chosen):
             return False
-        fetches = [capacity for capacity in chosen if job.spec.image not in capacity.images]
-        if not fetches:
+        fetching = [capacity for capacity in chosen if job.spec.image not in capacity.images]
+        if not fetching:
             return False
-        places = len(self._pool.machines_by_zone) if job.spec.one_zone and job.spec.tasks > 1 else 1
-        return self._delay.should_wait(job, len(fetches) * places, fetches[0])
+        zone_count = (
+            len(self._pool.machines_by_zone) if job.spec.one_zone and job.spec.tasks > 1 else 1
+        )
+        return self._delay.should_wait(job, len(fetching) * zone_count, fetching[0])
--- a/micadeal/scheduling/job_reasons.py
+++ b/micadeal/scheduling/job_reasons.py
@@ -1,6 +1,6 @@
-"""Why a job is pending, in lines for users and operators.
+"""Reasons why a job is pending, as text lines for users and operators.
 
-The texts are part of the interface: they are answered over HTTP and compared by scripts.
+The texts are part of the interface: they are served over HTTP and compared by scripts.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from micadeal.wire.workers import TaskState
 
 if TYPE_CHECKING:
-    # Imported at run time only where timing is switched on: other deployments start without it.
+    # Imported at run time only if timing is enabled: other deployments run without it.
     from micadeal.timing.shift import Hold
 
-#: Jobs that another one waits for that are named at a time.
+#: Maximum number of dependencies that are named for one job.
 MAX_NAMED_JOBS = 5
 
 
 class Reason(NamedTuple):
-    """One line, and the number of tasks that it holds for; 0: for the job as a whole."""
+    """One reason, and the number of tasks that it applies to; 0: the job as a whole."""
 
     text: str
     tasks: int = 0
 
 
 def job_reasons(scheduler: Scheduler, job: Job, now: timedelta) -> list[Reason]:
-    """Return why tasks of the job are pending or starting, the most telling reasons first."""
+    """Return why tasks of the job are pending or starting, the most important reasons first."""
     reasons = _dependency_reasons(scheduler.cluster, job)
     if job.lifted_by is not None:
         reasons.append(Reason(f"it has the priority of {job.lifted_by}, which needs it"))
@@ -62,9 +62,9 @@
     reservation = scheduler.reservations.by_job.get(job.id)
     if reservation is None:
         return []
-    where = f" in {reservation.zone}" if reservation.zone else ""
+    zone_text = f" in {reservation.zone}" if reservation.zone else ""
     count = len(reservation.machines)
-    return [Reason(f"{count} machines{where} are kept for it as they come free")]
+    return [Reason(f"{count} machines{zone_text} are kept for it as they come free")]
 
 
 def _error_reasons(job: Job, now: timedelta) -> list[Reason]:
@@ -86,7 +86,7 @@
 
 
 def _starting_text(attempt: Attempt) -> str | None:
-    """Return what an attempt does that is not running, or None."""
+    """Return the state of an attempt that is starting or being stopped, or None."""
     if attempt.stop is not None:
         return "is being stopped"
     match attempt.state:
@@ -115,23 +115,23 @@
 
 
 class _DependencyReason(NamedTuple):
-    """Why a job waits for another one; sorted by the fields in this order."""
+    """Why a job waits for one of its dependencies; sorted by the fields in this order."""
 
-    #: 0 running, 1 pending, 2 over.
-    stage: int
+    #: 0: running, 1: pending, 2: over.
+    state_rank: int
     job_id: str
     text: str
 
 
 def _dependency_reasons(cluster: ClusterState, job: Job) -> list[Reason]:
-    """Return what a job waits for: a few dependencies by name, the others as a count."""
+    """Return the dependencies that a job waits for: some by name, the others as a count."""
     if job.cancelled_by_dependency:
         return [Reason("a job that it needs is cancelled, and it is being cancelled with it")]
     dependencies = sorted(_dependency_reason(cluster, name) for name in job.needs)
     reasons = [Reason(dependency.text) for dependency in dependencies[:MAX_NAMED_JOBS]]
-    more = len(dependencies) - MAX_NAMED_JOBS
-    if more > 0:
-        reasons.append(Reason(f"waits for {more} more jobs"))
+    unnamed = len(dependencies) - MAX_NAMED_JOBS
+    if unnamed > 0:
+        reasons.append(Reason(f"waits for {unnamed} more jobs"))
     return reasons
 
 
--- a/micadeal/scheduling/pending_reasons.py
+++ b/micadeal/scheduling/pending_reasons.py
@@ -1,6 +1,6 @@
-"""Why tasks are pending, as users and operators read it (``why``).
+"""Texts that tell users and operators why tasks are pending (``why``).
 
-These texts are part of the interface: they are answered over HTTP and compared by scripts.
+These texts are part of the interface: they are served over HTTP and compared by scripts.
 """
 
 from __future__ import annotations
