--- a/micadeal/scheduling/plan.py
+++ b/micadeal/scheduling/plan.py
@@ -1,4 +1,4 @@
-"""What a scheduling cycle decides."""
+"""The decisions of a scheduling cycle."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class TeamState:
-    """What a cycle knows of one team, in booked units of one resource."""
+    """A team's entitlement, usage and demand in a cycle, in booked units of one resource."""
 
     minimum: float
     weight: float
@@ -24,7 +24,7 @@
 
 
 class Kill(NamedTuple):
-    """A victim, and the job that it is preempted for."""
+    """A victim and the job for which it is preempted."""
 
     preemptor: str
     victim: Victim
@@ -37,12 +37,12 @@
     placed: list[PlacedTask] = field(default_factory=list)
     #: Machines to rent, by offer.
     rentals: Counter[InstanceOffer] = field(default_factory=Counter)
-    #: Machines, up or booting, with capacity reserved for pending work.
+    #: Names of machines, up or booting, with capacity reserved for pending work.
     reserved: set[str] = field(default_factory=set)
-    #: Machines kept as warm capacity for work that is expected.
+    #: Names of machines kept as warm capacity for expected work.
     warm: set[str] = field(default_factory=set)
     kills: list[Kill] = field(default_factory=list)
-    #: By resource and team name.
+    #: Team states by resource and team name.
     teams: dict[str, dict[str, TeamState]] = field(default_factory=dict)
 
 
@@ -52,5 +52,5 @@
 
     spec: Submission
     tasks: int
-    #: Images that jobs of the class asked for lately.
+    #: Images of recent jobs of the class.
     images: frozenset[str] = frozenset()
--- a/micadeal/scheduling/preemption.py
+++ b/micadeal/scheduling/preemption.py
@@ -1,7 +1,7 @@
-"""Preemption: victims for what a scheduling cycle could not place.
+"""Preemption: chooses victims for tasks that a scheduling cycle could not place.
 
-The last step of a cycle.  It works on the capacities as they will be when everything that is being
-stopped has stopped.
+This is the last step of a cycle.  It works on the capacities as they will be once all tasks that
+are being stopped have ended.
 """
 
 from __future__ import annotations
@@ -16,28 +16,29 @@
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.cycle_data import CycleFindings
 from micadeal.scheduling.plan import Kill
-from micadeal.scheduling.preemption_demand import LOW, PreemptionDemand, Preemptor
+from micadeal.scheduling.preemption_demand import LOW_RANK, PreemptionDemand, Preemptor
 from micadeal.sharing.shares import booked
 from micadeal.sharing.victims import FreedAmounts, Victim, choose_victims, may_kill
 
-#: Tasks for which victims are chosen in one cycle; the next cycle goes on.
+#: Maximum number of tasks for which victims are chosen in one cycle; the next cycle continues.
 MAX_SERVED_TASKS = 24
 
 
 class Preemption:
-    """Reads a cycle's findings, and adds to its plan what is to be stopped."""
+    """Reads the findings of a cycle and adds the victims to its plan."""
 
     def __init__(self, findings: CycleFindings) -> None:
         self._findings = findings
         self._cluster = findings.inputs.cluster
-        #: (cores, accelerators) by team that may be running; nothing that is only reserved.
+        #: Cores and accelerators of tasks that may be running, by team; without reserved capacity.
         self._usage = self._cluster.usage()
         #: Capacities by machine name, and victims by machine.
         self._capacities: dict[str, MachineCapacity] = {}
         self._victims: dict[str, list[Victim]] = {}
         self._tasks_left = MAX_SERVED_TASKS
-        #: Preemptors for which nothing can be done: within a cycle capacities only shrink.
-        self._hopeless: set[RequestKey] = set()
+        #: Preemptors for which no victims were found.  They are not tried again: within a cycle
+        #: capacities only shrink.
+        self._unservable: set[RequestKey] = set()
 
     def select(self) -> None:
         """Choose the victims of this cycle."""
@@ -46,18 +47,18 @@
             return
         self._capacities = self._capacities_after_stops()
         self._victims = _victims_by_machine(self._cluster)
-        bound = self._machines_with_bound_work()
+        with_on_demand_work = self._machines_with_on_demand_work()
         for preemptor in preemptors:
             if self._tasks_left <= 0:
                 return
-            if preemptor.key not in self._hopeless:
-                self._serve(preemptor, bound)
+            if preemptor.key not in self._unservable:
+                self._serve(preemptor, with_on_demand_work)
 
-    def _serve(self, preemptor: Preemptor, bound: set[str]) -> None:
+    def _serve(self, preemptor: Preemptor, with_on_demand_work: set[str]) -> None:
         """Choose victims for as many of the preemptor's tasks as possible."""
         job = preemptor.job
         rule = ZoneRule(job.spec, self._cluster.zones_of(job))
-        usable = self._usable_capacities(job, bound)
+        usable = self._usable_capacities(job, with_on_demand_work)
         surplus = self._surplus(job.resource)
         for _ in range(preemptor.tasks):
             if self._tasks_left <= 0:
@@ -65,7 +66,7 @@
             chosen = self._victims_for_task(preemptor, rule, usable, surplus)
             if chosen is None:
                 if all(map(rule.permits, self._findings.machines_by_zone)):
-                    self._hopeless.add(preemptor.key)
+                    self._unservable.add(preemptor.key)
                 return
             for victim in chosen:
                 self._kill(preemptor, victim)
@@ -77,36 +78,37 @@
             self._victims[name] = [v for v in self._victims[name] if v is not victim]
 
     def _surplus(self, resource: str) -> dict[str, float]:
-        """Return what each team has beyond its minimum.
+        """Return how many units of running tasks each team has above its minimum.
 
-        Only what runs counts, not what is reserved for later: nothing else can be given back.
+        Reserved capacity does not count: preemption frees only what tasks use.
         """
         return {
             name: booked(self._usage[name], resource) - state.minimum
             for name, state in self._findings.plan.teams[resource].items()
         }
 
-    def _usable_capacities(self, job: Job, bound: set[str]) -> list[MachineCapacity]:
-        """Return the machines that a cycle would place the job on once victims are gone.
+    def _usable_capacities(self, job: Job, with_on_demand_work: set[str]) -> list[MachineCapacity]:
+        """Return the machines on which a cycle would place the job once victims have ended.
 
-        Guards against a victim that is started and stopped again in every cycle, since the job does
-        not go where something was stopped for it.  Not usable are machines where the job failed,
-        and on-demand ones on which only the victims are bound to such.  For a gang only machines
-        reserved for it are usable: a part of its slots is of no use.
+        Guards against a victim that is started and stopped again in every cycle, since the job is
+        not placed where the victim was stopped for it.  Machines on which the job failed are not
+        usable.  For a job that may use spot machines, an on-demand machine is usable only if it
+        runs work that is never preempted and needs it, or if spot machines are scarce.  For a gang
+        only machines reserved for it are usable: it can't start on a part of its slots.
         """
         spec = job.spec
-        any_price = not spec.spot_allowed or self._findings.spot_scarce
+        on_demand_allowed = not spec.spot_allowed or self._findings.spot_scarce
         return [
             capacity
             for capacity in self._capacities.values()
             if allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
             and capacity.name not in job.errors
             and (capacity.dedicated_to == job.id or not job.is_gang or spec.tasks == 1)
-            and (capacity.spot or any_price or capacity.name in bound)
+            and (capacity.spot or on_demand_allowed or capacity.name in with_on_demand_work)
         ]
 
-    def _machines_with_bound_work(self) -> set[str]:
-        """Return machines with work that needs an on-demand one and is never preempted."""
+    def _machines_with_on_demand_work(self) -> set[str]:
+        """Return machines with work that may not use spot machines and is never preempted."""
         names: set[str] = set()
         for job in self._cluster.live_jobs():
             if (job.production or job.is_service) and not job.spec.spot_allowed:
@@ -114,9 +116,9 @@
         return names
 
     def _capacities_after_stops(self) -> dict[str, MachineCapacity]:
-        """Return the capacities of machines that are up, without what is being stopped."""
-        built = build_capacities(self._cluster, self._findings.inputs.now, Counter())
-        capacities = {capacity.name: capacity for capacity in built if capacity.up}
+        """Return the capacities of machines that are up, as if all stopping tasks had ended."""
+        all_capacities = build_capacities(self._cluster, self._findings.inputs.now, Counter())
+        capacities = {capacity.name: capacity for capacity in all_capacities if capacity.up}
         for machine in self._cluster.machines.values():
             capacity = capacities.get(machine.name)
             if capacity is None:
@@ -135,16 +137,17 @@
     ) -> list[Victim] | None:
         """Return victims for one task.
 
-        The list is empty if capacity is about to become free, and None if nothing can be done.
+        The list is empty if capacity is about to become free without victims.  None: no choice of
+        permitted victims frees enough.
         """
         spec = preemptor.job.spec
-        permitted_zones = [capacity for capacity in usable if rule.permits(capacity.zone)]
-        if _book_first_fit(preemptor, permitted_zones, rule):
+        permitted_capacities = [capacity for capacity in usable if rule.permits(capacity.zone)]
+        if _book_first_fit(preemptor, permitted_capacities, rule):
             return []
         permitted = self._permitted_victims(preemptor, surplus)
         if not permitted:
             return None
-        chosen = choose_victims(spec, permitted_zones, self._victims, permitted)
+        chosen = choose_victims(spec, permitted_capacities, self._victims, permitted)
         if not chosen:
             return None
         for victim in chosen:
@@ -154,25 +157,25 @@
                     capacity.cpus += freed.cpus
                     capacity.gpus += freed.gpus
                     capacity.memory_gb += freed.memory_gb
-        _book_first_fit(preemptor, permitted_zones, rule)
+        _book_first_fit(preemptor, permitted_capacities, rule)
         return chosen
 
     def _permitted_victims(self, preemptor: Preemptor, surplus: dict[str, float]) -> set[int]:
-        """Return the ids (``id``) of victims that the rules allow."""
+        """Return the object ids (``id``) of the victims that the rules allow."""
         team, rank = preemptor.job.spec.team, preemptor.job.rank
         return {
             id(victim)
             for victims in self._victims.values()
             for victim in victims
             if may_kill(victim, team, rank, preemptor.for_guarantee, surplus)
-            and (victim.rank == LOW or not preemptor.only_low)
+            and (victim.rank == LOW_RANK or not preemptor.only_low_priority)
         }
 
 
 def _book_first_fit(
     preemptor: Preemptor, capacities: list[MachineCapacity], rule: ZoneRule
 ) -> bool:
-    """Book one task on the first machine that holds it; False if none does."""
+    """Book one task on the first machine on which it fits; return False if there is none."""
     spec = preemptor.job.spec
     for capacity in capacities:
         if capacity.fits(spec):
@@ -183,7 +186,7 @@
 
 
 def _victims_by_machine(cluster: ClusterState) -> dict[str, list[Victim]]:
-    """Return all that could be preempted: single tasks, and gangs as a whole."""
+    """Return all possible victims, single tasks or whole gangs, by machine."""
     by_machine: dict[str, list[Victim]] = {}
     for job in cluster.live_jobs():
         if job.production or job.is_service:
--- a/micadeal/scheduling/preemption_demand.py
+++ b/micadeal/scheduling/preemption_demand.py
@@ -1,4 +1,7 @@
-"""Which jobs others may be preempted for: production at once, starved teams by their timers."""
+"""Selects the jobs for which others may be preempted.
+
+Production jobs may preempt without delay, jobs of starved teams as their starvation timers allow.
+"""
 
 from __future__ import annotations
 
@@ -13,44 +16,45 @@
 from micadeal.sharing.starvation import StarvationTimer, TeamUsage
 from micadeal.wire.users import Priority
 
-LOW = RANK[Priority.LOW]
-#: Jobs for which low-priority work is preempted at once in one cycle; the next cycle goes on.
+LOW_RANK = RANK[Priority.LOW]
+#: Maximum number of jobs per cycle for which low-priority work is preempted without waiting for a
+#: starvation timer; the next cycle continues.
 MAX_LOW_PREEMPTORS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Preemptor:
-    """A job that others may be preempted for, and how many of its tasks."""
+    """A job for which others may be preempted, and the number of its tasks to serve."""
 
     job: Job
     tasks: int
-    #: Its team is below its guarantee.
+    #: Whether its team is below its guarantee.
     for_guarantee: bool
-    #: Only low-priority work may be preempted.
-    only_low: bool = False
+    #: Whether only low-priority work may be preempted.
+    only_low_priority: bool = False
 
     @property
     def key(self) -> RequestKey:
-        """Preemptors with equal keys find the same victims."""
+        """Key by which preemptors that may preempt the same victims compare equal."""
         spec = self.job.spec
         return (
             spec.team,
             self.job.rank,
             self.for_guarantee,
-            self.only_low,
+            self.only_low_priority,
             *request_key(spec),
         )
 
 
 @dataclass(slots=True)
 class _Shortage:
-    """What a team lacks of a resource, in booked units; reduced as preemptors are found."""
+    """A team's shortage of a resource, in booked units; reduced as preemptors are found."""
 
-    #: May be preempted for now, by the starvation timers.
+    #: Units that the starvation timers allow to preempt now.
     by_timers: float
-    #: The guarantee is what is lacking.
+    #: Whether the team is short of its guarantee, rather than of its fair share.
     for_guarantee: bool
-    #: Demand below the guarantee, whatever the timers say.
+    #: Unmet demand below the guarantee, regardless of the timers.
     below_guarantee: float
 
 
@@ -61,22 +65,24 @@
         self._findings = findings
         self._shortages = self._update_timers(usage)
         cluster = findings.inputs.cluster
-        #: Jobs that machines are reserved for.
+        #: Ids of jobs for which machines are reserved.
         self._with_reservation = {m.reserved_for for m in cluster.machines.values()} - {None}
-        low_runs = any(job.rank == LOW and job.attempts for job in cluster.live_jobs())
-        self._low_left = MAX_LOW_PREEMPTORS if low_runs else 0
+        low_priority_runs = any(
+            job.rank == LOW_RANK and job.attempts for job in cluster.live_jobs()
+        )
+        self._low_preemptors_left = MAX_LOW_PREEMPTORS if low_priority_runs else 0
 
     def preemptors(self) -> list[Preemptor]:
         """Return the preemptors in the order in which their jobs were considered."""
         result: list[Preemptor] = []
-        seen: set[str] = set()
+        considered: set[str] = set()
         for job in self._findings.unplaced:
-            if job.id in seen:
+            if job.id in considered:
                 continue
             if job.is_gang and job.spec.tasks > 1 and job.id not in self._with_reservation:
                 continue
-            seen.add(job.id)
-            # Nothing is preempted for what fails everywhere.
+            considered.add(job.id)
+            # Nothing is preempted for a job that fails on several machines.
             preemptor = None if job.suspected_faulty else self._preemptor(job)
             if preemptor is not None:
                 result.append(preemptor)
@@ -94,23 +100,23 @@
             return Preemptor(job, tasks, shortage.for_guarantee)
         reserved = job.id in self._with_reservation
         if (
-            self._low_left
-            and job.rank < LOW
+            self._low_preemptors_left
+            and job.rank < LOW_RANK
             and (reserved or shortage.below_guarantee >= job.units)
         ):
-            # Low work runs in what others leave: it gives way at once to a team below its
-            # guarantee, and on reserved machines.  The timers are for unfairness that is tolerable
-            # (design, 4.5).
-            self._low_left -= 1
+            # Low-priority work runs on capacity that others leave unused.  It gives way to a team
+            # below its guarantee, and on reserved machines, without waiting for a timer: timers are
+            # for tolerable unfairness (design, 4.5).
+            self._low_preemptors_left -= 1
             tasks = pending
             if not reserved:
                 tasks = min(pending, int(shortage.below_guarantee / job.units + EPSILON))
             shortage.below_guarantee -= tasks * job.units
-            return Preemptor(job, tasks, for_guarantee=False, only_low=True)
+            return Preemptor(job, tasks, for_guarantee=False, only_low_priority=True)
         return None
 
     def _update_timers(self, usage: dict[str, Amounts]) -> dict[TeamResource, _Shortage]:
-        """Update the starvation timers and return what each team lacks."""
+        """Update the starvation timers and return the shortage of each team."""
         return {
             (name, resource): self._shortage(name, resource, state, booked(usage[name], resource))
             for resource, states in self._findings.plan.teams.items()
@@ -118,7 +124,10 @@
         }
 
     def _shortage(self, name: str, resource: str, state: TeamState, used: float) -> _Shortage:
-        """Update a team's timer; ``used``: what runs, without capacity reserved for later."""
+        """Update a team's timer and return its shortage.
+
+        ``used``: units of running tasks, without reserved capacity.
+        """
         inputs = self._findings.inputs
         now, policy = inputs.now, inputs.policy
         timer = inputs.timers.setdefault((name, resource), StarvationTimer(now, now))
--- a/micadeal/scheduling/reservations.py
+++ b/micadeal/scheduling/reservations.py
@@ -1,16 +1,18 @@
-"""Reservations by age: machines kept for jobs that small work would starve.  No I/O.
-
-An extension to the design, where every slot is alike and whatever becomes free is of use to whoever
-is next.  A gang needs many slots at one time, and a task that takes a whole machine needs one on
-which nothing else runs: among small work that keeps coming neither ever becomes free by itself.  So
-when such a job has waited for long, the machines on which its slots can become free soonest are
-reserved for it: what runs there ends by itself, and nothing but production work is added.
-
-- All or nothing: machines are reserved only where all of the job's slots can be had, in one zone if
-  it asks for that.
-- No deadlock: the job that has waited longest chooses first, and no machine is reserved for two.
-- Fair order: what is reserved and idle counts as used by the job's team.
-- Survives a failover: age counts from the submission, and machines are chosen by what they run.
+"""Reservations by age: machines reserved for jobs that small jobs would starve.  No I/O.
+
+This is an extension to the design.  There all slots are alike, so any slot that becomes free is of
+use to the next job.  A gang, however, needs many slots at the same time, and a task that takes a
+whole machine needs an empty one.  While small jobs keep arriving, neither becomes free by itself.
+When such a job has waited for long, the machines on which its slots can become free soonest are
+reserved for it.  Running tasks end by themselves there, and only production work is added.
+
+- All or nothing: machines are reserved only where all of the job's slots can be obtained, in a
+  single zone if the job asks for one.
+- No deadlock: the job that has waited longest chooses first, and a machine is reserved for one job
+  only.
+- Fair order: reserved idle capacity counts as used by the job's team.
+- Survives a failover: waiting time counts from the submission, and machines are chosen by the tasks
+  that they run.
 """
 
 from __future__ import annotations
@@ -33,27 +35,29 @@
 
 log = logging.getLogger(__name__)
 
-#: Jobs with a reservation at one time.
+#: Maximum number of jobs with a reservation at the same time.
 MAX_RESERVATIONS = 8
-#: Share of all machines that may be reserved for all but the first of them.
+#: Largest share of all machines that may be reserved when a job gets a new reservation.  The first
+#: job may exceed it.
 MAX_RESERVED_SHARE = 0.2
-#: How often machines are chosen anew.
+#: Interval at which machines are chosen again.
 REFRESH_INTERVAL = seconds(1)
-#: Machines reserved already count as free so many seconds sooner: the choice must not oscillate.
+#: Machines that are already reserved count as free this much sooner, so that the choice does not
+#: oscillate.
 RESERVED_BONUS_S = 20.0
-#: And the zone chosen before so many seconds sooner.
+#: The slots of the previously chosen zone count as free this much sooner, for the same reason.
 SAME_ZONE_BONUS_S = 60.0
-#: A machine that is still to be rented, or boots, is up after about so many seconds.
-RENTAL_S = 60.0
+#: Assumed time until a machine that is booting or still to be rented is up.
+RENTAL_TIME_S = 60.0
 
 
-#: (seconds until it becomes free, name of its machine).
+#: A slot: seconds until it becomes free, and the name of its machine.
 Slot = tuple[float, str]
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationInputs:
-    """What reservations are chosen by."""
+    """The inputs from which reservations are chosen."""
 
     cluster: ClusterState
     instance_offers: InstanceOffers
@@ -62,33 +66,33 @@
     satisfied: frozenset[TeamResource]
     #: Teams below their guarantee.
     below_guarantee: frozenset[TeamResource]
-    #: Every spot offer was refused lately.
+    #: Whether the cloud recently refused every spot offer.
     spot_scarce: bool
     now: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """The machines reserved for a job, and the zone if it wants a single one."""
+    """The machines reserved for a job, and their zone if the job asks for a single one."""
 
     machines: frozenset[str]
     zone: str | None
-    #: Slots that are to be rented beside them.
-    lacking: int
+    #: Number of further slots that are still to be rented.
+    missing_slots: int
 
 
 class GangReservations:
     """One term's reservations; ``refresh`` is called before each cycle."""
 
     def __init__(self) -> None:
-        #: By job id.
+        #: Reservations by job id.
         self.by_job: dict[str, Reservation] = {}
         self._refreshed_at: timedelta | None = None
-        #: Machines that exist, by offer, as of the last choice.
+        #: Number of existing machines by offer, as of the last refresh.
         self._existing: Counter[InstanceOffer] = Counter()
 
     def refresh(self, inputs: ReservationInputs) -> None:
-        """Choose the reservations anew, at most every ``REFRESH_INTERVAL``."""
+        """Choose the reservations again, at most once per ``REFRESH_INTERVAL``."""
         if self._refreshed_at is not None and inputs.now - self._refreshed_at < REFRESH_INTERVAL:
             return
         self._refreshed_at = inputs.now
@@ -98,12 +102,14 @@
 
     def reserved_machines(self) -> set[str]:
         """Return the names of all reserved machines."""
-        return {name for entry in self.by_job.values() for name in entry.machines}
+        return {name for reservation in self.by_job.values() for name in reservation.machines}
 
     def _mark_machines(self, cluster: ClusterState) -> None:
-        """Write the reservations to the machines."""
+        """Set ``reserved_for`` of all machines according to the reservations."""
         reserved_for = {
-            name: job_id for job_id, entry in self.by_job.items() for name in entry.machines
+            name: job_id
+            for job_id, reservation in self.by_job.items()
+            for name in reservation.machines
         }
         for machine in cluster.machines.values():
             if machine.reserved_for != (job_id := reserved_for.get(machine.name)):
@@ -114,17 +120,17 @@
         forecast = SlotForecast(inputs.cluster, inputs.now)
         self._existing = inputs.cluster.held()
         limit = len(inputs.cluster.machines) * MAX_RESERVED_SHARE
-        taken: set[str] = set()
+        reserved_names: set[str] = set()
         chosen: dict[str, Reservation] = {}
         for job in waiting[:MAX_RESERVATIONS]:
-            reservation = self._choose(job, inputs, forecast, taken)
+            reservation = self._choose(job, inputs, forecast, reserved_names)
             if reservation is None:
                 continue
             is_new = job.id not in self.by_job
-            if chosen and is_new and len(taken) + len(reservation.machines) > limit:
+            if chosen and is_new and len(reserved_names) + len(reservation.machines) > limit:
                 continue
             chosen[job.id] = reservation
-            taken |= reservation.machines
+            reserved_names |= reservation.machines
             if is_new:
                 log.info(
                     "machines reserved: job=%s class=%s tasks=%d machines=%d zone=%s",
@@ -139,13 +145,13 @@
     # -- jobs ------------------------------------------------------------------------------
 
     def _waiting_jobs(self, inputs: ReservationInputs) -> list[Job]:
-        """Return jobs that have waited for long with nothing started, the longest first."""
+        """Return jobs that have waited long without a started task, sorted by waiting time."""
         cluster = inputs.cluster
         usage: dict[str, Amounts] | None = None
         result: list[Job] = []
         earliest = min(inputs.policy.gather_after, inputs.policy.minimum_timeout)
         for job in cluster.live_jobs():
-            # Cheapest test first: there may be many jobs.
+            # The cheapest test comes first: there may be many jobs.
             if inputs.now - job.ready < earliest or not job.not_begun or job.errors:
                 continue
             if not self._has_waited_enough(job, inputs) or not _wants_reservation(job, inputs):
@@ -160,12 +166,12 @@
         policy = inputs.policy
         waited = inputs.now - job.ready
         team = (job.spec.team, job.resource)
-        # What is reserved counts as used by the team, so with a reservation a team may not be below
-        # its guarantee, or below its share, any more: no reason to give the reservation up.
+        # Reserved capacity counts as used by the team, so a reservation may lift the team to its
+        # guarantee or share.  That is no reason to give the reservation up.
         if job.id in self.by_job:
             return True
-        # Preemption may free a gang's machines for a team below its guarantee, but has to know
-        # which ones.
+        # Preemption may free machines for a gang of a team below its guarantee, but only machines
+        # that are reserved for the gang.
         if waited < policy.gather_after and not (job.is_gang and team in inputs.below_guarantee):
             return False
         return team not in inputs.satisfied or waited >= policy.gather_late
@@ -173,56 +179,56 @@
     # -- machines --------------------------------------------------------------------------
 
     def _choose(
-        self, job: Job, inputs: ReservationInputs, forecast: SlotForecast, taken: set[str]
+        self, job: Job, inputs: ReservationInputs, forecast: SlotForecast, reserved_names: set[str]
     ) -> Reservation | None:
-        """Return the machines on which the job's slots become free soonest; None if nowhere."""
-        before = self.by_job.get(job.id)
-        by_zone = self._slots_by_zone(job, inputs, forecast, taken)
+        """Return the machines on which the job's slots become free soonest, or None."""
+        previous = self.by_job.get(job.id)
+        by_zone = self._slots_by_zone(job, inputs, forecast, reserved_names)
         needed = slots_needed(job)
         best: Reservation | None = None
-        best_at = 0.0
+        best_free_at = 0.0
         for zone in sorted(by_zone, key=str):
-            soonest = sorted(by_zone[zone])[:needed]
-            lacking = needed - len(soonest)
-            if lacking and not self._rentable(job, zone, lacking, inputs):
+            earliest_slots = sorted(by_zone[zone])[:needed]
+            missing_slots = needed - len(earliest_slots)
+            if missing_slots and not self._rentable(job, zone, missing_slots, inputs):
                 continue
-            free_at = RENTAL_S if lacking else soonest[-1][0]
-            if before is not None and before.zone == zone:
+            free_at = RENTAL_TIME_S if missing_slots else earliest_slots[-1][0]
+            if previous is not None and previous.zone == zone:
                 free_at -= SAME_ZONE_BONUS_S
-            if best is None or free_at < best_at:
-                names = frozenset(name for _, name in soonest)
-                best, best_at = Reservation(names, zone, lacking), free_at
+            if best is None or free_at < best_free_at:
+                names = frozenset(name for _, name in earliest_slots)
+                best, best_free_at = Reservation(names, zone, missing_slots), free_at
         return best
 
     def _rentable(self, job: Job, zone: str | None, slots: int, inputs: ReservationInputs) -> bool:
-        """Return whether the cloud may have machines for so many more slots; zone None: any."""
+        """Return whether machines for ``slots`` slots may be rented; zone None: in any zone."""
         offers = inputs.instance_offers
         machines = -(-slots // offers.most_on_one(job.spec))
         for offer, _ in offers.choices(job.spec, inputs.now, Counter()):
             if zone in (None, offer.zone):
-                left = offers.left(offer, self._existing[offer], inputs.now)
-                if left is None or left >= machines:
+                rentable = offers.left(offer, self._existing[offer], inputs.now)
+                if rentable is None or rentable >= machines:
                     return True
         return False
 
     def _slots_by_zone(
-        self, job: Job, inputs: ReservationInputs, forecast: SlotForecast, taken: set[str]
+        self, job: Job, inputs: ReservationInputs, forecast: SlotForecast, reserved_names: set[str]
     ) -> dict[str | None, list[Slot]]:
-        """Return when the job's slots become free and on which machine, by zone.
+        """Return the job's slots by zone: when each becomes free, and on which machine.
 
         The key is None if the job does not ask for a single zone.
         """
         spec = job.spec
-        before = self.by_job.get(job.id)
+        previous = self.by_job.get(job.id)
         by_zone: dict[str | None, list[Slot]] = {}
         for machine in forecast.usable_machines:
-            if machine.name in taken or _preempted_for_other(machine, job):
+            if machine.name in reserved_names or _preempted_for_other(machine, job):
                 continue
             if not allowed(spec, machine.machine_type, machine.zone, machine.spot):
                 continue
             if spec.spot_allowed and not machine.spot and not inputs.spot_scarce:
                 continue
-            reserved = before is not None and machine.name in before.machines
+            reserved = previous is not None and machine.name in previous.machines
             bonus = RESERVED_BONUS_S if reserved else 0.0
             slots = by_zone.setdefault(machine.zone if spec.one_zone else None, [])
             slots += [(free_at - bonus, machine.name) for free_at in forecast.free_at(machine, job)]
@@ -236,7 +242,7 @@
 def _wants_reservation(job: Job, inputs: ReservationInputs) -> bool:
     if job.production or not job.waiting_count() or job.spec.team not in inputs.cluster.teams:
         return False
-    # A single task that shares a machine with others can use whatever becomes free.
+    # A single task that shares a machine with other tasks can use any slot that becomes free.
     return slots_needed(job) > 1 or inputs.instance_offers.most_on_one(job.spec) <= 1
 
 
