--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -1,4 +1,4 @@
-"""Which machines are returned to the cloud, and why."""
+"""Scale in: decides which machines are returned to the cloud, and why."""
 
 from __future__ import annotations
 
@@ -11,46 +11,49 @@
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.plan import Plan
 
-#: Charged in any case (PROTOCOL, cloud): returning a machine earlier saves nothing.
+#: Shortest time that the cloud charges for (PROTOCOL, cloud): an earlier return saves nothing.
 MINIMUM_CHARGE = seconds(60)
-#: An idle machine is returned so long before the end of the minimum charge at the earliest.
+#: An idle machine is returned at most this long before the end of its minimum charge.
 CHARGE_MARGIN = seconds(3)
-#: An idle machine is kept for this share of its type's boot time: to rent it anew costs a boot
-#: and the fetch of its images, and makes work wait for both.
-IDLE_SHARE = 0.5
-#: Boot times where the machine type is unknown: for giving up a boot, and for idle machines.
+#: An idle machine is kept for this share of its type's boot time: renting another one costs a boot
+#: and the fetch of its images, and work waits for both.
+IDLE_BOOT_TIME_SHARE = 0.5
+#: Boot times of unknown machine types: for giving up a boot, and for returning idle machines.
 UNKNOWN_BOOT_S = 60.0
 UNKNOWN_IDLE_BOOT_S = 30.0
-#: A silent machine is returned when its lease and this time have passed.
+#: A silent machine is returned this long after its lease expired.
 UNREACHABLE_TIMEOUT = seconds(45)
-#: The same where it may still run tasks: only the cloud's answer makes their end certain.
+#: The same for a machine that may still run tasks: only the cloud's confirmation proves that they
+#: have ended.
 UNREACHABLE_WITH_TASKS_TIMEOUT = seconds(3)
-#: A machine whose announced end has passed counts as gone after so many heartbeat intervals.
-RECLAIMED_HEARTBEATS = 1.5
-#: A machine without heartbeats is returned after more than so many lists without it.
+#: Past the time of its reclaim notice, a machine counts as gone after this many heartbeat intervals
+#: of silence.
+RECLAIMED_TIMEOUT_HEARTBEATS = 1.5
+#: A machine without heartbeats is returned if more than this many lists in a row do not name it.
 MAX_MISSING_LISTS = 3
-#: One that was never up also needs to be known for this long.
+#: A machine that was never up must also have been known for longer than this.
 UNLISTED_TIMEOUT = seconds(60)
-#: A machine known from heartbeats alone that does not answer is returned after so many.
-UNKNOWN_HEARTBEATS = 3
-#: If more than this share of the machines, and no fewer than so many, do not receive our answers,
-#: the fault is most likely with us.
+#: A machine that is known from heartbeats alone is returned if it has not shown the current fencing
+#: token within this many heartbeat intervals.
+UNKNOWN_TIMEOUT_HEARTBEATS = 3
+#: If more than this share of the machines, and at least ``MIN_UNREACHABLE``, do not receive
+#: responses, the fault is most likely at this controller.
 MAX_UNREACHABLE_SHARE = 0.5
 MIN_UNREACHABLE = 3
 
 
 class ReturnReason(StrEnum):
-    """Why a machine is drained and returned, as in the log."""
+    """Why a machine is drained or returned, as written to the log."""
 
     RESTARTED = "its worker restarted"
     FAILED = "it failed"
-    NEVER_HEARD = "no heartbeat since the failover"
+    NO_HEARTBEAT_SINCE_FAILOVER = "no heartbeat since the failover"
     UNLISTED = "the cloud lists it no more"
     NO_HEARTBEAT = "no heartbeat"
     NOT_BOOTED = "it does not boot"
     RECLAIMED = "the cloud reclaimed it"
     UNKNOWN = "no record names it, and it does not answer"
-    RECEIVES_NOTHING = "it reports, but does not receive answers"
+    RECEIVES_NO_RESPONSES = "it reports, but does not receive answers"
     NO_HEARTBEAT_WITH_TASKS = "no heartbeat, and it may still run tasks"
     CANCELLATION_OVERDUE = "it does not stop a cancelled task"
     RECLAIM_NOTICE = "the cloud is about to reclaim it"
@@ -60,32 +63,33 @@
 
 
 class ScaleIn:
-    """Judges machines at one tick after the other."""
+    """Decides at each tick whether a machine is to be returned."""
 
     def __init__(self, cluster: ClusterState, now: timedelta) -> None:
         self._cluster = cluster
-        #: Taken once: it is compared with for each machine at each tick.
+        #: Read once, because each tick compares it for each machine.
         self._lease_expiry = cluster.lease_expiry
-        #: Since when machines are observed without a gap: earlier silence may be our own fault.
+        #: Since when this process has observed machines without a gap.  Earlier silence may be the
+        #: fault of this process.
         self._observing_since = now
-        #: As of the last tick, most machines do not receive our answers.
-        self._unreachable_ourselves = False
+        #: Whether most machines did not receive responses, as of the last tick.
+        self._own_responses_lost = False
 
     def observe_from(self, now: timedelta) -> None:
-        """Count silence anew from now: this process did not observe anything before."""
+        """Count silence of machines from ``now`` on: this process received no messages before."""
         self._observing_since = now
 
-    def note_reachability(self, heard: int, receives_nothing: int) -> None:
-        """Take in how many machines sent heartbeats lately, and how many of them miss our answers.
+    def note_reachability(self, reporting: int, unreachable: int) -> None:
+        """Record how many machines sent heartbeats, and how many of these receive no responses.
 
-        With so many of them it is rather our own answers that are lost, whoever they are for.
+        If most of them receive none, this controller's responses are lost on its own side.
         """
-        self._unreachable_ourselves = (
-            receives_nothing >= MIN_UNREACHABLE and receives_nothing > heard * MAX_UNREACHABLE_SHARE
+        self._own_responses_lost = (
+            unreachable >= MIN_UNREACHABLE and unreachable > reporting * MAX_UNREACHABLE_SHARE
         )
 
     def return_reason(self, machine: Machine, plan: Plan, now: timedelta) -> str | None:
-        """Return why the machine is to be returned, or None; the first reason that applies."""
+        """Return the first reason that applies for returning the machine, or None."""
         if machine.reachability.restarted:
             return ReturnReason.RESTARTED
         if machine.listed_failed and (machine.lease_expired or not machine.up):
@@ -102,18 +106,18 @@
 
     def _reason_not_up(self, machine: Machine, now: timedelta) -> str | None:
         if machine.attempts:
-            # Recorded by an earlier leader and silent since: only the cloud can make certain.
+            # Recorded by an earlier leader and silent since: only the cloud can confirm its end.
             waited = now - self._observing_since
             limit = self._lease_expiry + UNREACHABLE_WITH_TASKS_TIMEOUT
-            return ReturnReason.NEVER_HEARD if waited > limit else None
+            return ReturnReason.NO_HEARTBEAT_SINCE_FAILOVER if waited > limit else None
         if (
             machine.missing_lists > MAX_MISSING_LISTS
             and now - machine.known_since > UNLISTED_TIMEOUT
         ):
             return ReturnReason.UNLISTED
         if machine.listed_running:
-            # It has booted and can't be reached, as in a zone that was cut off before we led: it is
-            # waited for like one that sent heartbeats before.
+            # It has booted but is unreachable, as in a zone that was partitioned before this term.
+            # It has the same timeout as a machine that has sent heartbeats.
             silence = now - max(self._observing_since, machine.known_since)
             limit = self._lease_expiry + UNREACHABLE_TIMEOUT
             return ReturnReason.NO_HEARTBEAT if silence > limit else None
@@ -128,20 +132,20 @@
     # -- machines that are up ----------------------------------------------------------------
 
     def _reason_lost(self, machine: Machine, now: timedelta) -> str | None:
-        """Return why a machine is of no use any more although its lease may still be valid."""
-        if self._is_gone(machine, now):
+        """Return why a machine is lost although its lease may still be valid, or None."""
+        if self._is_probably_gone(machine, now):
             return ReturnReason.RECLAIMED
         if not machine.has_our_token and self._is_unknown(machine, now):
             return ReturnReason.UNKNOWN
-        if machine.reachability.missed and self._lease_lapsed(machine, now):
-            return ReturnReason.RECEIVES_NOTHING
+        if machine.reachability.missed and self._lease_expired_without_responses(machine, now):
+            return ReturnReason.RECEIVES_NO_RESPONSES
         return None
 
-    def _is_gone(self, machine: Machine, now: timedelta) -> bool:
+    def _is_probably_gone(self, machine: Machine, now: timedelta) -> bool:
         """Return whether a silent machine is most likely gone.
 
-        Asking the cloud for its end then beats waiting for its lease: the answer makes it certain,
-        and its tasks start elsewhere sooner.
+        Returning it is then better than waiting for its lease to expire: the cloud's confirmation
+        is certain, and its tasks start elsewhere sooner.
         """
         if machine.heard is None or (
             machine.reclaim_expected_at is None and machine.missing_lists <= 1
@@ -150,32 +154,32 @@
         silence = now - machine.heard
         heartbeat = self._cluster.workers.heartbeat_interval
         if machine.reclaim_expected_at is not None and now > machine.reclaim_expected_at:
-            return silence > heartbeat * RECLAIMED_HEARTBEATS
+            return silence > heartbeat * RECLAIMED_TIMEOUT_HEARTBEATS
         return machine.missing_lists > 1 and silence > heartbeat * MAX_MISSED_HEARTBEATS
 
     def _is_unknown(self, machine: Machine, now: timedelta) -> bool:
-        """Return whether only heartbeats name a machine that should have shown our token by now.
+        """Return whether a machine known from heartbeats alone failed to show the current token.
 
-        No record names anything on it, so nothing is lost with it.
+        No record names a task on it, so no task is lost with it.
         """
         if machine.confirmed or machine.up_since is None:
             return False
         heartbeat = self._cluster.workers.heartbeat_interval
-        return now - machine.up_since > heartbeat * UNKNOWN_HEARTBEATS
+        return now - machine.up_since > heartbeat * UNKNOWN_TIMEOUT_HEARTBEATS
 
-    def _lease_lapsed(self, machine: Machine, now: timedelta) -> bool:
-        """Return whether its lease has expired since our answers do not reach it.
+    def _lease_expired_without_responses(self, machine: Machine, now: timedelta) -> bool:
+        """Return whether its lease has expired because responses do not reach it.
 
-        That holds whatever we have answered: what ran on it was moved or is lost.
+        This holds regardless of what was answered to it: its tasks were moved or are lost.
         """
         return (
             machine.reachability.receives_nothing_for(now) > self._lease_expiry
-            and not self._unreachable_ourselves
+            and not self._own_responses_lost
         )
 
     def _reason_no_heartbeat(self, machine: Machine, now: timedelta) -> str | None:
-        last = machine.reachability.latest if machine.lease_expired else machine.heard
-        silence = now - max(last or machine.up_since or now, self._observing_since)
+        last_message_at = machine.reachability.latest if machine.lease_expired else machine.heard
+        silence = now - max(last_message_at or machine.up_since or now, self._observing_since)
         if (
             machine.missing_lists > MAX_MISSING_LISTS
             or silence > self._lease_expiry + UNREACHABLE_TIMEOUT
@@ -192,7 +196,7 @@
         return ReturnReason.CANCELLATION_OVERDUE if overdue else None
 
     def _cancellation_overdue(self, machine: Machine, now: timedelta) -> bool:
-        """Return whether a cancelled task runs on so long that only returning the machine helps."""
+        """Return whether a cancelled task did not stop in time, so the machine must be returned."""
         limit = self._cluster.workers.cancel_timeout - self._cluster.workers.lease
         for attempt in machine.attempts.values():
             job = self._cluster.jobs[attempt.job_id]
@@ -201,7 +205,7 @@
         return False
 
     def _reason_empty(self, machine: Machine, plan: Plan, now: timedelta) -> str | None:
-        """Return why a machine without tasks is returned, and keep track of how long it is idle."""
+        """Return why a machine without tasks is returned, or None; update its idle time."""
         if machine.reclaim_expected_at is not None:
             return ReturnReason.RECLAIM_NOTICE
         if machine.draining is not None:
@@ -212,7 +216,7 @@
         idle = now - (machine.idle_since or now)
         if machine.idle_since is None:
             machine.idle_since = now
-        keep = self._boot_time(machine, UNKNOWN_IDLE_BOOT_S) * IDLE_SHARE
-        if idle > keep and machine.age(now) > MINIMUM_CHARGE - CHARGE_MARGIN:
+        idle_timeout = self._boot_time(machine, UNKNOWN_IDLE_BOOT_S) * IDLE_BOOT_TIME_SHARE
+        if idle > idle_timeout and machine.age(now) > MINIMUM_CHARGE - CHARGE_MARGIN:
             return ReturnReason.IDLE
         return None
--- a/micadeal/scheduling/scale_out.py
+++ b/micadeal/scheduling/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale-out demand of one scheduling cycle: which machines to rent for what finds no capacity."""
+"""Scale out: which machines a scheduling cycle rents for tasks that find no capacity."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.users import Submission
 
-#: New machines planned in one cycle, however much is pending.
-MAX_PLANNED = 200
+#: Maximum number of new machines planned in one cycle.
+MAX_PLANNED_MACHINES = 200
 
 
 class ScaleOut:
-    """Adds planned machines to the pool, and their rentals to the plan."""
+    """Plans machines: adds them to the capacity pool and their rentals to the plan."""
 
     def __init__(self, inputs: CycleInputs, pool: CapacityPool, plan: Plan) -> None:
         self._offers = inputs.instance_offers
         self._now = inputs.now
         self._may_rent = inputs.may_rent
         self._pending_rentals = inputs.pending_rentals
-        #: Machines that exist, by offer.
+        #: Number of existing machines by offer.
         self._existing = inputs.cluster.held()
         self._pool = pool
         self._plan = plan
-        self._planned = 0
+        self._planned_count = 0
 
     @property
     def _exhausted(self) -> bool:
-        return not self._may_rent or self._planned >= MAX_PLANNED
+        return not self._may_rent or self._planned_count >= MAX_PLANNED_MACHINES
 
     def plan_machine(
         self, spec: Submission, rule: ZoneRule, warm: bool = False
     ) -> MachineCapacity | None:
-        """Plan the cheapest machine that holds one task, or return None.
+        """Plan the cheapest machine on which one task fits; return None if there is none.
 
-        ``warm``: for work that is only expected.  What may use spot is then not worth an on-demand
-        machine's price.
+        ``warm``: the machine is for expected work only.  If this work may use spot machines, an
+        on-demand machine is not worth its price.
         """
         if self._exhausted:
             return None
@@ -61,22 +61,22 @@
         return None
 
     def gang_candidates(self, spec: Submission) -> list[MachineCapacity]:
-        """Return machines that could be rented for a gang: the cheapest offer in each zone.
+        """Return machines that could be rented for a gang, of the cheapest offer in each zone.
 
         They are not planned yet; the caller passes those that it uses to ``add``.
         """
         if self._exhausted:
             return []
-        seen: set[str] = set()
+        zones: set[str] = set()
         candidates: list[MachineCapacity] = []
         for offer, kind in self._offers.choices(spec, self._now, self._pool.machines_by_zone):
-            if offer.zone in seen:
+            if offer.zone in zones:
                 continue
-            seen.add(offer.zone)
-            count = min(spec.tasks, MAX_PLANNED)
-            left = self._offers.left(offer, self._count(offer), self._now)
-            if left is not None:
-                count = min(count, left)
+            zones.add(offer.zone)
+            count = min(spec.tasks, MAX_PLANNED_MACHINES)
+            rentable = self._offers.left(offer, self._machine_count(offer), self._now)
+            if rentable is not None:
+                count = min(count, rentable)
             for _ in range(count):
                 capacity = self._new_capacity(offer, kind)
                 capacity.order += len(candidates)
@@ -84,26 +84,26 @@
         return candidates
 
     def add(self, capacity: MachineCapacity) -> None:
-        """Plan this machine."""
-        self._planned += 1
+        """Add a machine to the pool, and its rental to the plan."""
+        self._planned_count += 1
         self._pool.add(capacity)
         offer = InstanceOffer(capacity.machine_type, capacity.zone, capacity.spot)
         self._plan.rentals[offer] += 1
 
     def _new_capacity(self, offer: InstanceOffer, kind: MachineType) -> MachineCapacity:
         order = len(self._pool.capacities)
-        name = f"planned {offer.zone} {self._planned} {order}"
+        name = f"planned {offer.zone} {self._planned_count} {order}"
         return empty_capacity(name, offer, kind, order, planned=True)
 
-    def _count(self, offer: InstanceOffer) -> int:
-        """Machines of an offer that exist, are asked for, or are planned in this cycle."""
+    def _machine_count(self, offer: InstanceOffer) -> int:
+        """Return how many machines of an offer exist, are requested or are planned."""
         return self._existing[offer] + self._pending_rentals[offer] + self._plan.rentals[offer]
 
     def refusal_reason(self, job: Job) -> str:
         """Return why no machine is rented for a job that found no capacity."""
         if not self._may_rent:
             return MACHINES_NOT_COUNTED
-        if self._planned >= MAX_PLANNED:
+        if self._planned_count >= MAX_PLANNED_MACHINES:
             return MANY_RENTALS
         zones = self._pool.machines_by_zone
         if not any(True for _ in self._offers.choices(job.spec, self._now, zones)):
