--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -1,8 +1,8 @@
-"""The leader's scheduling decisions over one term: cycles, and machines that come and go.  No I/O.
+"""The leader's scheduling decisions during one term: cycles, rentals and returns.  No I/O.
 
-``Scheduler`` is what the controller talks to.  It takes in events (jobs, heartbeats, answers of the
-cloud) and leaves its decisions in the cluster state, ``rentals`` and ``releases``, which the
-controller carries out.
+``Scheduler`` is the interface to the controller.  It receives events (jobs, heartbeats, responses
+of the cloud) and stores its decisions in the cluster state, ``rentals`` and ``releases``.  The
+controller carries them out.
 """
 
 from __future__ import annotations
@@ -43,22 +43,22 @@
 from micadeal.wire.workers import Command, Heartbeat
 
 if TYPE_CHECKING:
-    # Imported at run time only where timing is switched on: other deployments start without it.
+    # Imported at run time only if timing is enabled: other deployments run without it.
     from micadeal.scheduling.deferral import Deferral
 
 log = logging.getLogger(__name__)
 
-#: A gap of this length between two ticks: this process was stalled.
+#: A longer gap between two ticks means that this process was stalled.
 STALL_THRESHOLD = seconds(3)
-#: How long after a failover renting waits for machines that have not reported yet.
+#: No machine is rented for this long after a failover: existing ones may not have reported yet.
 MACHINE_COUNT_TIMEOUT = seconds(4)
-#: A machine stays closed to others for this long beyond the time that a preempted task needs to
-#: save: until its end is reported, and the next cycle.
+#: A machine stays closed to other jobs for this long after the grace period of a preempted task, so
+#: that the end of the task can be reported and the next cycle can run.
 PREEMPTION_MARGIN = seconds(6)
 
 
 class Scheduler:
-    """One term's decisions; ``tick`` is called often, ``run_cycle`` when ``wants_cycle``."""
+    """The scheduler of one term; call ``tick`` often, and ``run_cycle`` when ``wants_cycle``."""
 
     def __init__(
         self,
@@ -73,11 +73,11 @@
         self.policy = policy
         self.timers: dict[TeamResource, StarvationTimer] = {}
         self.reservations = GangReservations()
-        #: Of the last cycle.
+        #: The plan of the last cycle.
         self.plan = Plan()
-        #: Defers flexible work to better hours; None: that is switched off.
+        #: Defers flexible jobs to better hours; None if timing is disabled.
         self.deferral: Deferral | None = None
-        #: Teams whose last start went to their longest waiting job.
+        #: Teams whose last start was a task of their longest waiting job.
         self._served_by_age: set[str] = set()
         self._inventory = MachineInventory(cluster, instance_offers)
         self._monitor = MachineMonitor(cluster, self._inventory, now)
@@ -89,18 +89,18 @@
     # -- jobs and heartbeats ---------------------------------------------------------------
 
     def job_added(self, job: Job, now: timedelta) -> None:
-        """Take in a submitted job; one that is known already is ignored."""
+        """Add a submitted job; a job that is already known is ignored."""
         if job.id in self.cluster.jobs:
             return
         self.cluster.add_job(job)
         if not job.spec.prerequisites:
-            # When a job that waits for others can start is known better than by a rate.
+            # A job with prerequisites can start when these complete, so arrival rates ignore it.
             self._arrivals.add(job, now)
 
     def on_heartbeat(
         self, heartbeat: Heartbeat, now: timedelta, *, is_heartbeat: bool, full: bool
     ) -> list[Command] | None:
-        """Return the commands for the answer; None if the machine is gone or the report is old."""
+        """Return the commands to respond with; None if the machine is gone or the report is old."""
         machine = reconciliation.reconcile_heartbeat(
             self.cluster, heartbeat, now, is_heartbeat=is_heartbeat
         )
@@ -108,7 +108,7 @@
             return None
         return worker_commands.commands_for(self.cluster, machine, full) if is_heartbeat else []
 
-    # -- answers of the cloud --------------------------------------------------------------
+    # -- responses of the cloud ------------------------------------------------------------
 
     @property
     def listed(self) -> bool:
@@ -121,52 +121,52 @@
 
     @property
     def rentals(self) -> dict[InstanceOffer, RentalRequest]:
-        """Rental requests that are not answered yet, one for each offer at most."""
+        """Rental requests without a response yet, at most one for each offer."""
         return self._inventory.rentals
 
     @property
     def releases(self) -> set[str]:
-        """Machines to be returned; each stays until the cloud confirms."""
+        """Names of machines to be returned; each stays until the cloud confirms the return."""
         return self._inventory.releases
 
     def set_catalog(self, types: Iterable[MachineType]) -> None:
-        """Take in the cloud's machine types."""
+        """Set the cloud's machine types."""
         self.instance_offers.types = {kind.name: kind for kind in types}
         self.cluster.types = self.instance_offers.types
         self.cluster.changed = True
 
     def on_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
-        """Take in the cloud's list of all machines."""
+        """Process the cloud's list of all machines."""
         self._inventory.on_list(listed, now)
 
     def rented(self, request: RentalRequest, names: list[str], now: timedelta) -> None:
-        """Take in a granted request, of which fewer machines may have come than asked for."""
+        """Process a granted rental request; the cloud may grant fewer machines than requested."""
         self._inventory.rented(request, names, now)
 
     def rental_refused(self, request: RentalRequest, now: timedelta) -> None:
-        """Take in a refused request."""
+        """Process a refused rental request."""
         self._inventory.rental_refused(request, now)
 
     def released(self, names: Iterable[str], now: timedelta) -> None:
-        """Take in the cloud's confirmation that these machines are gone."""
+        """Process the cloud's confirmation that these machines are gone."""
         self._inventory.released(names, now)
 
     def return_again(self, names: Iterable[str], now: timedelta) -> None:
-        """Ask the cloud once more to take back machines that an earlier leader was returning."""
+        """Request again the return of machines that an earlier leader was returning."""
         self._inventory.return_again(names, now)
 
     # -- time ------------------------------------------------------------------------------
 
     def tick(self, now: timedelta, *, may_expire_leases: bool = True) -> None:
-        """Do what is due by the clock alone.
+        """Make the decisions that depend on time alone.
 
-        ``may_expire_leases``: no other controller can have renewed the lease of a worker that we do
-        not hear from.  Where that is not sure, silent machines are returned, and the cloud's answer
-        waited for.
+        ``may_expire_leases``: whether it is certain that no other controller has renewed the lease
+        of a worker that is silent here.  If it is not, silent machines are returned instead, and
+        their tasks are replaced only after the cloud has confirmed the return.
         """
         if self._last_tick is not None and now - self._last_tick > STALL_THRESHOLD:
-            # Guards against judging machines by our own absence: heartbeats that came while this
-            # process was stalled are taken in first.
+            # Guards against treating machines as silent because this process was stalled:
+            # heartbeats that arrived during the stall are processed first.
             stalled = (now - self._last_tick).total_seconds()
             log.info("scheduler stalled: seconds=%.1f", stalled)
             self._monitor.observe_from(now)
@@ -178,14 +178,14 @@
         self._status_log.tick(now)
 
     def wants_cycle(self, now: timedelta) -> bool:
-        """Return whether something changed, or the refresh period is over."""
+        """Return whether the cluster state changed or the refresh period has passed."""
         due = self._last_cycle is None or now - self._last_cycle >= self.policy.refresh
         return self.cluster.changed or due
 
     # -- cycles ----------------------------------------------------------------------------
 
     def refresh_deferral(self, now: timedelta, utc_now: datetime) -> None:
-        """Decide which jobs are deferred; before a cycle, where timing is switched on."""
+        """Decide which jobs are deferred, if timing is enabled; called before a cycle."""
         if self.deferral is not None:
             urgent = self._arrivals.urgent_classes
             self.deferral.refresh(self.policy, self.plan.teams, urgent, now, utc_now)
@@ -211,14 +211,14 @@
             now,
             self._arrivals.expected_work(now),
             may_rent=self.listed and now - self.cluster.term_start >= MACHINE_COUNT_TIMEOUT,
-            # Else what is asked for would be rented twice.
+            # Otherwise the requested machines would be rented twice.
             pending_rentals=self._inventory.pending_rentals(),
             deferral=self.deferral,
             served_by_age=self._served_by_age,
         )
 
     def _refresh_reservations(self, now: timedelta) -> None:
-        """Choose the machines that are reserved for jobs that have waited for long."""
+        """Choose the machines to reserve for jobs that have waited long."""
         satisfied: set[TeamResource] = set()
         below_guarantee: set[TeamResource] = set()
         for resource, states in self.plan.teams.items():
@@ -241,10 +241,11 @@
         )
 
     def _reopen_preempted_machines(self, now: timedelta) -> None:
-        """Open machines to others again once the job that was preempted for needs them no more.
+        """Open machines to other jobs again once the preemptor no longer needs them.
 
-        Until then they are closed: what was stopped, or is placed before, would take the slot again
-        as long as another task there is still saving, and be stopped again in the next cycle.
+        Until then they are closed.  Otherwise, while another task on the machine is still saving,
+        the preempted job or a job that is placed earlier would take the freed slot, and would be
+        stopped again in the next cycle.
         """
         for machine in self.cluster.machines.values():
             if machine.preempted_for is not None:
@@ -254,7 +255,7 @@
                     machine.preempted_for = None
 
     def _preempt(self, kill: Kill, now: timedelta) -> None:
-        """Stop a victim, with grace to save, and close its machines to others."""
+        """Stop a victim with a grace period to save, and close its machines to other jobs."""
         victim = kill.victim
         job = self.cluster.jobs[victim.job_id]
         grace = grace_to_save(job)
@@ -279,13 +280,13 @@
     # -- counts ----------------------------------------------------------------------------
 
     def counts(self, limit: int = MAX_JOBS) -> list[Counts]:
-        """Return how many tasks of each job are done and running, for jobs where any are."""
+        """Return the numbers of done and running tasks of each job that has any."""
         return job_counts(self.cluster, limit)
 
     def all_started(self, limit: int = MAX_JOBS) -> list[str]:
-        """Return the jobs of which each task that is not done runs: no task of them can start."""
+        """Return the jobs whose unfinished tasks all run, so that no task of them can start."""
         return fully_started_jobs(self.cluster, limit)
 
     def state_counts(self, now: timedelta) -> Counter[str]:
-        """Return how many jobs there are in each state."""
+        """Return the number of jobs in each state."""
         return job_state_counts(self.cluster, self.deferral, now)
--- a/micadeal/scheduling/scheduling_cycle.py
+++ b/micadeal/scheduling/scheduling_cycle.py
@@ -1,7 +1,7 @@
 """One scheduling cycle: place tasks in fair-share order, plan machines to rent, choose victims.
 
-A cycle does no I/O and changes nothing but the attempts that it adds to the cluster state; the
-caller persists them before they are started.
+A cycle does no I/O.  It changes only the cluster state, to which it adds attempts; the caller
+persists them before they are started.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from micadeal.scheduling.warm_capacity import keep_warm_capacity
 from micadeal.sharing.order import team_key
 
-#: Jobs that take accelerators are served first: the others fill the cores that are left over.
+#: Jobs that use accelerators are served first; the others use the remaining cores.
 RESOURCES = ("gpus", "cpus")
 
 
@@ -44,7 +44,7 @@
         self._gangs = GangPlacement(cluster, self.pool, self._bookings, self._scale_out, delay)
 
     def run(self) -> Plan:
-        """Decide everything, and return it."""
+        """Run the cycle and return its plan."""
         runnable = runnable_jobs(self._inputs)
         for resource in RESOURCES:
             self._serve_resource(resource, [job for job in runnable if job.resource == resource])
@@ -67,13 +67,13 @@
         states = team_states(resource, jobs, self._inputs, self.pool, self._bookings)
         self.plan.teams[resource] = states
         self.pool.select_resource(resource)
-        # Production first: it must not wait behind what may be preempted for it.  The order within
-        # each round is that of the design.
+        # Production jobs come first: they must not wait behind jobs that may be preempted for them.
+        # The order within each of the two groups is that of the design.
         for production in (True, False):
             self._serve([job for job in jobs if job.production is production], states)
 
     def _serve(self, jobs: list[Job], states: dict[str, TeamState]) -> None:
-        """Offer capacity to the teams in fair-share order, until every job has passed."""
+        """Offer capacity to the teams in fair-share order until every job has passed."""
         queues: dict[str, list[Job]] = {}
         for job in jobs:
             queues.setdefault(job.spec.team, []).append(job)
@@ -81,16 +81,19 @@
         by_age: set[str] = set()
         for team, queue in queues.items():
             oldest = self._longest_waiting(queue)
-            # Taken from the end.
+            # Jobs are taken from the end.
             queue.reverse()
             if oldest is not None:
-                # Considered once before the others, and again at its own place in the queue.
+                # It is considered once before the others, and again at its own place in the queue.
                 queue.append(oldest)
                 by_age.add(team)
         while queues:
             team = min(
                 queues,
-                key=lambda n: (*team_key(states[n].used, states[n].minimum, states[n].weight), n),
+                key=lambda name: (
+                    *team_key(states[name].used, states[name].minimum, states[name].weight),
+                    name,
+                ),
             )
             queue = queues[team]
             job = queue[-1]
@@ -105,26 +108,26 @@
             if units:
                 self._inputs.served_by_age.discard(team)
             if not units or not self._bookings.waiting(job):
-                # The job passes (design, 4.2): the next one of the team is considered.
+                # The job passes (design, 4.2): the team's next job is considered.
                 queue.pop()
                 self.pool.forget_ranking(job)
                 if not queue:
                     del queues[team]
 
     def _place(self, job: Job) -> float:
-        """Place one task, or a whole gang, and return its units; 0 if the job passes."""
+        """Place one task or a whole gang and return its units; 0 if the job passes."""
         if not self._bookings.waiting(job):
             return 0.0
         return self._gangs.place(job) if job.is_gang else self._tasks.place(job)
 
     def _longest_waiting(self, queue: list[Job]) -> Job | None:
-        """Return the team's job that has waited longest with nothing started, if it is its turn.
+        """Return the team's job that has waited longest without a started task, if it is due.
 
-        Guards against single jobs that wait behind one of thousands of tasks until that is done:
-        every other start of a team goes to such a job, so neither starves the other.
+        Guards against single jobs that wait until a job of thousands of tasks before them is done.
+        Every other start of a team goes to the longest waiting job, so neither starves the other.
         """
         if queue[0].spec.team in self._inputs.served_by_age:
             return None
-        patience, now = self._inputs.policy.gather_late, self._inputs.now
-        waiting = [job for job in queue[1:] if job.not_begun and now - job.ready >= patience]
+        min_wait, now = self._inputs.policy.gather_late, self._inputs.now
+        waiting = [job for job in queue[1:] if job.not_begun and now - job.ready >= min_wait]
         return min(waiting, key=lambda job: (job.ready, job.id), default=None)
--- a/micadeal/scheduling/task_placement.py
+++ b/micadeal/scheduling/task_placement.py
@@ -1,4 +1,4 @@
-"""Placement of single tasks: on free capacity, or on a machine that is planned for them."""
+"""Placement of single tasks on free capacity or on machines that are planned for them."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
         self._bookings = bookings
         self._scale_out = scale_out
         self._delay = delay
-        #: Cores that short work without accelerators is likely to free within a boot time.
-        self._cores_soon: float | None = None
+        #: Cores that tasks without accelerators are likely to free within a machine's boot time.
+        self._cores_freed_soon: float | None = None
 
     def place(self, job: Job) -> float:
         """Book one task and return its units, or 0 if the job passes."""
@@ -63,7 +63,7 @@
         return job.units
 
     def _wait_reason(self, job: Job, waiting: int, capacity: MachineCapacity | None) -> str | None:
-        """Return why the job had better wait than use this capacity or rent a machine, or None."""
+        """Return why the job should wait rather than use ``capacity`` or rent, or None."""
         if capacity is not None:
             if capacity.up and self._delay.should_wait(job, waiting, capacity):
                 return WAITS_FOR_IMAGE
@@ -73,26 +73,26 @@
         return COMES_FREE if self._frees_soon(job, waiting) else None
 
     def _frees_soon(self, job: Job, tasks: int) -> bool:
-        """Return whether short work without accelerators soon frees cores for so many tasks.
+        """Return whether running tasks are likely to free enough cores for ``tasks`` tasks soon.
 
-        "Soon" is before a machine could boot: one rented for them would come too late, and with
-        idle accelerators.
+        Only running tasks without accelerators count.  "Soon" is within the boot time of a machine:
+        a machine rented for the tasks would be up too late, and its accelerators would be idle.
         """
         spec = job.spec
         if spec.gpus or job.is_service:
             return False
-        if self._cores_soon is None:
-            self._cores_soon = self._cores_freed_in_boot_time()
+        if self._cores_freed_soon is None:
+            self._cores_freed_soon = self._cores_freed_in_boot_time()
         needed = tasks * spec.cpus
-        if self._cores_soon < needed:
+        if self._cores_freed_soon < needed:
             return False
-        self._cores_soon -= needed
+        self._cores_freed_soon -= needed
         return True
 
     def _cores_freed_in_boot_time(self) -> float:
-        boot = min((kind.boot_s for kind in self._offers.types.values()), default=0.0)
+        boot_s = min((kind.boot_s for kind in self._offers.types.values()), default=0.0)
         return sum(
-            other.running_count() * other.spec.cpus * min(boot / max(estimate, 1.0), 1.0)
+            other.running_count() * other.spec.cpus * min(boot_s / max(estimate, 1.0), 1.0)
             for other in self._cluster.live_jobs()
             if not other.spec.gpus and (estimate := other.spec.estimate_s)
         )
--- a/micadeal/scheduling/team_shares.py
+++ b/micadeal/scheduling/team_shares.py
@@ -17,38 +17,38 @@
 def runnable_jobs(inputs: CycleInputs) -> list[Job]:
     """Return the jobs with pending tasks that may start, in the order of their teams' queues.
 
-    Jobs past their team's limit of running jobs are left out (design, 4.7).
+    Jobs beyond their team's limit of running jobs are left out (design, 4.7).
     """
     cluster = inputs.cluster
-    per_team: Counter[str] = Counter()
-    result: list[Job] = []
+    jobs_per_team: Counter[str] = Counter()
+    runnable: list[Job] = []
     for job in sorted(_not_deferred(inputs), key=lambda job: _queue_order(inputs, job)):
         team = job.spec.team
-        # A blocked job has no demand and is none of its team's running jobs.
+        # A blocked job has no demand and does not count as one of its team's running jobs.
         if team not in cluster.teams or job.complete or job.blocked:
             continue
         limit = inputs.policy.team(team).running_jobs
-        per_team[team] += 1
+        jobs_per_team[team] += 1
         job.reasons.clear()
         waiting = job.waiting_count()
         if not waiting:
             continue
-        if limit is not None and per_team[team] > limit and not job.attempts:
+        if limit is not None and jobs_per_team[team] > limit and not job.attempts:
             job.reasons[RUNNING_JOBS_LIMIT] = waiting
         elif job.is_gang and job.attempts:
             job.reasons[GANG_ATTEMPT_ENDING] = waiting
         elif inputs.now < job.retry_at:
             job.reasons[BACKING_OFF] = waiting
         else:
-            result.append(job)
-    return result
+            runnable.append(job)
+    return runnable
 
 
 def _not_deferred(inputs: CycleInputs) -> list[Job]:
-    """Return all jobs but the deferred ones.
+    """Return all live jobs that are not deferred.
 
-    Those count as no demand, as jobs past a limit do, and are left out before anything is sorted,
-    since there may be many.
+    Like jobs beyond a limit, deferred jobs are no demand.  They are left out before jobs are
+    sorted, because there may be many.
     """
     deferral = inputs.deferral
     if deferral is None:
@@ -72,7 +72,7 @@
 ) -> dict[str, TeamState]:
     """Return each team's demand, usage and fair share of one resource, by team name.
 
-    ``jobs``: the runnable ones that are counted in this resource.
+    ``jobs``: the runnable jobs that are counted in this resource.
     """
     teams, policy = inputs.cluster.teams, inputs.policy
     states: dict[str, TeamState] = {}
@@ -86,19 +86,19 @@
         if limit is not None:
             state.demand = min(state.demand, limit)
     claims = [Claim(state.demand, state.weight, state.minimum) for state in states.values()]
-    shares = fair_shares(claims, _total(resource, states, inputs, pool))
+    shares = fair_shares(claims, _shared_amount(resource, states, inputs, pool))
     for state, share in zip(states.values(), shares, strict=True):
         state.share = share
     _count_reserved_machines(resource, states, inputs, pool)
     return states
 
 
-def _total(
+def _shared_amount(
     resource: str, states: dict[str, TeamState], inputs: CycleInputs, pool: CapacityPool
 ) -> float:
-    """Return the amount that is shared: what can be had, not only what is rented now.
+    """Return the amount to share among the teams, which may exceed what is rented now.
 
-    Unless the cloud refuses, machines can be rented for the whole demand.
+    Unless the cloud refuses rentals, machines can be rented for the whole demand.
     """
     total: float = sum(
         kind.gpus if resource == "gpus" else kind.cpus
@@ -114,7 +114,7 @@
 def _count_reserved_machines(
     resource: str, states: dict[str, TeamState], inputs: CycleInputs, pool: CapacityPool
 ) -> None:
-    """Count what is free on reserved machines as used by the team: nobody else uses it."""
+    """Count free capacity of reserved machines as used by the job's team: no other job uses it."""
     for capacity in pool.capacities:
         if not capacity.reserved:
             continue
