--- a/micadeal/scheduling/scale_out.py
+++ b/micadeal/scheduling/scale_out.py
@@ -12,7 +12,7 @@
 from micadeal.scheduling.pending_reasons import (
     CLOUD_REFUSED,
     MACHINES_NOT_COUNTED,
-    MANY_RENTALS,
+    RENTAL_LIMIT_REACHED,
     ZONES_EXCLUDED,
 )
 from micadeal.scheduling.plan import Plan
@@ -104,7 +104,7 @@
         if not self._may_rent:
             return MACHINES_NOT_COUNTED
         if self._planned_count >= MAX_PLANNED_MACHINES:
-            return MANY_RENTALS
+            return RENTAL_LIMIT_REACHED
         zones = self._pool.machines_by_zone
         if not any(True for _ in self._offers.choices(job.spec, self._now, zones)):
             return CLOUD_REFUSED
--- a/micadeal/scheduling/task_placement.py
+++ b/micadeal/scheduling/task_placement.py
@@ -9,9 +9,9 @@
 from micadeal.scheduling.cycle_data import CycleInputs
 from micadeal.scheduling.delay import DelayScheduling
 from micadeal.scheduling.pending_reasons import (
-    COMES_FREE,
+    CAPACITY_FREES_SOON,
+    FAULTY_JOB,
     ONE_TASK_AT_A_TIME,
-    OWN_MISTAKE,
     WAITS_FOR_IMAGE,
 )
 from micadeal.scheduling.scale_out import ScaleOut
@@ -69,8 +69,8 @@
                 return WAITS_FOR_IMAGE
             return None
         if len(job.errors) > MAX_AVOIDED_MACHINES:
-            return OWN_MISTAKE
-        return COMES_FREE if self._frees_soon(job, waiting) else None
+            return FAULTY_JOB
+        return CAPACITY_FREES_SOON if self._frees_soon(job, waiting) else None
 
     def _frees_soon(self, job: Job, tasks: int) -> bool:
         """Return whether running tasks are likely to free enough cores for ``tasks`` tasks soon.
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -14,7 +14,7 @@
 from micadeal.operator.platform import Team
 from micadeal.operator.policy import Policy, TeamPolicy
 from micadeal.scheduling.cluster_state import ClusterState
-from micadeal.scheduling.pending_reasons import COMES_FREE
+from micadeal.scheduling.pending_reasons import CAPACITY_FREES_SOON
 from micadeal.wire.state import EndRecord
 from micadeal.wire.users import Priority, Shape, Status
 from micadeal.wire.workers import TaskState
@@ -394,5 +394,5 @@
         attempt.state = TaskState.RUNNING
     few, many = picture.submit(**fields, tasks=3), picture.submit(**fields, tasks=30)
     picture.scheduler.run_cycle(picture.now)
-    assert few.reasons == {COMES_FREE: 3}
-    assert COMES_FREE not in many.reasons and picture.scheduler.rentals
+    assert few.reasons == {CAPACITY_FREES_SOON: 3}
+    assert CAPACITY_FREES_SOON not in many.reasons and picture.scheduler.rentals
