--- a/bench/night_simulation.py
+++ b/bench/night_simulation.py
@@ -51,7 +51,7 @@
         self._scheduler.set_catalog([MACHINE_TYPE])
         if timing:
             self._scheduler.deferral = Deferral(cluster, UTC, seconds(5))
-            self._scheduler.deferral.learn(night.earlier_errors())
+            self._scheduler.deferral.record_run_times(night.earlier_errors())
         self._record_writer = RecordWriter(cluster, Limits(1000, 1000, 100, 65536))
         self._feed_until = night.feed_lost_at if feed_lost else timedelta.max
         self._fed: timedelta | None = None
@@ -89,7 +89,7 @@
         due = self._fed is None or now - self._fed >= QUARTER
         if deferral and now < self._feed_until and due:
             self._fed = now
-            deferral.take(self._night.series(now))
+            deferral.add_series(self._night.series(now))
 
     def _schedule(self, now: timedelta) -> None:
         """Let the scheduler decide, and take all records as written."""
--- a/bench/profile_pass.py
+++ b/bench/profile_pass.py
@@ -22,7 +22,7 @@
 from micadeal.clock import seconds
 from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.operator.policy import Flexible
-from micadeal.scheduling.deferral import AT_ONCE, Deferral
+from micadeal.scheduling.deferral import MAX_JOBS_PER_REFRESH, Deferral
 from micadeal.state.limits import Limits
 from micadeal.timing.series import Quantity, Series
 from micadeal.wire.users import Priority, Shape
@@ -107,8 +107,8 @@
         """Measure cycles without and with ``held`` deferred jobs, and the choice of windows."""
         scheduler = self.scheduler
         deferral = Deferral(self.cluster, UTC, seconds(5))
-        deferral.take(_prices())
-        deferral.learn([("nightly", 1.0)] * 100)
+        deferral.add_series(_prices())
+        deferral.record_run_times([("nightly", 1.0)] * 100)
         scheduler.policy = replace(scheduler.policy, flexible={"nightly": Flexible()})
         without = [self._cycle_time() for _ in range(CYCLES)]
         for number in range(held):
@@ -118,7 +118,7 @@
                 estimate_s=600.0 + number % 7 * 600,
             )  # fmt: skip
         scheduler.deferral = deferral
-        turns = held // AT_ONCE + 1
+        turns = held // MAX_JOBS_PER_REFRESH + 1
         timed(
             "windows: one turn",
             turns,
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -37,7 +37,7 @@
 #: image fetch take less time.
 STARVATION_TIMEOUT = seconds(120)
 #: Maximum number of jobs whose windows are chosen in one call of ``refresh``.
-AT_ONCE = 300
+MAX_JOBS_PER_REFRESH = 300
 #: Jobs are not deferred to windows further in the future than this.
 HORIZON = timedelta(hours=48)
 #: Start time in addition to boot and fetch: heartbeats, scheduling cycles and a leader failover.
@@ -79,14 +79,14 @@
         self._queue: list[Job] = []
         cluster.completed_run_times = []
 
-    def take(self, series: Series) -> None:
+    def add_series(self, series: Series) -> None:
         """Add new prices or carbon intensities of a zone."""
         key = (series.zone, series.quantity)
         signal = self._signals.setdefault(key, Signal(Profile(self._local)))
         signal.take(series)
         self._refreshed_at = None
 
-    def learn(self, ended_tasks: Iterable[tuple[str, float]]) -> None:
+    def record_run_times(self, ended_tasks: Iterable[tuple[str, float]]) -> None:
         """Record ended tasks: their class, and the ratio of running time to estimate."""
         for job_class, ratio in ended_tasks:
             self._estimate_errors.ended(job_class, ratio)
@@ -118,7 +118,7 @@
             self._begin_refresh(urgent_classes)
         # Guards against a leader that answers no request for a second: choosing windows for 10,000
         # jobs takes that long.
-        for _ in range(min(len(self._queue), AT_ONCE)):
+        for _ in range(min(len(self._queue), MAX_JOBS_PER_REFRESH)):
             job = self._queue.pop()
             tracker = self._hold_trackers.get(job.spec.job_class)
             if tracker is not None and _is_deferrable(job):
@@ -127,7 +127,7 @@
     def _begin_refresh(self, urgent_classes: frozenset[str]) -> None:
         policy, utc_now = self._policy, self._refreshed_utc
         self._update_starved()
-        self.learn(self._cluster.completed_run_times or ())
+        self.record_run_times(self._cluster.completed_run_times or ())
         self._cluster.completed_run_times = []
         factors = {
             name: self._estimate_errors.factor(name)
--- a/tests/test_deferral.py
+++ b/tests/test_deferral.py
@@ -54,8 +54,8 @@
 
 def deferral_with_prices(simulation: RandomDeployment, ends: int = 40) -> Deferral:
     deferral = Deferral(simulation.cluster, UTC, DRIFT)
-    deferral.take(read_document(series_document(points=PRICES)))
-    deferral.learn([("nightly", 1.0)] * ends)
+    deferral.add_series(read_document(series_document(points=PRICES)))
+    deferral.record_run_times([("nightly", 1.0)] * ends)
     return deferral
 
 
@@ -111,7 +111,7 @@
     job = with_objective.submit(**(NIGHTLY | {"job_class": "live"}))
     with_objective.scheduler.policy = Policy(flexible={"live": Flexible(slack=1.0)})
     assert with_objective.scheduler.deferral is not None
-    with_objective.scheduler.deferral.learn([("live", 1.0)] * 40)
+    with_objective.scheduler.deferral.record_run_times([("live", 1.0)] * 40)
     advance(with_objective)
     assert job.attempts
     # Its team waits for capacity below its guarantee.
@@ -198,7 +198,9 @@
     simulation = simulate_deferral()
     assert simulation.scheduler.deferral is not None
     # A flat price: nothing is held, but it still has time.
-    simulation.scheduler.deferral.take(read_document(series_document(points=points(*[0.3] * 12))))
+    simulation.scheduler.deferral.add_series(
+        read_document(series_document(points=points(*[0.3] * 12)))
+    )
     flexible = simulation.submit(**(NIGHTLY | {"tasks": 8}))
     daily = simulation.submit(
         **(NIGHTLY | {"job_class": "daily", "tasks": 8, "deadline_s": 36_000})
