--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -246,7 +246,7 @@
 
     def _cycle_is_due(self, now: timedelta) -> bool:
         """Messages that wait come before a scheduling cycle, but not without limit."""
-        if self._shutting_down or now < self._next_cycle or not self._scheduler.wants_cycle(now):
+        if self._shutting_down or now < self._next_cycle or not self._scheduler.cycle_due(now):
             return False
         if self._record_loader.has_uncounted_tasks():
             return False
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -58,7 +58,7 @@
 
 
 class Scheduler:
-    """The scheduler of one term; call ``tick`` often, and ``run_cycle`` when ``wants_cycle``."""
+    """The scheduler of one term; call ``tick`` often, and ``run_cycle`` when ``cycle_due``."""
 
     def __init__(
         self,
@@ -177,7 +177,7 @@
         self._monitor.check(self.plan, now)
         self._status_log.tick(now)
 
-    def wants_cycle(self, now: timedelta) -> bool:
+    def cycle_due(self, now: timedelta) -> bool:
         """Return whether the cluster state changed or the refresh period has passed."""
         due = self._last_cycle is None or now - self._last_cycle >= self.policy.refresh
         return self.cluster.changed or due
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -235,7 +235,7 @@
             self._send_heartbeat(worker)
         self._read_ends()
         self.scheduler.tick(self.now)
-        if self.scheduler.wants_cycle(self.now):
+        if self.scheduler.cycle_due(self.now):
             self._run_cycle()
         self._send_direct_commands()
         for changes in self.record_writer.next(self.now):
