--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -237,7 +237,7 @@
 
     # -- queries ---------------------------------------------------------------------------
 
-    def queued_since(self, job: Job) -> timedelta | None:
+    def queue_time(self, job: Job) -> timedelta | None:
         """Return the instant by which a flexible job is ordered in its team's queue.
 
         This is its latest safe start, whether it is deferred or not: a job that can wait goes
--- a/micadeal/scheduling/preemption_demand.py
+++ b/micadeal/scheduling/preemption_demand.py
@@ -51,11 +51,11 @@
     """A team's shortage of a resource, in booked units; reduced as preemptors are found."""
 
     #: Units that the starvation timers allow to preempt now.
-    by_timers: float
+    preemptible_units: float
     #: Whether the team is short of its guarantee, rather than of its fair share.
     for_guarantee: bool
     #: Unmet demand below the guarantee, regardless of the timers.
-    below_guarantee: float
+    units_below_guarantee: float
 
 
 class PreemptionDemand:
@@ -93,16 +93,16 @@
         shortage = self._shortages[job.spec.team, job.resource]
         if job.production:
             return Preemptor(job, pending, shortage.for_guarantee)
-        if shortage.by_timers >= job.units - EPSILON:
-            tasks = min(pending, int(shortage.by_timers / job.units + EPSILON))
-            shortage.by_timers -= tasks * job.units
-            shortage.below_guarantee -= tasks * job.units
+        if shortage.preemptible_units >= job.units - EPSILON:
+            tasks = min(pending, int(shortage.preemptible_units / job.units + EPSILON))
+            shortage.preemptible_units -= tasks * job.units
+            shortage.units_below_guarantee -= tasks * job.units
             return Preemptor(job, tasks, shortage.for_guarantee)
         reserved = job.id in self._with_reservation
         if (
             self._low_preemptors_left
             and job.rank < LOW_RANK
-            and (reserved or shortage.below_guarantee >= job.units)
+            and (reserved or shortage.units_below_guarantee >= job.units)
         ):
             # Low-priority work runs on capacity that others leave unused.  It gives way to a team
             # below its guarantee, and on reserved machines, without waiting for a timer: timers are
@@ -110,8 +110,8 @@
             self._low_preemptors_left -= 1
             tasks = pending
             if not reserved:
-                tasks = min(pending, int(shortage.below_guarantee / job.units + EPSILON))
-            shortage.below_guarantee -= tasks * job.units
+                tasks = min(pending, int(shortage.units_below_guarantee / job.units + EPSILON))
+            shortage.units_below_guarantee -= tasks * job.units
             return Preemptor(job, tasks, for_guarantee=False, only_low_priority=True)
         return None
 
@@ -133,11 +133,11 @@
         timer = inputs.timers.setdefault((name, resource), StarvationTimer(now, now))
         team = TeamUsage(used, state.demand, state.minimum, state.share)
         timer.update(now, team)
-        by_timers, for_guarantee = timer.lacks(
+        preemptible_units, for_guarantee = timer.lacks(
             now,
             team,
             policy.team(name).minimum_timeout or policy.minimum_timeout,
             policy.share_timeout,
         )
-        below_guarantee = max(min(state.minimum, state.demand) - used, 0.0)
-        return _Shortage(by_timers, for_guarantee, below_guarantee)
+        units_below_guarantee = max(min(state.minimum, state.demand) - used, 0.0)
+        return _Shortage(preemptible_units, for_guarantee, units_below_guarantee)
--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -26,8 +26,8 @@
 #: The same for a machine that may still run tasks: only the cloud's confirmation proves that they
 #: have ended.
 UNREACHABLE_WITH_TASKS_TIMEOUT = seconds(3)
-#: Past the time of its reclaim notice, a machine counts as gone after this many heartbeat intervals
-#: of silence.
+#: After the time given in its reclaim notice, a machine counts as gone after this many heartbeat
+#: intervals without a heartbeat.
 RECLAIMED_TIMEOUT_HEARTBEATS = 1.5
 #: A machine without heartbeats is returned if more than this many lists in a row do not name it.
 MAX_MISSING_LISTS = 3
@@ -76,13 +76,13 @@
         self._own_responses_lost = False
 
     def observe_from(self, now: timedelta) -> None:
-        """Count silence of machines from ``now`` on: this process received no messages before."""
+        """Count silence of machines from ``now`` on: this process did not observe them before."""
         self._observing_since = now
 
     def note_reachability(self, reporting: int, unreachable: int) -> None:
         """Record how many machines sent heartbeats, and how many of these receive no responses.
 
-        If most of them receive none, this controller's responses are lost on its own side.
+        If most of them receive none, the fault is most likely at this controller.
         """
         self._own_responses_lost = (
             unreachable >= MIN_UNREACHABLE and unreachable > reporting * MAX_UNREACHABLE_SHARE
@@ -106,7 +106,7 @@
 
     def _reason_not_up(self, machine: Machine, now: timedelta) -> str | None:
         if machine.attempts:
-            # Recorded by an earlier leader and silent since: only the cloud can confirm its end.
+            # Recorded by an earlier leader and silent since: only the cloud can confirm their end.
             waited = now - self._observing_since
             limit = self._lease_expiry + UNREACHABLE_WITH_TASKS_TIMEOUT
             return ReturnReason.NO_HEARTBEAT_SINCE_FAILOVER if waited > limit else None
@@ -132,7 +132,7 @@
     # -- machines that are up ----------------------------------------------------------------
 
     def _reason_lost(self, machine: Machine, now: timedelta) -> str | None:
-        """Return why a machine is lost although its lease may still be valid, or None."""
+        """Return why a machine is of no use although its lease may still be valid, or None."""
         if self._is_probably_gone(machine, now):
             return ReturnReason.RECLAIMED
         if not machine.has_our_token and self._is_unknown(machine, now):
--- a/micadeal/scheduling/team_shares.py
+++ b/micadeal/scheduling/team_shares.py
@@ -61,9 +61,9 @@
     rank, since, job_id = job.order
     if inputs.policy.team(job.spec.team).order == "submitted":
         rank = 0
-    deferred_since = None if inputs.deferral is None else inputs.deferral.queued_since(job)
-    if deferred_since is not None:
-        since = max(since, deferred_since)
+    queue_time = None if inputs.deferral is None else inputs.deferral.queue_time(job)
+    if queue_time is not None:
+        since = max(since, queue_time)
     return (rank, since, job_id)
 
 
