--- a/tests/test_deferral.py
+++ b/tests/test_deferral.py
@@ -1,4 +1,4 @@
-"""Deferral of flexible jobs in a cluster: windows, new leaders, settings, what is learned."""
+"""Deferral of flexible jobs in a cluster: windows, leader changes, settings, learned estimates."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
 PRICES = points(0.30, 0.30, 0.30, 0.10, 0.10, 0.30, 0.30, 0.30, 0.30, 0.30, 0.30, 0.30)
 
 
-def simulate_deferral(ends: int = 40, **policy: Any) -> RandomDeployment:
-    """Six free machines; a class whose estimates are good; a forecast for a night."""
+def simulate_deferral(ended_tasks: int = 40, **policy: Any) -> RandomDeployment:
+    """Return six free machines, a class with exact estimates and a price forecast."""
     simulation = RandomDeployment(6, 0)
     scheduler = simulation.scheduler
     scheduler.policy = Policy(flexible={"nightly": Flexible(slack=1.0)}, **policy)
-    scheduler.deferral = deferral_with_prices(simulation, ends)
+    scheduler.deferral = deferral_with_prices(simulation, ended_tasks)
     return simulation
 
 
-def deferral_with_prices(simulation: RandomDeployment, ends: int = 40) -> Deferral:
+def deferral_with_prices(simulation: RandomDeployment, ended_tasks: int = 40) -> Deferral:
     deferral = Deferral(simulation.cluster, UTC, DRIFT)
     deferral.add_series(read_document(series_document(points=PRICES)))
-    deferral.record_run_times([("nightly", 1.0)] * ends)
+    deferral.record_run_times([("nightly", 1.0)] * ended_tasks)
     return deferral
 
 
@@ -76,13 +76,13 @@
     advance(simulation)
     assert other.attempts and not job.attempts
     assert simulation.scheduler.plan.teams["gpus"]["team-0"].demand == 2.0
-    said = explanations.why(simulation.scheduler, job.id, simulation.now)
-    assert said is not None and said.reasons[0].reason == (
+    explanation = explanations.why(simulation.scheduler, job.id, simulation.now)
+    assert explanation is not None and explanation.reasons[0].reason == (
         "held for a better hour until 2026-12-01 23:00 UTC, to save 67%"
     )
     simulation.now += seconds(90)
-    seen = explanations.overview(simulation.scheduler, "c0", simulation.now, True)
-    assert seen.jobs["held"] == 1 and not seen.stuck
+    overview = explanations.overview(simulation.scheduler, "c0", simulation.now, True)
+    assert overview.jobs["held"] == 1 and not overview.stuck
     advance(simulation, 2.9)
     assert not job.attempts
     advance(simulation, 0.1)
@@ -90,7 +90,7 @@
 
 
 def test_jobs_that_may_not_be_held_start_at_once() -> None:
-    short = Team("team-0", 0.0, 100.0, None, 200.0)
+    team_with_guarantee = Team("team-0", 0.0, 100.0, None, 200.0)
     for changes in (
         {"deadline_s": None},
         {"shape": Shape.SERVICE, "priority": Priority.PRODUCTION},
@@ -101,12 +101,12 @@
         job = simulation.submit(**(NIGHTLY | changes))
         advance(simulation)
         assert job.attempts, changes
-    # Too few of its class have ended to know how wrong its estimates are.
-    few_samples = simulate_deferral(ends=5)
+    # Too few tasks of its class have ended: the error of its estimates is unknown.
+    few_samples = simulate_deferral(ended_tasks=5)
     job = few_samples.submit(**NIGHTLY)
     advance(few_samples)
     assert job.attempts
-    # Its class has an objective on its waiting time.
+    # Its class has an objective for its waiting time.
     with_objective = simulate_deferral()
     job = with_objective.submit(**(NIGHTLY | {"job_class": "live"}))
     with_objective.scheduler.policy = Policy(flexible={"live": Flexible(slack=1.0)})
@@ -114,9 +114,9 @@
     with_objective.scheduler.deferral.record_run_times([("live", 1.0)] * 40)
     advance(with_objective)
     assert job.attempts
-    # Its team waits for capacity below its guarantee.
+    # Its team is below its guarantee and waits for capacity.
     below_guarantee = simulate_deferral()
-    below_guarantee.cluster.teams["team-0"] = short
+    below_guarantee.cluster.teams["team-0"] = team_with_guarantee
     below_guarantee.submit(**(NIGHTLY | {"job_class": "daily", "tasks": 40}))
     advance(below_guarantee)
     job = below_guarantee.submit(**NIGHTLY)
@@ -134,13 +134,13 @@
     assert simulation.scheduler.deferral is not None
     first = simulation.scheduler.deferral.held(job, simulation.now)
     assert first is not None
-    # The next one has the records and the series, and not what the first remembered.
+    # The next leader has the records and the series, but not the state of the first leader.
     simulation.scheduler.deferral = deferral_with_prices(simulation)
     advance(simulation, 0.5)
     second = simulation.scheduler.deferral.held(job, simulation.now)
     assert second is not None
     assert (second.until, second.latest) == (first.until, first.latest)
-    # One that has no series holds nothing.
+    # A leader without a series holds no jobs.
     simulation.scheduler.deferral = Deferral(simulation.cluster, UTC, DRIFT)
     advance(simulation, 0.5)
     assert job.attempts
@@ -160,22 +160,24 @@
 def test_flexible_settings_are_validated() -> None:
     values, _ = evaluate('flexible = {"nightly": {"slack": 0.5, "carbon": 0.1}}\n', "policy.star")
     assert policy_from_values(values).flexible["nightly"] == Flexible(0.5, 1.0, 0.1)
-    for wrong in ('{"slack": 1.5}', '{"money": -1}', '{"money": 0}', '{"window": 3}'):
+    for invalid in ('{"slack": 1.5}', '{"money": -1}', '{"money": 0}', '{"window": 3}'):
         with pytest.raises(InvalidScriptError, match=r"policy\.star:2"):
-            evaluate(f'refresh_s = 2\nflexible = {{"nightly": {wrong}}}\n', "policy.star")
+            evaluate(f'refresh_s = 2\nflexible = {{"nightly": {invalid}}}\n', "policy.star")
 
 
 def test_hold_that_expires_during_a_round_is_not_renewed() -> None:
-    """Guards against a job that is held again though its hour has come: windows are chosen for some
-    jobs at a time, on a curve that is a little older."""
-    keeper = HoldTracker()
+    """Guards against a job that is held again although its window has begun.
+
+    Windows are chosen for some jobs at a time, on a cost curve that is slightly older.
+    """
+    tracker = HoldTracker()
     work = DeferrableJob("a", 1.0, HOUR, NOW + 5 * HOUR)
-    decide_round(keeper, [work], hourly_curve(0.3, 0.1, 0.3, 0.3, 0.3, 0.3), NOW)
-    begun = NOW + HOUR - timedelta(seconds=5)
-    later = CostCurve([begun + i * HOUR for i in range(7)], [0.3, 0.3, 0.3, 0.01, 0.3, 0.3])
-    keeper.begin({"a"}, later, begun, UNLIMITED)
-    keeper.consider(work, NOW + HOUR)
-    assert keeper.held("a", NOW + HOUR) is None
+    decide_round(tracker, [work], hourly_curve(0.3, 0.1, 0.3, 0.3, 0.3, 0.3), NOW)
+    round_start = NOW + HOUR - timedelta(seconds=5)
+    later = CostCurve([round_start + i * HOUR for i in range(7)], [0.3, 0.3, 0.3, 0.01, 0.3, 0.3])
+    tracker.begin({"a"}, later, round_start, UNLIMITED)
+    tracker.consider(work, NOW + HOUR)
+    assert tracker.held("a", NOW + HOUR) is None
 
 
 def test_no_window_reaches_beyond_known_costs() -> None:
@@ -197,7 +199,7 @@
 def test_flexible_jobs_are_ordered_behind_jobs_that_cannot_wait() -> None:
     simulation = simulate_deferral()
     assert simulation.scheduler.deferral is not None
-    # A flat price: nothing is held, but it still has time.
+    # At a flat price no job is held, but the flexible job can still wait.
     simulation.scheduler.deferral.add_series(
         read_document(series_document(points=points(*[0.3] * 12)))
     )
@@ -224,7 +226,7 @@
 
 
 def test_estimate_errors_are_learned_from_ended_tasks() -> None:
-    simulation = simulate_deferral(ends=19)
+    simulation = simulate_deferral(ended_tasks=19)
     job = simulation.submit(**NIGHTLY)
     advance(simulation)
     assert job.attempts
@@ -235,7 +237,7 @@
     for name in simulation.cluster.machines:
         simulation.heartbeat(name, done=2)
     advance(simulation, 0.1)
-    # Twice its estimate, and a tenth more: an hour is counted as 2.2.
+    # Tasks took twice their estimate.  With a margin of a tenth, an hour counts as 2.2 hours.
     later = simulation.submit(**NIGHTLY)
     advance(simulation, 0.01)
     assert simulation.scheduler.deferral is not None
--- a/tests/test_delay.py
+++ b/tests/test_delay.py
@@ -1,4 +1,4 @@
-"""Delay scheduling (design, 4.8), with the image in the place of the input data."""
+"""Delay scheduling (design, 4.8), with the image in place of the input data."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_a_job_waits_for_its_image_only_if_capacity_frees_soon() -> None:
-    """12 GB at 0.6 GB/s are 20 s of fetching: worth 10 s of waiting if a task is likely to end."""
+    """Fetching 12 GB at 0.6 GB/s takes 20 s: a job waits up to 10 s if a task is likely to end."""
     few = busy_deployment(1)
     assert runs_after_cycle(few, few.submit(**SCAN)) is True
     many = busy_deployment(20)
@@ -59,7 +59,7 @@
     deployment = busy_deployment(20)
     job = deployment.submit(**(SCAN | {"tasks": 20}))
     deployment.scheduler.run_cycle(deployment.now)
-    # 40 tasks of 30 s each: some 13 are likely to end in 10 s, the others need not wait.
+    # Of 40 tasks of 30 s each, about 13 are likely to end in 10 s: too few for 20 to wait.
     assert len(job.attempts) == 2
 
 
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""The largest jobs of a class start in time though capacity is short and small jobs keep coming."""
+"""Large jobs start in time although capacity is short and small jobs keep arriving."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.fakes.random_clusters import RandomDeployment
 from tests.fakes.world import World, leader_of
 
-#: Within so many seconds; operators check it at the end of each day.
+#: Limit of the time to start, in seconds; operators check it at the end of each day.
 START_LIMIT_S = 240.0
 
 TEAMS = """
@@ -32,12 +32,12 @@
 """
 
 
-#: A gang of it leaves no room for anything else on its machines.
+#: Size of gang tasks that leave no room for other tasks on their machines.
 WHOLE_MACHINES: dict[str, Any] = {"accelerators": 2.0, "vcpus": 6.0, "one_zone": True}
 
 
 async def _submit_small_jobs(world: World, teams: list[str], interval_s: float) -> None:
-    """Submit tasks of half a machine for ever, more than there is capacity for."""
+    """Keep submitting tasks of half a machine, more than there is capacity for."""
     number = 0
     while True:
         number += 1
@@ -83,7 +83,7 @@
 def test_a_one_zone_gang_waits_for_the_only_zone_that_can_hold_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Services run in two of the zones: only the third one has three whole machines left."""
+    """Services run in two of the zones: only the third has three whole machines left."""
 
     async def scenario(world: World) -> None:
         for zone in ("north", "south"):
@@ -112,7 +112,7 @@
             return len(started) == 3
 
         await world.wait_until(all_started, limit=START_LIMIT_S)
-        # Between the end of a task and the next start a team may have one less for a moment.
+        # Between the end of a task and the next start a team may briefly use one less.
         samples = [await _sample_usage(world) for _ in range(20)]
         assert sum(used["red"] >= 6 and used["blue"] >= 6 for used in samples) >= 15
 
@@ -128,7 +128,7 @@
 
 
 def test_low_priority_work_is_preempted_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards guarantees: low-priority work of a team without one filled every machine."""
+    """Guards guarantees: low-priority work of a team without a guarantee filled every machine."""
 
     async def scenario(world: World) -> None:
         low = await world.run_job("array", 60, run_s=60.0, crew="grey", rank="low")
@@ -181,10 +181,10 @@
     now += seconds(60)
     for machine in cluster.machines.values():
         machine.heard = now
-    nobody: frozenset[TeamResource] = frozenset()
+    no_teams: frozenset[TeamResource] = frozenset()
     inputs = ReservationInputs(
         cluster, deployment.scheduler.instance_offers, deployment.scheduler.policy,
-        satisfied=nobody, below_guarantee=nobody, spot_scarce=True, now=now,
+        satisfied=no_teams, below_guarantee=no_teams, spot_scarce=True, now=now,
     )  # fmt: skip
     reservations = GangReservations()
     reservations.refresh(inputs)
