--- a/bench/model_follower_leases/conversion.py
+++ b/bench/model_follower_leases/conversion.py
@@ -71,7 +71,7 @@
         ControllerState(
             born=born,
             token=renewal_state.token,
-            led=_clamp(to_instant(renewal_state.leader_heard_at), -2),
+            led=_clamp(to_instant(renewal_state.leader_contact_at), -2),
             bound_token=renewal_state.committed_token if bound_until is not None else 0,
             bound_until=bound_until,
             lists_job=JOB_ID in follower_leases._cancellations,
@@ -86,7 +86,7 @@
     return PeerState(
         asked=_forget(to_instant(view.asked_at), -3),
         speaks_since=_clamp(to_instant(view.reports_since), -CANCEL - 1),
-        quiet_until=_forget(to_instant(view.abstains_until), 0),
+        quiet_until=_forget(to_instant(view.promised_until), 0),
         born=_clamp(to_instant(view.started_at), -LEASE - 3),
         consent=view.vote_token if consent_until is not None else 0,
         consent_until=consent_until,
@@ -128,7 +128,7 @@
 
 def forget_leader(follower_leases: FollowerLeases) -> None:
     """Make a controller forget when it last heard a leader (a false input)."""
-    follower_leases._state = replace(follower_leases._state, leader_heard_at=None)
+    follower_leases._state = replace(follower_leases._state, leader_contact_at=None)
 
 
 @cache
--- a/bench/model_follower_leases/state.py
+++ b/bench/model_follower_leases/state.py
@@ -19,7 +19,7 @@
     lease_expiry=seconds(LEASE),
     cancel_timeout=seconds(CANCEL),
     cluster_size=3,
-    abstain_duration=seconds(2),
+    promise_duration=seconds(2),
     vote_duration=seconds(2),
     clock_slack=seconds(0),
 )
--- a/bench/model_rollout/guards.py
+++ b/bench/model_rollout/guards.py
@@ -72,13 +72,13 @@
         {"ends": 1, "third": 2},
     ),
     "the process that was heard is the one recorded": Guard(
-        {"micadeal.rollout.migration.confirm": lambda *_: ()},
+        {"micadeal.rollout.migration.objections_to_raise": lambda *_: ()},
         {"ends": 1, "third": 2},
     ),
     "all others have shown the level, and are recorded with it": Guard(
         {
             "micadeal.rollout.migration.plan": _plan_without_absent_peers,
-            "micadeal.rollout.migration.confirm": lambda *_: (),
+            "micadeal.rollout.migration.objections_to_raise": lambda *_: (),
         },
         {"third": 1},
     ),
--- a/bench/model_rollout/moves.py
+++ b/bench/model_rollout/moves.py
@@ -160,15 +160,15 @@
     }
     backlog = _migration_backlog(state, lock)
     plan = migration.plan(lock.level, process, observations, state.ceiling, backlog, NOW)
-    if plan.move is None:
+    if plan.next_record is None:
         return None
     depends_on: list[str] = []
-    if plan.raises:
-        if migration.confirm(plan, lock, name, process, observations):
+    if plan.is_raise:
+        if migration.objections_to_raise(plan, lock, name, process, observations):
             return None
         depends_on = [who for who in (name, *observations) if who in lock.members]
     conditions, changes = leader_locks.level_change(
-        lock, plan.move, name, lock.lease, leader.token, depends_on
+        lock, plan.next_record, name, lock.lease, leader.token, depends_on
     )
     return send(state, transaction(index, leader, conditions, changes))
 
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -379,4 +379,4 @@
     """
     workers = platform.workers
     timing = RenewalTiming(lease_expiry(workers), workers.cancel_timeout, 1 + len(platform.peers))
-    return timing if options.renew_leases_as_follower and timing.possible else None
+    return timing if options.renew_leases_as_follower and timing.allows_renewal else None
--- a/micadeal/controller/feature_level_updater.py
+++ b/micadeal/controller/feature_level_updater.py
@@ -15,7 +15,7 @@
 from micadeal.leadership.election import read_leader_lock
 from micadeal.leadership.term import Term
 from micadeal.rollout.leader_lock import LeaderLock, level_change
-from micadeal.rollout.migration import Plan, confirm
+from micadeal.rollout.migration import Plan, objections_to_raise
 from micadeal.schema.keys import LEVEL
 from micadeal.state.service import (
     ConflictError,
@@ -96,7 +96,7 @@
         planned_on = self._feature_levels.record
         status: MigrationStatus = await self._ask(GetMigrationBacklog(), REQUEST_TIMEOUT)
         planned = self._feature_levels.plan(status.ceiling, status.migration_backlog, monotonic())
-        if planned.move is None:
+        if planned.next_record is None:
             return
         leader_lock = await self._refresh()
         if LEVEL in leader_lock.damaged:
@@ -106,16 +106,20 @@
         if leader_lock.token != self._term.token or leader_lock.level != planned_on:
             # A change of ours was applied late: the plan was made for another level.
             return
-        if planned.raises:
+        if planned.is_raise:
             objections = self._objections(planned, leader_lock)
             if objections:
                 self._feature_levels.set_waits(objections)
                 return
-        await self._write(planned.move, planned.raises, leader_lock)
+        await self._write(planned.next_record, planned.is_raise, leader_lock)
 
     def _objections(self, planned: Plan, leader_lock: LeaderLock) -> list[str]:
         levels = self._feature_levels
-        return list(confirm(planned, leader_lock, levels.name, levels.process, levels.observations))
+        return list(
+            objections_to_raise(
+                planned, leader_lock, levels.name, levels.process, levels.observations
+            )
+        )
 
     async def _write(
         self, record: LevelRecord, needs_all_members: bool, leader_lock: LeaderLock
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -223,7 +223,7 @@
             self._cpu_metrics.add_since(Activity.DISPATCH, now)
         else:
             await self._direct_commands.send_pending()
-        await self._job_ends.read_pending(is_tick, self._authority.term.informed)
+        await self._job_ends.read_pending(is_tick, self._authority.term.cancellations_read_until)
         return result
 
     # -- periodic work and scheduling ------------------------------------------------------
--- a/micadeal/controller/term_authority.py
+++ b/micadeal/controller/term_authority.py
@@ -54,7 +54,7 @@
         """Return what the term allows now."""
         known = (
             self._cancellations_known_until,
-            cancellations_listed_until(self._renewal_views, self.term.informed),
+            cancellations_listed_until(self._renewal_views, self.term.cancellations_read_until),
         )
         cancellations_known_until = max(
             (instant for instant in known if instant is not None), default=None
@@ -100,6 +100,6 @@
 
     def mark_informed(self, requested_at: timedelta) -> None:
         """Note that every cancellation recorded before ``requested_at`` is known."""
-        informed = self.term.informed
+        informed = self.term.cancellations_read_until
         if informed is None or requested_at > informed:
-            self.term = replace(self.term, informed=requested_at)
+            self.term = replace(self.term, cancellations_read_until=requested_at)
--- a/micadeal/leadership/follower_leases.py
+++ b/micadeal/leadership/follower_leases.py
@@ -13,7 +13,7 @@
   majority together with it.
 - A leader treats a lease as expired only with the *promises* of so many others that they make a
   majority together with it.  Whoever answers a leader's ping promises neither to renew leases nor
-  to vote for ``abstain_duration`` from then on.
+  to vote for ``promise_duration`` from then on.
 - A cancellation is confirmed to a user only once a majority, which includes the controller that
   confirms it, has the job on its list of cancellations.  A follower that renews leases stops what
   is on its own list and on those of its voters.
@@ -35,7 +35,7 @@
 from micadeal.wire.workers import Command, CommandKind, Heartbeat, TaskState
 
 #: How long the promise given with the answer to a leader's ping holds.  Leaders ping every second.
-ABSTAIN_DURATION = seconds(4)
+PROMISE_DURATION = seconds(4)
 #: How long a vote holds.  A controller that crashes is back within that time and can vote again.
 VOTE_DURATION = seconds(12)
 #: For the drift between two clocks over such durations.
@@ -54,7 +54,7 @@
     cancel_timeout: timedelta
     #: The number of controllers.
     cluster_size: int
-    abstain_duration: timedelta = ABSTAIN_DURATION
+    promise_duration: timedelta = PROMISE_DURATION
     vote_duration: timedelta = VOTE_DURATION
     clock_slack: timedelta = CLOCK_SLACK
 
@@ -64,7 +64,7 @@
         return self.cluster_size // 2 + 1
 
     @property
-    def possible(self) -> bool:
+    def allows_renewal(self) -> bool:
         """Whether renewal by followers can be safe and useful with these durations.
 
         There must be a majority without the leader.  And a cancellation that a voter learned of
@@ -89,7 +89,7 @@
     started_at: timedelta
     #: Highest token whose leader has contacted us, and when it last did.
     token: int = 0
-    leader_heard_at: timedelta | None = None
+    leader_contact_at: timedelta | None = None
     #: The last token under which we renewed leases or voted, and until when that commits us.
     committed_token: int = 0
     committed_until: timedelta | None = None
@@ -101,7 +101,7 @@
         """
         if token < self.token:
             return self
-        return replace(self, token=token, leader_heard_at=now)
+        return replace(self, token=token, leader_contact_at=now)
 
     def with_commitment(self, token: int, until: timedelta) -> RenewalState:
         """Return the state after a vote or a renewal under ``token`` that holds ``until``."""
@@ -137,7 +137,7 @@
     #: Since when all its answers came with a report; None: its version sends none.
     reports_since: timedelta | None = None
     #: Until when it neither renews leases nor votes, as it has promised us.
-    abstains_until: timedelta | None = None
+    promised_until: timedelta | None = None
     #: The latest instant at which its current process can have started.
     started_at: timedelta | None = None
     vote_token: int = 0
@@ -164,20 +164,20 @@
         """
         if self.asked_at is not None and asked_at < self.asked_at:
             return self
-        abstains_until = self.abstains_until
+        promised_until = self.promised_until
         if token:
-            abstains_until = asked_at + timing.abstain_duration - timing.clock_slack
+            promised_until = asked_at + timing.promise_duration - timing.clock_slack
         if report is None:
             # An earlier version: it never renews, votes or keeps a list.
-            return PeerRenewalView(asked_at=asked_at, abstains_until=abstains_until)
-        return self._with_report(report, asked_at, now, abstains_until, timing)
+            return PeerRenewalView(asked_at=asked_at, promised_until=promised_until)
+        return self._with_report(report, asked_at, now, promised_until, timing)
 
     def _with_report(
         self,
         report: PeerReport,
         asked_at: timedelta,
         now: timedelta,
-        abstains_until: timedelta | None,
+        promised_until: timedelta | None,
         timing: RenewalTiming,
     ) -> PeerRenewalView:
         # A vote does not count without the list that goes with it.
@@ -191,7 +191,7 @@
         return PeerRenewalView(
             asked_at=asked_at,
             reports_since=reports_since,
-            abstains_until=abstains_until,
+            promised_until=promised_until,
             started_at=started_at,
             vote_token=vote_token,
             vote_until=asked_at + timing.vote_duration - timing.clock_slack if vote_token else None,
@@ -239,12 +239,12 @@
     gave, still holds.
     """
     since = state.started_at
-    if state.leader_heard_at is not None:
-        since = max(since, state.leader_heard_at)
+    if state.leader_contact_at is not None:
+        since = max(since, state.leader_contact_at)
     return (
         synced
         and 0 < token >= state.token
-        and now - since >= timing.abstain_duration + timing.clock_slack
+        and now - since >= timing.promise_duration + timing.clock_slack
     )
 
 
@@ -259,7 +259,7 @@
 
     Such answers renew leases and order stops, never starts.
     """
-    if not timing.possible or not state.token:
+    if not timing.allows_renewal or not state.token:
         return False
     if not may_vote(state, state.token, synced, now, timing):
         return False
@@ -287,7 +287,7 @@
     """
     promises = 0
     for view in views:
-        if view.abstains_until is None or now >= view.abstains_until:
+        if view.promised_until is None or now >= view.promised_until:
             continue
         last_renewal = began - timing.lease_expiry
         if view.started_at is not None and view.started_at > began:
--- a/micadeal/leadership/term.py
+++ b/micadeal/leadership/term.py
@@ -55,7 +55,7 @@
     valid_until: timedelta
     #: The last instant at which we certainly knew of every cancellation; None: the records that
     #: say so are not read yet.
-    informed: timedelta | None
+    cancellations_read_until: timedelta | None
     #: The fence: the version of ``leader`` that every write depends on.  It changes with the
     #: feature level (rollout/leader_lock.py).
     fence: int = 0
@@ -77,15 +77,15 @@
         """
         # Guards ``ran_cancelled``: see the head of this module.
         grace = (cancel_time - lease_time) * (1 - DRIFT) - SAFETY_MARGIN
-        informed = self.informed
+        read_until = self.cancellations_read_until
         known = [
-            instant for instant in (informed, cancellations_known_until) if instant is not None
+            instant for instant in (read_until, cancellations_known_until) if instant is not None
         ]
-        if informed is not None and peers:
-            # If every peer has confirmed no cancellation since ``informed``, the bound moves on:
+        if read_until is not None and peers:
+            # If every peer has confirmed no cancellation since ``read_until``, the bound moves on:
             # so an outage that all controllers share may last for any length of time.
             unchanged_at = [
-                peer.asked for peer in peers if peer is not None and peer.cancelled <= informed
+                peer.asked for peer in peers if peer is not None and peer.cancelled <= read_until
             ]
             if len(unchanged_at) == len(peers):
                 known.append(min(unchanged_at))
--- a/micadeal/placement/bin_packing.py
+++ b/micadeal/placement/bin_packing.py
@@ -79,7 +79,7 @@
     return bool(capacity.spot or capacity.bound_tasks or spot_scarce or not spec.spot_allowed)
 
 
-def choose(
+def choose_machine(
     spec: Submission, capacities: Iterable[MachineCapacity], rule: ZoneRule, spot_scarce: bool
 ) -> MachineCapacity | None:
     """Return the best machine for one more task, or None.
@@ -104,7 +104,7 @@
 
 
 class MachineRanking:
-    """Chooses machines for the tasks of one job, one after the other, as ``choose`` would.
+    """Chooses machines for the tasks of one job, one after the other, as ``choose_machine`` would.
 
     The machines are ranked once, not anew for each task.  That holds because within a cycle
     capacities only shrink: an entry may have become worse, which is noticed when it is taken from
--- a/micadeal/rollout/membership.py
+++ b/micadeal/rollout/membership.py
@@ -40,7 +40,7 @@
     #: network between us is partitioned, or it refuses our connections.
     SEEN_BY_OTHERS = "seen by others only"
     #: No controller that is present reaches it: it is down, stalled or cut off.
-    SILENT = "silent"
+    UNREACHABLE = "silent"
     UNSEEN = "never seen"
 
 
@@ -109,7 +109,7 @@
     others = (other for peer, other in observations.items() if peer != name)
     if any(other.present(now) and name in other.reaches for other in others):
         return Presence.SEEN_BY_OTHERS
-    return Presence.SILENT if observation.last_asked_at is not None else Presence.UNSEEN
+    return Presence.UNREACHABLE if observation.last_asked_at is not None else Presence.UNSEEN
 
 
 def election_delay(
--- a/micadeal/rollout/migration.py
+++ b/micadeal/rollout/migration.py
@@ -34,9 +34,9 @@
     """The next step of the level, and what further steps wait for."""
 
     #: The record to be written now; None: nothing can be done yet, or nothing is to be done.
-    move: LevelRecord | None = None
+    next_record: LevelRecord | None = None
     #: The step needs the agreement of every controller by its member record.
-    raises: bool = False
+    is_raise: bool = False
     #: What is waited for, as shown to operators.
     waits: tuple[str, ...] = ()
 
@@ -60,7 +60,7 @@
     waits: tuple[str, ...] = ()
     if highest > record.writes and highest >= record.level:
         raising = _plan_raise(record, observations, highest, now)
-        if raising.move is not None:
+        if raising.next_record is not None:
             return raising
         # A migration at the level in force goes on meanwhile.
         waits = raising.waits
@@ -101,7 +101,7 @@
         for name, observation in observations.items()
         if observation.process
     }
-    return Plan(LevelRecord(target, target, record.oldest, members=members), raises=True)
+    return Plan(LevelRecord(target, target, record.oldest, members=members), is_raise=True)
 
 
 def _obstacle_to_raise(
@@ -163,7 +163,7 @@
     return Plan(waits=(*waits, f"going back to level {record.writes}: {reason}"))
 
 
-def confirm(
+def objections_to_raise(
     planned: Plan,
     leader_lock: LeaderLock,
     name: str,
@@ -177,7 +177,7 @@
     Guards against a level that some controller can't read: the process that was observed must be
     the one that is recorded, so a process started since then makes the transaction fail.
     """
-    assert planned.move is not None
+    assert planned.next_record is not None
     objections: list[str] = []
     observed = {
         name: own,
@@ -190,6 +190,6 @@
             objections.append(f"the record {key} can't be read: restart {controller} to mend it")
         elif member is None or process is None or member != process:
             objections.append(f"{controller}'s recorded process is not the one that answers")
-        elif (refused := process.build.refusal(planned.move)) is not None:
+        elif (refused := process.build.refusal(planned.next_record)) is not None:
             objections.append(f"{controller}: {refused}")
     return objections
--- a/micadeal/scheduling/preemption.py
+++ b/micadeal/scheduling/preemption.py
@@ -18,7 +18,7 @@
 from micadeal.scheduling.plan import Kill
 from micadeal.scheduling.preemption_demand import LOW, PreemptionDemand, Preemptor
 from micadeal.sharing.shares import booked
-from micadeal.sharing.victims import FreedAmounts, Victim, choose_victims, may_kill
+from micadeal.sharing.victims import FreedAmounts, Victim, choose_victims, may_preempt
 
 #: Tasks for which victims are chosen in one cycle; the next cycle goes on.
 MAX_SERVED_TASKS = 24
@@ -73,7 +73,7 @@
 
     def _kill(self, preemptor: Preemptor, victim: Victim) -> None:
         self._findings.plan.kills.append(Kill(preemptor.job.id, victim))
-        for name in {freed.machine for freed in victim.frees}:
+        for name in {freed.machine for freed in victim.freed}:
             self._victims[name] = [v for v in self._victims[name] if v is not victim]
 
     def _surplus(self, resource: str) -> dict[str, float]:
@@ -149,7 +149,7 @@
             return None
         for victim in chosen:
             surplus[victim.team] = surplus.get(victim.team, 0.0) - victim.units
-            for freed in victim.frees:
+            for freed in victim.freed:
                 if (capacity := self._capacities.get(freed.machine)) is not None:
                     capacity.cpus += freed.cpus
                     capacity.gpus += freed.gpus
@@ -164,7 +164,7 @@
             id(victim)
             for victims in self._victims.values()
             for victim in victims
-            if may_kill(victim, team, rank, preemptor.for_guarantee, surplus)
+            if may_preempt(victim, team, rank, preemptor.for_guarantee, surplus)
             and (victim.rank == LOW or not preemptor.only_low)
         }
 
--- a/micadeal/scheduling/preemption_demand.py
+++ b/micadeal/scheduling/preemption_demand.py
@@ -124,7 +124,7 @@
         timer = inputs.timers.setdefault((name, resource), StarvationTimer(now, now))
         team = TeamUsage(used, state.demand, state.minimum, state.share)
         timer.update(now, team)
-        by_timers, for_guarantee = timer.lacks(
+        by_timers, for_guarantee = timer.starved_amount(
             now,
             team,
             policy.team(name).minimum_timeout or policy.minimum_timeout,
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -258,7 +258,7 @@
         victim = kill.victim
         job = self.cluster.jobs[victim.job_id]
         grace = grace_to_save(job)
-        machines = {freed.machine for freed in victim.frees}
+        machines = {freed.machine for freed in victim.freed}
         log.info(
             "preempted: job=%s task=%s machine=%s preemptor=%s",
             victim.job_id,
--- a/micadeal/sharing/starvation.py
+++ b/micadeal/sharing/starvation.py
@@ -36,7 +36,7 @@
         if team.used + TOLERANCE >= min(team.share / 2, team.demand):
             self.half_share_met = now
 
-    def lacks(
+    def starved_amount(
         self,
         now: timedelta,
         team: TeamUsage,
--- a/micadeal/sharing/victims.py
+++ b/micadeal/sharing/victims.py
@@ -33,7 +33,7 @@
     rank: int
     started: timedelta
     #: One entry for each task that ends.
-    frees: tuple[FreedAmounts, ...]
+    freed: tuple[FreedAmounts, ...]
     #: Booked units that its team loses.
     units: float
     #: Index of the task; None: a whole gang.
@@ -42,7 +42,7 @@
     saves: bool = True
 
 
-def may_kill(
+def may_preempt(
     victim: Victim,
     preemptor_team: str,
     preemptor_rank: int,
@@ -82,8 +82,8 @@
         if not chosen:
             continue
         oldest = min(victim.started for victim in chosen)
-        lost = sum(len(v.frees) for v in chosen if not v.saves)
-        stopped = sum(len(v.frees) for v in chosen)
+        lost = sum(len(v.freed) for v in chosen if not v.saves)
+        stopped = sum(len(v.freed) for v in chosen)
         key = (oldest.total_seconds() // START_RESOLUTION_S, -lost, -stopped)
         if not best or key > best_key:
             best, best_key = chosen, key
@@ -99,7 +99,7 @@
     for victim in sorted(candidates, key=lambda v: v.started, reverse=True):
         if fits_into(spec, cpus, gpus, memory_gb):
             break
-        for freed in victim.frees:
+        for freed in victim.freed:
             if freed.machine == capacity.name:
                 cpus += freed.cpus
                 gpus += freed.gpus
--- a/micadeal/zones/zone_health.py
+++ b/micadeal/zones/zone_health.py
@@ -111,7 +111,7 @@
     """
     if others_unreachable and not signals.own:
         return Cause.OWN_ZONE_CUT_OFF
-    controller_gone = signals.controller in (Presence.SILENT, Presence.UNSEEN)
+    controller_gone = signals.controller in (Presence.UNREACHABLE, Presence.UNSEEN)
     if signals.machines >= MIN_MACHINES and signals.unreachable_share > SUSPECT_SHARE:
         if signals.controller is Presence.SEEN_BY_OTHERS:
             return Cause.LEADER_CUT_OFF_FROM_ZONE
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -266,7 +266,7 @@
         self.scheduler.run_cycle(self.now)
         plan = self.scheduler.plan
         for preemptor, victim in plan.kills:
-            machines = sorted({entry[0] for entry in victim.frees})
+            machines = sorted({entry[0] for entry in victim.freed})
             self._note("killed", preemptor, victim.job_id, victim.index, machines)
         for task in plan.placed:
             job_id, index, number = wire_list(task)
--- a/tests/test_bin_packing.py
+++ b/tests/test_bin_packing.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from micadeal.placement.bin_packing import ZoneRule, choose, choose_gang
+from micadeal.placement.bin_packing import ZoneRule, choose_gang, choose_machine
 from micadeal.placement.machine_capacity import MachineCapacity
 from micadeal.wire.users import Shape
 from tests.fakes.submissions import spec
@@ -22,13 +22,13 @@
         capacity("b", images=frozenset({"img"})),
         capacity("c", gpus=1.0, tasks=1),
     ]
-    chosen = choose(spec(), capacities, ZoneRule(spec()), False)
+    chosen = choose_machine(spec(), capacities, ZoneRule(spec()), False)
     assert chosen is not None and chosen.name == "b"
     spread = spec(spread=True, tasks=3)
     rule = ZoneRule(spread, Counter(north=2))
-    assert choose(spread, capacities, rule, False) is None
-    assert choose(spec(spot_allowed=True), capacities[:2], ZoneRule(spec()), False) is None
-    assert choose(spec(), [capacity("s", spot=True)], ZoneRule(spec()), False) is None
+    assert choose_machine(spread, capacities, rule, False) is None
+    assert choose_machine(spec(spot_allowed=True), capacities[:2], ZoneRule(spec()), False) is None
+    assert choose_machine(spec(), [capacity("s", spot=True)], ZoneRule(spec()), False) is None
 
 
 def test_gang_is_placed_whole_in_one_zone_or_not_at_all() -> None:
--- a/tests/test_leader_term.py
+++ b/tests/test_leader_term.py
@@ -10,7 +10,7 @@
 
 def test_leader_without_state_service_renews_leases_only_while_safe() -> None:
     """Guards ``ran_cancelled``: its answers must end a lease and a margin before the limit."""
-    term = Term(token=5, lease=1, valid_until=seconds(10), informed=seconds(8))
+    term = Term(token=5, lease=1, valid_until=seconds(10), cancellations_read_until=seconds(8))
     lease, cancel = seconds(14), seconds(34)
 
     def authority(at: float, *peers: PeerContact | None) -> Authority:
@@ -32,7 +32,7 @@
 
     The second case is one where a cancellation has hardly more time than a worker's lease.
     """
-    term = Term(token=5, lease=1, valid_until=seconds(99), informed=seconds(8))
+    term = Term(token=5, lease=1, valid_until=seconds(99), cancellations_read_until=seconds(8))
     authorities = [
         term.authority(seconds(8 + lag), [], seconds(14), seconds(cancel))
         for lag in (longest - 0.1, longest + 0.1)
@@ -42,7 +42,7 @@
 
 def test_leader_acts_before_its_records_are_read_only_if_peers_know_all_cancellations() -> None:
     """Guards ``ran_cancelled`` as the test above."""
-    unread = Term(token=5, lease=1, valid_until=seconds(99), informed=None)
+    unread = Term(token=5, lease=1, valid_until=seconds(99), cancellations_read_until=None)
     cancellations_known_until = seconds(8)
     assert unread.authority(seconds(9), [], seconds(14), seconds(34)) is Authority.NONE
     assert (
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -336,8 +336,8 @@
         observations = {"x": PeerObservation(own, seconds(900), now)}
         backlog = self.record_writer.migration_backlog()
         next_step = plan(self.level, own, observations, ceiling, backlog, now)
-        if next_step.move is not None:
-            self.level = next_step.move
+        if next_step.next_record is not None:
+            self.level = next_step.next_record
             self.record_writer.feature_level_changed(self.level)
 
     @rule()
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -58,7 +58,7 @@
         "z": PeerObservation(),
     }
     found = {name: presence(name, observations, seconds(20)) for name in observations}
-    assert found == {"x": Presence.SILENT, "y": Presence.PRESENT, "z": Presence.UNSEEN}
+    assert found == {"x": Presence.UNREACHABLE, "y": Presence.PRESENT, "z": Presence.UNSEEN}
     reaching = observations["y"].with_answer(one, seconds(20), seconds(20), reaches=["x"])
     assert presence("x", {**observations, "y": reaching}, seconds(20)) is Presence.SEEN_BY_OTHERS
 
@@ -90,32 +90,32 @@
         observations = {"x": observed(peer, late), "y": observed(peer, late), **by}
         return plan(record, OWN_PROCESS, observations, ceiling, migration_backlog, NOW)
 
-    assert step(LevelRecord()).move.level == 2
-    assert step(LevelRecord(), 1).move.level == 1
+    assert step(LevelRecord()).next_record.level == 2
+    assert step(LevelRecord(), 1).next_record.level == 1
     mixed = step(LevelRecord(), y=observed(Process("q", Build("a", 0, 1)), late))
-    assert mixed.move.level == 1 and mixed.move.oldest == 0
+    assert mixed.next_record.level == 1 and mixed.next_record.oldest == 0
     for observation in (
         observed(peer, 1),
         observed(peer, late, heard=9),
         observed(None, late),
         PeerObservation(),
     ):
-        assert step(LevelRecord(), y=observation).move is None
+        assert step(LevelRecord(), y=observation).next_record is None
     there = LevelRecord(2, 2, 0)
-    assert step(there, migration_backlog=MigrationBacklog(older=3)).move is None
-    assert step(there).move.oldest == 2
+    assert step(there, migration_backlog=MigrationBacklog(older=3)).next_record is None
+    assert step(there).next_record.oldest == 2
     # A later build leads: the migration at the level in force does not wait for the others.
     after = plan(
         LevelRecord(1, 1, 0), OWN_PROCESS, {"x": PeerObservation()}, None, MigrationBacklog(), NOW
     )
-    assert after.move == LevelRecord(1, 1, 1) and "never seen" in after.waits[0]
-    lowering = step(LevelRecord(2, 2, 2), 1).move
+    assert after.next_record == LevelRecord(1, 1, 1) and "never seen" in after.waits[0]
+    lowering = step(LevelRecord(2, 2, 2), 1).next_record
     assert (lowering.level, lowering.writes, lowering.oldest) == (2, 1, 1)
-    assert step(lowering, 1, MigrationBacklog(newer=2)).move is None
+    assert step(lowering, 1, MigrationBacklog(newer=2)).next_record is None
     assert "can't be written back" in step(lowering, 1, MigrationBacklog(newer=2, stuck=1)).waits[0]
-    assert step(lowering, 1).move.level == 1
+    assert step(lowering, 1).next_record.level == 1
     # Half way down and up again.
-    assert step(lowering).move.writes == 2
+    assert step(lowering).next_record.writes == 2
     new = Process("n", Build("n", 1, 2))
     assert "writes no level below 1" in step(there, 0, y=observed(new, late)).waits[0]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 from micadeal.fleet.instance_offers import InstanceOffer
 from micadeal.jobs.model import Job
 from micadeal.operator.platform import Team
-from micadeal.placement.bin_packing import ZoneRule, choose
+from micadeal.placement.bin_packing import ZoneRule, choose_machine
 from micadeal.placement.machine_capacity import MachineCapacity
 from micadeal.scheduling import capacity_pool, explanations, gang_placement
 from micadeal.scheduling.capacity_pool import CapacityPool
@@ -38,7 +38,7 @@
     """Ranks every machine for every task, in the order of the design."""
 
     def best(self, job: Job) -> MachineCapacity | None:
-        return choose(job.spec, self.candidates(job), self.zone_rule(job), self.spot_scarce)
+        return choose_machine(job.spec, self.candidates(job), self.zone_rule(job), self.spot_scarce)
 
     def candidates(self, job: Job) -> list[MachineCapacity]:
         if len(job.errors) > capacity_pool.MAX_AVOIDED_MACHINES:
@@ -57,7 +57,9 @@
         chosen: list[MachineCapacity] = []
         rule = ZoneRule(spec)
         for _ in range(spec.tasks):
-            capacity = choose(spec, [r for r in capacities if zone in (None, r.zone)], rule, batch)
+            capacity = choose_machine(
+                spec, [r for r in capacities if zone in (None, r.zone)], rule, batch
+            )
             if capacity is None:
                 break
             capacity.book(spec)
@@ -247,7 +249,7 @@
     assert all(deployment.cluster.machines[name].attempts for name in ordinary)
     live.errors.update(ordinary[:1])
     deployment.scheduler.run_cycle(deployment.now)
-    killed = {entry[0] for _, victim in deployment.scheduler.plan.kills for entry in victim.frees}
+    killed = {entry[0] for _, victim in deployment.scheduler.plan.kills for entry in victim.freed}
     assert killed and ordinary[0] not in killed
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -11,7 +11,7 @@
 from micadeal.sharing.order import team_key
 from micadeal.sharing.shares import Claim, fair_shares
 from micadeal.sharing.starvation import StarvationTimer, TeamUsage
-from micadeal.sharing.victims import FreedAmounts, Victim, may_kill
+from micadeal.sharing.victims import FreedAmounts, Victim, may_preempt
 
 #: More demand than there ever is to share.
 UNLIMITED = 1000.0
@@ -114,7 +114,7 @@
     def lacks(at: float, used: float, demand: float) -> tuple[float, bool]:
         team = TeamUsage(used, demand, minimum=4, share=10)
         timer.update(second(at), team)
-        return timer.lacks(second(at), team, second(15), second(30))
+        return timer.starved_amount(second(at), team, second(15), second(30))
 
     assert lacks(0, 4, 20) == (0, False)
     assert lacks(10, 1, 20) == (0, False)
@@ -140,4 +140,4 @@
     team: str, rank: int, surplus: float, for_guarantee: bool, allowed: bool
 ) -> None:
     victim = Victim("req-1", team, rank, second(5), (FreedAmounts("m", 1, 1, 1),), 1.0)
-    assert may_kill(victim, "preemptor", 2, for_guarantee, {team: surplus}) is allowed
+    assert may_preempt(victim, "preemptor", 2, for_guarantee, {team: surplus}) is allowed
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -21,7 +21,11 @@
 from tests.fakes.deployment_settings import ZONES
 from tests.fakes.world import World
 
-PRESENT, UNREACHABLE, SEEN_BY_OTHERS = Presence.PRESENT, Presence.SILENT, Presence.SEEN_BY_OTHERS
+PRESENT, UNREACHABLE, SEEN_BY_OTHERS = (
+    Presence.PRESENT,
+    Presence.UNREACHABLE,
+    Presence.SEEN_BY_OTHERS,
+)
 
 
 def observe_steps(zone: Zone, *steps: tuple[float, ZoneSignals]) -> Zone:
