--- a/micadeal/leadership/election.py
+++ b/micadeal/leadership/election.py
@@ -27,21 +27,21 @@
 
 log = logging.getLogger(__name__)
 
-#: Kept short, since no task is started while the lease of a crashed leader runs out.  Several
-#: renewals still fit into it, so that one slow response of the state service costs nothing.
+#: Short, because no task is started until the lease of a crashed leader expires.  Several renewals
+#: still fit into it, so that one slow response of the state service does not end the term.
 LEASE_DURATION = timedelta(seconds=3)
 RENEW_INTERVAL = timedelta(milliseconds=700)
 RENEW_TIMEOUT = timedelta(milliseconds=900)
-#: Pause before a failed renewal is repeated.
+#: Delay before a failed renewal is retried.
 RENEW_RETRY_DELAY = timedelta(milliseconds=200)
-#: How long the transaction that takes the lock may go unanswered before the lock is read back.
+#: Timeout of the transaction that takes the lock; after that the lock is read back.
 ACQUIRE_TIMEOUT = timedelta(milliseconds=900)
-#: How often a leader checks whether it was asked to resign.
+#: Interval at which a leader checks whether it was asked to resign.
 RESIGN_POLL_INTERVAL = timedelta(milliseconds=100)
 WATCH_TIMEOUT = timedelta(seconds=2)
-#: Pause after a round that failed.
+#: Delay after a failed election round.
 RETRY_DELAY = timedelta(milliseconds=300)
-#: Pause after ending the lease of our own previous term.
+#: Delay after revoking the lease of this controller's previous term.
 RELEASE_DELAY = timedelta(milliseconds=20)
 
 
@@ -50,7 +50,7 @@
     """This controller won an election."""
 
     term: Term
-    #: The records as read before the election; its level is the one read then.
+    #: The records as read before the election, with the feature level of that moment.
     leader_lock: LeaderLock
 
 
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipLost:
-    """The term with this token is over for this controller."""
+    """The term with this token has ended for this controller."""
 
     token: int
     reason: str
@@ -99,7 +99,7 @@
 class Election:
     """Takes part in elections and reports every event to its listener.
 
-    Owns the lease.  Other components only call ``resign`` and ``retire``.
+    Owns the leader's lease.  Other components call only ``resign`` and ``retire``.
     """
 
     def __init__(
@@ -111,10 +111,10 @@
         listener: ElectionListener,
         election_delay: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
-        """Create a candidate that does nothing before ``run``.
+        """Create a candidate that is idle until ``run`` is called.
 
-        ``started_at`` is the time of day at which the process started, in seconds since the epoch.
-        ``election_delay`` says how long to leave a free lock to other candidates.
+        ``started_at`` is the wall-clock time at which the process started, in seconds since the
+        epoch.  ``election_delay`` returns how long to leave a free lock to other candidates.
         """
         self._name = name
         self._process = process
@@ -123,17 +123,17 @@
         self._listener = listener
         self._election_delay = election_delay
         self._watch = state.watch_client()
-        #: Why the current term is to end; None: it is not.
+        #: Reason to end the current term; None: the term continues.
         self._resign_reason: str | None = None
         self._is_candidate = True
         self._registered = False
 
     def resign(self, reason: str = "a higher token was seen") -> None:
-        """Give up the current term; the controller stays a candidate for later ones."""
+        """End the current term; the controller remains a candidate for later terms."""
         self._resign_reason = reason
 
     def retire(self) -> None:
-        """Hand over the leadership, if held, and take part in no further election."""
+        """Resign if leading, and take part in no further election."""
         self._is_candidate = False
         self.resign("this process ends")
 
@@ -154,13 +154,14 @@
     async def _run_round(self) -> None:
         leader_lock = await read_leader_lock(self._state)
         if not self._registered or MEMBER + self._name not in leader_lock.versions:
-            # Not in any other case: two processes under one name would keep replacing each other.
+            # Only in these cases: otherwise two processes with the same name would keep replacing
+            # each other's record.
             leader_lock = await self._register(leader_lock)
         await self._listener(LeaderLockRead(leader_lock))
         if leader_lock.taken and leader_lock.leader is not None:
             if leader_lock.leader.controller == self._name:
-                # Held by our previous process, or by a transaction of ours that was applied
-                # without a response: that term is over, and no one need wait for its lease.
+                # Held by this controller's previous process, or by a transaction whose response
+                # was lost.  That term is over: revoke its lease instead of waiting for expiry.
                 await self._state.revoke_lease(leader_lock.lease)
                 await sleep(RELEASE_DELAY)
                 return
@@ -174,7 +175,10 @@
         return leader_locks.refusal(leader_lock, self._name, self._process) is None
 
     async def _register(self, leader_lock: LeaderLock) -> LeaderLock:
-        """Write the member record of this process, before it takes part in anything."""
+        """Write the member record of this process; return the leader lock that contains it.
+
+        Until then the process neither observes leaders nor campaigns.
+        """
         if not leader_locks.registered(leader_lock, self._name, self._process):
             conditions, changes = leader_locks.registration(
                 leader_lock, self._name, self._process, self._started_at
@@ -185,7 +189,7 @@
         return leader_lock
 
     async def _await_change(self, leader_lock: LeaderLock) -> None:
-        """Return when the lock may have changed, at the latest after an idle watch timed out."""
+        """Wait until the lock may have changed, or until an idle watch times out."""
         # The key that changes when a term ends has this prefix.
         prefix = LEADER_LOCK_PREFIX if leader_lock.fenced else LEADER
         after = leader_lock.revision
@@ -198,11 +202,11 @@
                 return
             after = max(after, changes.revision)
             if not changes.events:
-                # A watch on a connection that was cut meanwhile would never report: read again.
+                # A watch on a broken connection would never report a change: read the lock again.
                 return
 
     async def _campaign(self, leader_lock: LeaderLock) -> None:
-        """Try to take the free lock; if that succeeds, lead until the term is over."""
+        """Try to take the free lock; on success, lead until the term ends."""
         delay = self._election_delay()
         if delay:
             await sleep(delay)
@@ -226,7 +230,7 @@
     async def _acquire(self, leader_lock: LeaderLock, lease: int) -> int | None:
         """Take the lock with ``lease``.
 
-        Returns the token of the term, or None if another candidate was faster.
+        Return the token of the term, or None if another candidate took the lock first.
         """
         conditions, changes = leader_locks.acquisition(leader_lock, self._name, lease)
         try:
@@ -235,8 +239,8 @@
             await self._state.revoke_lease(lease)
             return None
         except StateServiceError as problem:
-            # Guards against seconds without a leader where responses are lost: no one else knows
-            # this lease, so a lock that is held with it is ours, and the term has begun.
+            # Guards against seconds without a leader after a lost response: only this controller
+            # knows the lease, so if the lock is held with it, the election was won.
             log.debug("outcome of the election unknown: reason=%s", problem)
             current = await read_leader_lock(self._state)
             if not current.taken or current.lease != lease:
@@ -244,7 +248,7 @@
             return current.token
 
     async def _keep_lease(self, term: Term, sent_at: timedelta) -> str:
-        """Renew the lease until it is gone or given up; return the reason for the end.
+        """Renew the lease until it expires or the leader resigns; return why the term ended.
 
         An outage of the state service alone does not end the term.  ``sent_at`` is when the lease
         was requested.
--- a/micadeal/leadership/follower_leases.py
+++ b/micadeal/leadership/follower_leases.py
@@ -1,28 +1,29 @@
-"""Rules for renewing workers' leases as a follower while no leader can act.
+"""Rules by which followers renew workers' leases while no leader can act.
 
 A worker accepts a response with the token that it knows from any controller.  So a follower that
-knows the current token can renew leases in place of a leader that is gone while the state service
-is out of reach.  Two things must never happen at the same time: the leader, which may only
-be unreachable from the follower, treats a lease as expired that the follower has renewed
-(``ran_twice``); and a controller confirms to a user a cancellation that the follower does not know
-(``ran_cancelled``).
-
-Both are excluded by majorities, of which any two share a controller (docs/safety.md):
-
-- A follower renews leases only with the *votes* of so many other controllers that they make a
-  majority together with it.
-- A leader treats a lease as expired only with the *promises* of so many others that they make a
-  majority together with it.  Whoever answers a leader's ping promises neither to renew leases nor
-  to vote for ``promise_duration`` from then on.
-- A cancellation is confirmed to a user only once a majority, which includes the controller that
-  confirms it, has the job on its list of cancellations.  A follower that renews leases stops what
-  is on its own list and on those of its voters.
+knows the current token can renew leases in place of a failed leader while the state service is
+unreachable.  Two errors must be excluded:
+
+- The leader, which may only be unreachable from the follower, treats a lease as expired that the
+  follower has renewed (``ran_twice``).
+- A controller confirms to a user a cancellation that the follower does not know
+  (``ran_cancelled``).
+
+Majorities exclude both, because any two majorities share a controller (docs/safety.md):
+
+- A follower renews leases only with *votes* from enough peers to form a majority with it.
+- A leader treats a lease as expired only with *renewal promises* from enough peers to form a
+  majority with it.  A controller that answers a leader's ping promises neither to renew leases nor
+  to vote for the next ``promise_duration``.
+- A cancellation is confirmed to a user only once a majority, including the controller that confirms
+  it, has the job on its cancellation list.  A follower that renews leases stops the tasks of the
+  jobs on its own list and on the lists of its voters.
 
 Messages between controllers call a vote ``consent`` (wire/peers.py).
 
-Pure: no input or output, and the caller passes the time.  Instants are monotonic time of the
-controller that decides.  What a peer says is dated by the question that it answers, so a response
-that the network delayed does not count as recent.
+No I/O; the caller passes the time.  Instants are monotonic time of the controller that decides.  An
+answer of a peer is dated by the time of the question, so a response that the network delayed does
+not count as recent.
 """
 
 from __future__ import annotations
@@ -34,13 +35,13 @@
 from micadeal.clock import DRIFT, seconds
 from micadeal.wire.workers import Command, CommandKind, Heartbeat, TaskState
 
-#: How long the promise given with the answer to a leader's ping holds.  Leaders ping every second.
+#: How long the renewal promise in an answer to a leader's ping holds.  Leaders ping every second.
 PROMISE_DURATION = seconds(4)
-#: How long a vote holds.  A controller that crashes is back within that time and can vote again.
+#: How long a vote holds.  A controller that crashes restarts within this time and can vote again.
 VOTE_DURATION = seconds(12)
-#: For the drift between two clocks over such durations.
+#: Allowance for the drift between two clocks over these durations.
 CLOCK_SLACK = seconds(0.1)
-#: With fewer controllers there is no majority without the leader.
+#: Smallest cluster that has a majority without the leader.
 MIN_CLUSTER_SIZE = 3
 
 
@@ -48,9 +49,9 @@
 class RenewalTiming:
     """The durations and the cluster size that the rules depend on."""
 
-    #: A worker that was not heard of for so long has certainly lost its lease.
+    #: Time without a heartbeat after which a worker's lease has certainly expired.
     lease_expiry: timedelta
-    #: A task must be gone so long after the cancellation of its job was confirmed.
+    #: A task must end within this time after the cancellation of its job was confirmed.
     cancel_timeout: timedelta
     #: The number of controllers.
     cluster_size: int
@@ -67,9 +68,9 @@
     def allows_renewal(self) -> bool:
         """Whether renewal by followers can be safe and useful with these durations.
 
-        There must be a majority without the leader.  And a cancellation that a voter learned of
-        must reach the follower before the vote is over, or the workers' leases must have expired
-        in time.
+        There must be a majority without the leader.  A vote and then a worker's lease must expire
+        within the cancel timeout: a follower that does not learn of a cancellation from its voter
+        stops renewing leases when the vote expires, and the job's tasks end with their leases.
         """
         return (
             self.cluster_size >= MIN_CLUSTER_SIZE
@@ -78,26 +79,27 @@
 
     @property
     def cancellation_retention(self) -> timedelta:
-        """How long a cancellation matters: after that its tasks have to be gone."""
+        """How long a cancellation must be remembered; by then the job's tasks must have ended."""
         return self.cancel_timeout * (1 + 2 * DRIFT) + self.clock_slack
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalState:
-    """What a controller remembers of itself.  A restart loses it: ``started_at`` dates that."""
+    """The controller's own state.  The process started at ``started_at`` with none of it."""
 
     started_at: timedelta
-    #: Highest token whose leader has contacted us, and when it last did.
+    #: The highest token of a leader that contacted this controller, and when it last did.
     token: int = 0
     leader_contact_at: timedelta | None = None
-    #: The last token under which we renewed leases or voted, and until when that commits us.
+    #: The last token under which this controller renewed leases or voted, and until when that
+    #: commits it.
     committed_token: int = 0
     committed_until: timedelta | None = None
 
     def with_leader_contact(self, token: int, now: timedelta) -> RenewalState:
-        """Return the state after the leader of a term has contacted us.
+        """Return the state after the leader of the term ``token`` has contacted this controller.
 
-        From then on we abstain for it.  A past term changes nothing.
+        The contact starts a renewal promise to that leader.  A past term changes nothing.
         """
         if token < self.token:
             return self
@@ -114,29 +116,29 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerReport:
-    """What a peer says of itself in answer to a ping; durations count from the answer."""
+    """A peer's report on itself in its answer to a ping; durations are relative to the answer."""
 
     age: timedelta
-    #: Its list of cancellations lacks nothing that its previous process may have known.
+    #: Its cancellation list includes everything that its previous process may have known.
     synced: bool
     #: The token of the vote given with this answer; 0: none.
     vote_token: int = 0
     committed_token: int = 0
-    #: How long it is still committed; negative: how long it has not been.
+    #: Remaining time of the commitment; negative: time since its end.
     committed_for: timedelta = timedelta(0)
-    #: The answer came with the peer's list of cancellations.
+    #: The answer includes the peer's cancellation list.
     has_list: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRenewalView:
-    """What we know of one other controller."""
+    """What this controller knows about one peer."""
 
-    #: When we sent the ping that it answered last; None: it never answered.
+    #: When the last ping was sent that it has answered; None: it never answered.
     asked_at: timedelta | None = None
-    #: Since when all its answers came with a report; None: its version sends none.
+    #: Since when all its answers include a report; None: its version sends none.
     reports_since: timedelta | None = None
-    #: Until when it neither renews leases nor votes, as it has promised us.
+    #: Until when it has promised neither to renew leases nor to vote.
     promised_until: timedelta | None = None
     #: The latest instant at which its current process can have started.
     started_at: timedelta | None = None
@@ -144,9 +146,9 @@
     vote_until: timedelta | None = None
     committed_token: int = 0
     committed_until: timedelta | None = None
-    #: When we asked for the last list of cancellations that it sent while it was synced.
+    #: When the last cancellation list was requested that it sent while it was synced.
     synced_list_asked_at: timedelta | None = None
-    #: The same for its last list of any kind, which may lack what its previous process knew.
+    #: The same for its last list, synced or not; it may lack what its previous process knew.
     list_asked_at: timedelta | None = None
 
     def with_answer(
@@ -157,10 +159,11 @@
         token: int,
         timing: RenewalTiming,
     ) -> PeerRenewalView:
-        """Return the view after the peer's answer to our ping.
+        """Return the view after the peer's answer to a ping that was sent at ``asked_at``.
 
-        ``token`` is that of the term we led when we asked, else 0.  ``report`` is None if the
-        peer's version sends none, or renewal by followers is switched off there.
+        ``token`` is that of the term that this controller led when it sent the ping, else 0.
+        ``report`` is None if the peer's version sends none, or if renewal by followers is disabled
+        there.
         """
         if self.asked_at is not None and asked_at < self.asked_at:
             return self
@@ -168,7 +171,7 @@
         if token:
             promised_until = asked_at + timing.promise_duration - timing.clock_slack
         if report is None:
-            # An earlier version: it never renews, votes or keeps a list.
+            # An earlier version: it never renews leases, votes or keeps a list.
             return PeerRenewalView(asked_at=asked_at, promised_until=promised_until)
         return self._with_report(report, asked_at, now, promised_until, timing)
 
@@ -180,11 +183,11 @@
         promised_until: timedelta | None,
         timing: RenewalTiming,
     ) -> PeerRenewalView:
-        # A vote does not count without the list that goes with it.
+        # A vote counts only together with the voter's cancellation list.
         vote_token = report.vote_token if report.has_list else 0
         started_at = now - report.age
-        # A process sends reports from its start on or never.  So a controller that has itself just
-        # started need not listen to an old process for long to know that.
+        # A process sends reports either from its start or never.  So a controller that has just
+        # started itself can date the reports back to the start of the peer's process.
         reports_since = self.reports_since
         if reports_since is None:
             reports_since = min(asked_at, started_at)
@@ -204,9 +207,10 @@
         )
 
     def keeps_list(self, now: timedelta, timing: RenewalTiming) -> bool:
-        """Return whether the peer has kept a list of cancellations for long enough.
+        """Return whether the peer has kept a cancellation list for the whole retention time.
 
-        A version without lists confirms cancellations on its own; none of these may matter still.
+        A version without lists confirms cancellations alone; all of these must be too old to
+        matter.
         """
         return (
             self.reports_since is not None
@@ -217,10 +221,10 @@
 def is_synced(
     state: RenewalState, views: Iterable[PeerRenewalView], now: timedelta, timing: RenewalTiming
 ) -> bool:
-    """Return whether our list of cancellations lacks nothing.
+    """Return whether this controller's cancellation list is complete.
 
-    What our previous process had on its list must not matter any more, or must have been sent to us
-    by *all* others, whose lists lack nothing.
+    Either the list of its previous process is too old to matter, or *all* peers have sent their own
+    complete lists since this process started.
     """
     if now - state.started_at >= timing.cancellation_retention:
         return True
@@ -233,18 +237,18 @@
 def may_vote(
     state: RenewalState, token: int, synced: bool, now: timedelta, timing: RenewalTiming
 ) -> bool:
-    """Return whether another controller may get our vote to renew leases under ``token``.
+    """Return whether this controller may vote for a peer that renews leases under ``token``.
 
-    Guards ``ran_twice``: not while our promise to that leader, or one that our previous process
-    gave, still holds.
+    Guards ``ran_twice``: no vote while a promise to that leader holds, including one that the
+    previous process may have given just before ``started_at``.
     """
-    since = state.started_at
+    promised_at = state.started_at
     if state.leader_contact_at is not None:
-        since = max(since, state.leader_contact_at)
+        promised_at = max(promised_at, state.leader_contact_at)
     return (
         synced
         and 0 < token >= state.token
-        and now - since >= timing.promise_duration + timing.clock_slack
+        and now - promised_at >= timing.promise_duration + timing.clock_slack
     )
 
 
@@ -255,9 +259,9 @@
     now: timedelta,
     timing: RenewalTiming,
 ) -> bool:
-    """Return whether to answer workers under the token that the last leader has shown us.
+    """Return whether this follower may answer workers under the last leader's token.
 
-    Such answers renew leases and order stops, never starts.
+    Such answers renew leases and send stop commands, never start commands.
     """
     if not timing.allows_renewal or not state.token:
         return False
@@ -274,24 +278,23 @@
 
 def may_expire_leases(
     token: int,
-    began: timedelta,
+    term_started_at: timedelta,
     views: Iterable[PeerRenewalView],
     now: timedelta,
     timing: RenewalTiming,
 ) -> bool:
-    """Return whether a leader may treat the leases of workers that it does not hear as expired.
+    """Return whether a leader may treat the leases of silent workers as expired.
 
     Guards ``ran_twice``: no other controller can have renewed one in the last ``lease_expiry``.
-    ``began`` is the start of the term.  Nobody knew its token before, so only what came after that
-    counts.
+    No controller knew the term's token before ``term_started_at``, so only later renewals count.
     """
     promises = 0
     for view in views:
         if view.promised_until is None or now >= view.promised_until:
             continue
-        last_renewal = began - timing.lease_expiry
-        if view.started_at is not None and view.started_at > began:
-            # It does not know what its previous process voted for.
+        last_renewal = term_started_at - timing.lease_expiry
+        if view.started_at is not None and view.started_at > term_started_at:
+            # The peer does not know what its previous process voted for: assume the longest vote.
             last_renewal = view.started_at + timing.vote_duration + timing.clock_slack
         if view.committed_token >= token and view.committed_until is not None:
             last_renewal = max(last_renewal, view.committed_until)
@@ -302,7 +305,7 @@
 def stop_commands(heartbeat: Heartbeat, cancelled: Container[str]) -> list[Command]:
     """Return stop commands for the tasks of cancelled jobs that a worker reports.
 
-    For controllers that answer a worker without having read the records of the jobs.
+    Used by controllers that answer a worker without having read the job records.
     """
     commands: list[Command] = []
     for task in heartbeat.tasks:
@@ -315,39 +318,39 @@
 def cancellations_known_until(
     views: Iterable[PeerRenewalView], now: timedelta, timing: RenewalTiming
 ) -> timedelta | None:
-    """Return up to which instant a synced controller knows of every confirmed cancellation.
+    """Return the instant up to which a synced controller knows every confirmed cancellation.
 
-    It must have merged all lists that it was sent.  None if there is no such instant.
+    It must have merged all lists that it has received.  None if there is no such instant.
     """
-    asked_at: list[timedelta] = []
+    lists_asked_at: list[timedelta] = []
     for view in views:
         if not view.keeps_list(now, timing):
             return None
         if view.synced_list_asked_at is not None:
-            asked_at.append(view.synced_list_asked_at)
-    asked_at.sort(reverse=True)
+            lists_asked_at.append(view.synced_list_asked_at)
+    lists_asked_at.sort(reverse=True)
     needed = timing.majority - 1
-    return asked_at[needed - 1] if 0 < needed <= len(asked_at) else None
+    return lists_asked_at[needed - 1] if 0 < needed <= len(lists_asked_at) else None
 
 
 def cancellations_listed_until(
-    views: Iterable[PeerRenewalView], informed: timedelta | None
+    views: Iterable[PeerRenewalView], cancellations_read_until: timedelta | None
 ) -> timedelta | None:
-    """Return up to which instant a leader knows of every cancellation from lists of any kind.
+    """Return the instant up to which a leader knows every cancellation from lists of any kind.
 
-    It must have merged all lists that it was sent, synced or not.  None if there is no such
-    instant.  ``informed`` is up to when the records that it has read say so.
+    It must have merged all lists that it has received, synced or not.  None if there is no such
+    instant.  ``cancellations_read_until`` is that of its ``Term``.
 
-    Guards against a leader without authority where all controllers have just started, so that
-    running tasks would end with their leases: what the previous process of a peer
-    confirmed is on no list, but was recorded before the current process started, so the leader has
-    read it if that was before ``informed``.
+    Guards against a leader without authority after all controllers have just started, in which case
+    running tasks would end with their leases.  Cancellations that a peer's previous process
+    confirmed are on no list, but they were recorded before its current process started.  If that
+    was before ``cancellations_read_until``, the leader has read them.
     """
-    asked_at: list[timedelta] = []
+    lists_asked_at: list[timedelta] = []
     for view in views:
-        if informed is None or view.list_asked_at is None:
+        if cancellations_read_until is None or view.list_asked_at is None:
             return None
-        if view.started_at is None or view.started_at > informed:
+        if view.started_at is None or view.started_at > cancellations_read_until:
             return None
-        asked_at.append(view.list_asked_at)
-    return min(asked_at, default=None)
+        lists_asked_at.append(view.list_asked_at)
+    return min(lists_asked_at, default=None)
