--- a/micadeal/placement/bin_packing.py
+++ b/micadeal/placement/bin_packing.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ZoneRule:
-    """Zones that a job's next task may use, given where its tasks may be at this moment."""
+    """The zones that a job's next task may use, given where its tasks may be running now."""
 
     spec: Submission
     zones: Counter[str] = field(default_factory=Counter)
@@ -36,32 +36,38 @@
 def rank(spec: Submission, capacity: MachineCapacity, zones: Counter[str]) -> Rank:
     """Rank a machine for one task; smaller is better.
 
-    In this order: machines that are up before booting before planned ones; for work without
-    accelerators, machines where none is free, since the cores beside a free accelerator are needed
-    for its work; spot machines for what may use them, since they are cheaper and leave the
-    on-demand ones to what needs those; the image being cached, or being fetched, or nothing else
-    being fetched; zones with fewer tasks of the job; then the fullest machine, so that others can
-    empty and be returned.
+    The criteria, in this order:
+
+    - Machines that are up come before booting ones, and those before planned ones.
+    - Tasks without accelerators avoid machines with a free accelerator, because the cores beside it
+      are needed for tasks that use it.
+    - Tasks that may run on spot machines prefer them: they are cheaper and leave the on-demand
+      machines to tasks that need those.
+    - Services prefer machines that already run tasks bound to on-demand machines.
+    - Machines that have the image cached come before those that are fetching it, and those before
+      machines with fewer other fetches in progress.
+    - Tasks of a spread job prefer zones with fewer of the job's tasks.
+    - The fullest machine comes first, so that others become empty and can be returned.
     """
     if spec.image in capacity.images:
         image = 0
     elif spec.image in capacity.fetching:
         image = 1
     else:
-        # Concurrent fetches share the machine's rate, so each takes longer.  That alone does not
-        # justify renting more machines.
+        # Concurrent fetches share the machine's bandwidth, so each takes longer.  That alone does
+        # not justify renting more machines.
         image = 2 + len(capacity.fetching) if capacity.up else 2
     on_demand = 0 if capacity.spot or not spec.spot_allowed else 1
     stage = 2 if capacity.planned else 0 if capacity.up else 1
-    # A service pays for the idle rest of its machine until it is cancelled: it shares a machine
-    # with other services before it looks for its image.
-    alone = 1 if spec.shape is Shape.SERVICE and not capacity.bound_tasks else 0
+    # A service pays for the idle rest of its machine until it is cancelled.  So sharing a machine
+    # matters more than finding the image cached.
+    unshared = 1 if spec.shape is Shape.SERVICE and not capacity.bound_tasks else 0
     strands_accelerators = 1 if not spec.gpus and capacity.gpus > EPSILON else 0
     return (
         stage,
         strands_accelerators,
         on_demand,
-        alone,
+        unshared,
         image,
         zones[capacity.zone] if spec.spread else 0,
         0 if capacity.tasks else 1,
@@ -73,8 +79,8 @@
 def is_economical(spec: Submission, capacity: MachineCapacity, spot_scarce: bool) -> bool:
     """Return whether the machine's price suits the task.
 
-    An on-demand machine is not kept for work that may run on a cheaper spot one, unless spot is
-    scarce or work bound to on-demand machines is there anyway.
+    An on-demand machine is not used for a task that may run on a cheaper spot machine, unless spot
+    machines are scarce or tasks bound to on-demand machines run there anyway.
     """
     return bool(capacity.spot or capacity.bound_tasks or spot_scarce or not spec.spot_allowed)
 
@@ -82,10 +88,7 @@
 def choose_machine(
     spec: Submission, capacities: Iterable[MachineCapacity], rule: ZoneRule, spot_scarce: bool
 ) -> MachineCapacity | None:
-    """Return the best machine for one more task, or None.
-
-    Of equally good ones the first is taken.
-    """
+    """Return the best machine for one more task, the first of equal ones, or None."""
     best: MachineCapacity | None = None
     best_rank: Rank = ()
     for capacity in capacities:
@@ -97,19 +100,18 @@
             continue
         if not is_economical(spec, capacity, spot_scarce):
             continue
-        value = rank(spec, capacity, rule.zones)
-        if best is None or value < best_rank:
-            best, best_rank = capacity, value
+        machine_rank = rank(spec, capacity, rule.zones)
+        if best is None or machine_rank < best_rank:
+            best, best_rank = capacity, machine_rank
     return best
 
 
 class MachineRanking:
     """Chooses machines for the tasks of one job, one after the other, as ``choose_machine`` would.
 
-    The machines are ranked once, not anew for each task.  That holds because within a cycle
-    capacities only shrink: an entry may have become worse, which is noticed when it is taken from
-    the heap, and a machine that has become better (fuller, or shared now) is added again by
-    ``refresh``.
+    Machines are ranked once, not again for each task.  This works because capacities only shrink
+    within a cycle.  An entry whose rank has become worse is detected at the top of the heap.  A
+    machine whose rank has improved (it is fuller, or shared now) is pushed again by ``refresh``.
     """
 
     __slots__ = ("_heap", "_rule", "_spec", "_spot_scarce")
@@ -139,23 +141,26 @@
         )
 
     def refresh(self, capacity: MachineCapacity) -> None:
-        """Rank a machine anew: something was booked on it, or it was added."""
+        """Rank a machine again after a booking on it, or rank an added machine."""
         if capacity.fits(self._spec) and self._suits(capacity):
-            value = rank(self._spec, capacity, self._rule.zones)
-            heappush(self._heap, (value, capacity.order, capacity.name, capacity))
+            machine_rank = rank(self._spec, capacity, self._rule.zones)
+            heappush(self._heap, (machine_rank, capacity.order, capacity.name, capacity))
 
     def best(self) -> MachineCapacity | None:
-        """Return the machine for the next task; the caller books it and calls ``refresh``."""
+        """Return the machine for the next task, or None.
+
+        The caller books the task on it and calls ``refresh``.
+        """
         while self._heap:
-            value, order, name, capacity = self._heap[0]
+            pushed_rank, order, name, capacity = self._heap[0]
             if not capacity.fits(self._spec) or not self._rule.permits(capacity.zone):
-                # Neither is undone within a cycle.
+                # Both conditions last until the end of the cycle.
                 heappop(self._heap)
                 continue
-            now = rank(self._spec, capacity, self._rule.zones)
-            if now == value:
+            current_rank = rank(self._spec, capacity, self._rule.zones)
+            if current_rank == pushed_rank:
                 return capacity
-            heapreplace(self._heap, (now, order, name, capacity))
+            heapreplace(self._heap, (current_rank, order, name, capacity))
         return None
 
 
@@ -164,7 +169,7 @@
 ) -> list[MachineCapacity] | None:
     """Return machines for all tasks of a gang, already booked, or None.
 
-    With ``one_zone`` each zone is tried and the one that can start soonest is taken.
+    With ``one_zone``, try each zone and take the one where the gang can start soonest.
     """
     by_zone = _fitting_by_zone(spec, capacities)
     best: list[MachineCapacity] | None = None
@@ -190,7 +195,7 @@
 def _fitting_by_zone(
     spec: Submission, capacities: Sequence[MachineCapacity]
 ) -> dict[str | None, list[MachineCapacity]]:
-    """Return machines that hold at least one task; all under None if any zone will do."""
+    """Return machines with room for a task, by zone; all under None unless ``one_zone`` is set."""
     by_zone: dict[str | None, list[MachineCapacity]] = {}
     for capacity in capacities:
         if capacity.fits(spec) and allowed(
@@ -212,7 +217,7 @@
 def _book_gang(
     capacities: list[MachineCapacity], spec: Submission, spot_scarce: bool
 ) -> list[MachineCapacity] | None:
-    """Book all tasks and return their machines; None, with nothing booked, if one finds none."""
+    """Book all tasks and return their machines; if one does not fit, book none and return None."""
     rule = ZoneRule(spec)
     ranking = MachineRanking(spec, capacities, rule, spot_scarce)
     chosen: list[MachineCapacity] = []
--- a/micadeal/placement/machine_capacity.py
+++ b/micadeal/placement/machine_capacity.py
@@ -1,9 +1,9 @@
 """Free capacity of single machines during one scheduling cycle.
 
 A cycle books tasks into capacities in fair-share order.  A booking on a machine that is up becomes
-a task start, one on a booting machine reserves capacity for a task that has to wait, and one on a
-planned machine becomes a rental.  So a single cycle yields placements, reservations and scale-out
-demand, all in the same order.
+a task start.  A booking on a booting machine reserves capacity for a task that has to wait.  A
+booking on a planned machine becomes a rental.  So a single cycle yields placements, reservations
+and scale-out demand, all in the same order.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.users import Priority, Submission
 
-#: Tolerance for comparing amounts, which are decimal fractions added up as floats.
+#: Tolerance for comparing resource amounts, which are sums of decimal fractions as floats.
 EPSILON = 1e-6
 
-#: Everything that decides which machines a task may use, except the other tasks of its job.
+#: Everything that determines which machines a task may use, except the other tasks of its job.
 RequestKey = tuple[object, ...]
 
 
 def fits_into(spec: Submission, cpus: float, gpus: float, memory_gb: float) -> bool:
-    """Return whether these free amounts hold one task."""
+    """Return whether these free amounts are enough for one task."""
     return (
         spec.gpus <= gpus + EPSILON
         and spec.cpus <= cpus + EPSILON
@@ -30,15 +30,15 @@
 
 
 def request_key(spec: Submission) -> RequestKey:
-    """Return the key under which tasks with equal resource requests and constraints compare."""
+    """Return a key that is equal for tasks with equal resource requests and constraints."""
     machine_types = None if spec.machine_types is None else tuple(spec.machine_types)
     return (spec.cpus, spec.gpus, spec.memory_gb, spec.zone, spec.spot_allowed, machine_types)
 
 
 def allowed(spec: Submission, machine_type: str, zone: str, spot: bool) -> bool:
-    """Return whether a task may run on such a machine.
+    """Return whether the constraints of a task allow such a machine.
 
-    This is the PROTOCOL rule ``wrong_place``, as far as a single machine decides it.
+    This is the part of the PROTOCOL rule ``wrong_place`` that a single machine decides.
     """
     return (
         (spec.machine_types is None or machine_type in spec.machine_types)
@@ -48,13 +48,13 @@
 
 
 def type_fits(spec: Submission, kind: MachineType) -> bool:
-    """Return whether an empty machine of this type holds one task."""
+    """Return whether one task fits into an empty machine of this type."""
     return fits_into(spec, kind.cpus, kind.gpus, kind.memory_gb)
 
 
 @dataclass(slots=True, eq=False)
 class MachineCapacity:
-    """What is free on one machine; changed by ``book`` and ``unbook`` during a cycle."""
+    """Free resources of one machine; changed by ``book`` and ``unbook`` during a cycle."""
 
     name: str
     machine_type: str
@@ -63,9 +63,9 @@
     cpus: float
     gpus: float
     memory_gb: float
-    #: Up and allowed to get work now; otherwise booting or only planned.
+    #: Up and able to receive tasks now; otherwise booting or planned.
     up: bool = True
-    #: Does not exist yet: a booking on it asks for a rental.
+    #: Not rented yet: a booking on it requests a rental.
     planned: bool = False
     images: frozenset[str] = frozenset()
     fetching: frozenset[str] = frozenset()
@@ -74,16 +74,16 @@
     bound_tasks: int = 0
     #: Tasks booked in this cycle.
     booked: int = 0
-    #: Position in the cycle: of equally good machines the first is taken.
+    #: Position in the cycle, which decides between equally good machines.
     order: int = 0
-    #: The job that this machine is dedicated to; others stay off it.
+    #: The job that this machine is dedicated to; other jobs may not use it.
     dedicated_to: str | None = None
     #: Dedicated by a reservation (scheduling/reservations.py), which production work may ignore;
     #: otherwise by preemption.
     reserved: bool = False
 
     def fits(self, spec: Submission) -> bool:
-        """Return whether one more task may and can be booked."""
+        """Return whether the machine admits one more task and has room for it."""
         return (
             (self.dedicated_to is None or self.admits(spec))
             and spec.gpus <= self.gpus + EPSILON
@@ -92,13 +92,13 @@
         )
 
     def admits(self, spec: Submission) -> bool:
-        """Return whether a dedicated machine takes tasks of this job."""
+        """Return whether a dedicated machine accepts tasks of this job."""
         return self.dedicated_to == spec.job_id or (
             self.reserved and spec.priority is Priority.PRODUCTION
         )
 
     def task_slots(self, spec: Submission) -> int:
-        """Return how many tasks of this size fit, whatever the machine is dedicated to."""
+        """Return how many tasks of this size fit, regardless of any dedication."""
         return int(
             min(
                 free / requested
@@ -112,7 +112,7 @@
         )
 
     def book(self, spec: Submission) -> None:
-        """Take one task's amounts."""
+        """Subtract the resources of one task."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.memory_gb -= spec.memory_gb
@@ -122,7 +122,7 @@
             self.bound_tasks += 1
 
     def unbook(self, spec: Submission) -> None:
-        """Give one task's amounts back."""
+        """Add the resources of one task back; undoes ``book``."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory_gb
