--- a/micadeal/rollout/__init__.py
+++ b/micadeal/rollout/__init__.py
@@ -1,4 +1,4 @@
 """Feature levels: which versions may serve together, and how the level in force changes.
 
-Pure: no input or output.
+No I/O.
 """
--- a/micadeal/rollout/feature_level.py
+++ b/micadeal/rollout/feature_level.py
@@ -1,8 +1,8 @@
-"""Feature levels: what all controllers of a deployment write and do together.
+"""Feature levels: the record layouts and behaviours that all controllers of a deployment share.
 
-A level is a number that stands for layouts of records and for behaviours.  It is never renumbered
-or given another meaning.  Which one is in force is recorded (``LevelRecord``); a build says from
-which level to which it can read and serve.
+A level is a number that stands for record layouts and behaviours.  It is never renumbered or given
+another meaning.  The level in force is recorded (``LevelRecord``).  A build declares the range of
+levels that it can read and serve.
 """
 
 from __future__ import annotations
@@ -12,25 +12,27 @@
 
 from micadeal.wire.state import LevelRecord
 
-#: A record with a higher level is damaged.
+#: A level record with a higher number is damaged.
 MAX_LEVEL = 999
 
 
 class FeatureLevel(IntEnum):
     """All levels that this version knows."""
 
-    #: What the versions without levels write and do; in force where no record says otherwise.
+    #: The layouts and behaviours of versions without levels; in force if no level is recorded.
     FIRST = 0
-    #: ``leader`` is never deleted, so those versions can't be elected; finished sets are in small
-    #: chunks only, and placements in shared records only; followers may renew workers' leases.
+    #: ``leader`` is never deleted, so versions without levels can't be elected.  Finished sets are
+    #: stored only in small chunks, placements only in shared records.  Followers may renew workers'
+    #: leases.
     FENCED = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Build:
-    """What a program can read and serve.
+    """The range of levels that one build of the program can read and serve.
 
-    ``lowest`` is the oldest layout that it still reads, ``highest`` the latest level that it knows.
+    ``lowest`` is the level of the oldest layout that it still reads, ``highest`` the latest level
+    that it knows.
     """
 
     name: str
@@ -38,7 +40,7 @@
     highest: int = int(FeatureLevel.FENCED)
 
     def refusal(self, record: LevelRecord) -> str | None:
-        """Return why a process of this build may neither lead nor serve users; None: it may."""
+        """Return why a process of this build must neither lead nor serve users; None: it may."""
         if record.level > self.highest:
             return (
                 f"level {record.level} is in force, and build {self.name} knows levels up to "
--- a/micadeal/rollout/leader_lock.py
+++ b/micadeal/rollout/leader_lock.py
@@ -1,22 +1,23 @@
 """The leader lock, the feature level and the member records, and the transactions on them.
 
-All records but ``leader`` are under one prefix.  What is read of the two may be of different
-moments; every transaction depends on the versions that were read.
-
-- ``leader``: name and lease of the leader.  At level 0 it is attached to that lease, as the
-  versions without levels have it, and is deleted with it.  From level 1 on it is never deleted:
-  such a version campaigns only where the key does not exist, so it can't be elected any more.
-- ``seat/held``: from level 1 on, attached to the leader's lease: the lock is taken as long as it
+All records but ``leader`` share one prefix.  The prefix and ``leader`` are read one after the
+other, so they may show different moments.  Every transaction depends on the versions that were
+read.
+
+- ``leader``: name and lease of the leader.  At level 0 it is attached to that lease and deleted
+  with it, as in versions without levels.  From level 1 on it is never deleted.  Versions without
+  levels campaign only if the key does not exist, so they can no longer be elected.
+- ``seat/held``: from level 1 on, attached to the leader's lease.  The lock is taken while this key
   exists.
-- ``seat/level``: the level in force (``LevelRecord``); absent: 0.
+- ``seat/level``: the level in force (``LevelRecord``); if absent, level 0.
 - ``seat/member/<name>``: the current process of each controller.
-- ``seat/unconfirmed/<name>``: no part of the lock, but read with it, since all followers read this
-  prefix: the cancellations that a controller can't confirm alone.
+- ``seat/unconfirmed/<name>``: the cancellations that a controller can't confirm alone.  Not part of
+  the lock, but read with it, because all followers read this prefix.
 
-A term's token is the revision of the transaction that won it.  Every write of a leader depends on
-the version of ``leader``, its *fence*.  Each change of the level writes ``leader`` anew, so nothing
-that was sent before the change can be applied after it; the token stays, and is named in the
-record.
+A term's token is the revision of the transaction that won the election.  Every write of a leader
+depends on the version of ``leader``, its *fence*.  Each change of the level rewrites ``leader``, so
+nothing that was sent before the change can be applied after it.  The token stays the same; the
+rewritten record contains it.
 """
 
 from __future__ import annotations
@@ -46,22 +47,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderLock:
-    """All that is recorded of leader, level and members, as read at ``revision``."""
+    """The records of leader, level and members, as read at ``revision``."""
 
     revision: int
     leader: LeaderRecord | None = None
     holder: LockHolderRecord | None = None
     level: LevelRecord = field(default_factory=LevelRecord)
     members: Mapping[str, Process] = field(default_factory=dict)
-    #: Cancelled jobs that a controller can't confirm alone, by its name.
+    #: The cancelled jobs that a controller can't confirm alone, by the controller's name.
     unconfirmed: Mapping[str, Sequence[str]] = field(default_factory=dict)
     #: Versions of all keys, readable or not.
     versions: Mapping[str, int] = field(default_factory=dict)
-    #: Keys whose values can't be read, or are inconsistent.
+    #: Keys whose values are unreadable or inconsistent.
     damaged: tuple[str, ...] = ()
 
     def unchanged_condition(self, key: str) -> Condition:
-        """Return the condition that a key, damaged or not, still is as it was read."""
+        """Return the condition that a key, damaged or not, has not changed since it was read."""
         return Condition(key, self.versions.get(key, 0))
 
     @property
@@ -95,8 +96,8 @@
 def read(items: Iterable[Item], revision: int) -> LeaderLock:
     """Decode the records.
 
-    A damaged record is named in the result, not guessed at: no controller leads by a level that
-    can't be read.
+    Damaged records are listed in the result instead of raising an error.  No controller leads while
+    the record of the level or of the leader is among them.
     """
     versions: dict[str, int] = {}
     members: dict[str, Process] = {}
@@ -129,7 +130,7 @@
 def _decode_level(item: Item) -> LevelRecord:
     record = convert(LevelRecord, item.value)
     if not is_valid(record):
-        raise MessageFormatError("no such level")
+        raise MessageFormatError("the level record is inconsistent")
     return record
 
 
@@ -147,10 +148,10 @@
 def registration(
     leader_lock: LeaderLock, name: str, process: Process, started_at: float
 ) -> Transaction:
-    """Return the transaction that writes the member record of our process.
+    """Return the transaction that writes the member record of this process.
 
-    It depends on the previous record, so that a transaction of an earlier process that is applied
-    late can't undo it.
+    It depends on the previous record, so that a delayed transaction of an earlier process can't
+    overwrite it.
     """
     key = MEMBER + name
     build = process.build
@@ -172,8 +173,8 @@
 def acquisition(leader_lock: LeaderLock, name: str, lease: int) -> Transaction:
     """Return the transaction that takes the free lock.
 
-    It depends on the level and on our own member record, so that neither a raise of the level nor
-    a later process of ours can come in between.
+    It depends on the level and on the controller's own member record, so it fails if the level was
+    raised or a later process of the controller was registered since they were read.
     """
     conditions = [leader_lock.unchanged_condition(key) for key in (LEADER, LEVEL, MEMBER + name)]
     if not leader_lock.fenced:
@@ -195,7 +196,8 @@
 ) -> Transaction:
     """Return the transaction by which the leader of the term ``token`` changes the level.
 
-    ``depends_on`` names the controllers whose member records must be as they were read.
+    ``depends_on`` names the controllers whose member records must not have changed since they were
+    read.
     """
     members = (MEMBER + member for member in depends_on)
     conditions = [leader_lock.unchanged_condition(key) for key in (LEADER, LEVEL, *members)]
--- a/micadeal/rollout/membership.py
+++ b/micadeal/rollout/membership.py
@@ -1,7 +1,7 @@
-"""Which controllers are present, with which process and build, and since when.
+"""Presence of the controllers: their processes, their builds, and since when they have answered.
 
-Instants are monotonic time of the controller that observes.  What a peer says is dated by the
-question that it answers, so a response that the network delayed does not count as recent.
+Instants are monotonic time of the controller that observes.  An answer of a peer is dated by the
+time of the question, so a response that the network delayed does not count as recent.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 PRESENCE_TIMEOUT = seconds(2.5)
 #: Processes started within this time of each other count as equally old.
 SAME_AGE_TOLERANCE = seconds(8)
-#: A process that is older than this is no sign of a rollout in progress.
+#: A process older than this does not indicate a rollout in progress.
 ROLLOUT_WINDOW = seconds(300)
-#: How long a process that will probably be replaced soon leaves a free lock to others.
+#: How long a process that will probably be replaced soon leaves a free lock to its peers.
 ELECTION_DELAY = seconds(0.4)
 
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """One run of a controller's program; ``id`` is random."""
+    """One process of a controller; ``id`` is random."""
 
     id: str
     build: Build
@@ -36,19 +36,19 @@
     """How well a peer can be reached, best first; the values are shown to operators."""
 
     PRESENT = "present"
-    #: It has not answered us lately, but a peer that is present says that it answers there: the
-    #: network between us is partitioned, or it refuses our connections.
+    #: It has not answered this controller recently, but has answered a peer that is present: the
+    #: network between the two is partitioned, or it refuses this controller's connections.
     SEEN_BY_OTHERS = "seen by others only"
-    #: No controller that is present reaches it: it is down, stalled or cut off.
+    #: No controller that is present reaches it: it is down, stalled or partitioned.
     UNREACHABLE = "silent"
     UNSEEN = "never seen"
 
 
 @dataclass(frozen=True, slots=True)
 class PeerObservation:
-    """What we know of one other controller from its answers to our pings."""
+    """What this controller knows about one peer from its answers to pings."""
 
-    #: None: it never answered, or its version knows no levels.
+    #: Its current process; None: it never answered, or its version has no levels.
     process: Process | None = None
     #: When the first ping was sent that its current process has answered.
     first_asked_at: timedelta | None = None
@@ -56,11 +56,11 @@
     last_asked_at: timedelta | None = None
     #: The latest instant at which its current process can have started.
     started_at: timedelta | None = None
-    #: It had a response of the state service no longer ago than this.
+    #: Upper bound of the time since it last had a response of the state service; None: unknown.
     state_age: timedelta | None = None
     #: The controllers that it reaches.
     reaches: frozenset[str] = frozenset()
-    #: How often its process was found to be a different one.
+    #: How often its process has changed between two answers.
     restarts: int = 0
 
     def with_answer(
@@ -74,7 +74,7 @@
     ) -> PeerObservation:
         """Return the observation after the answer to a ping that was sent at ``asked_at``.
 
-        ``age`` is that of the process, None if its version does not tell it.
+        ``age`` is the age of the process; None if its version does not report it.
         """
         if self.last_asked_at is not None and asked_at < self.last_asked_at:
             return self
@@ -91,18 +91,18 @@
         )
 
     def present(self, now: timedelta) -> bool:
-        """Return whether the peer answered a recent ping of ours."""
+        """Return whether the peer has answered a recent ping."""
         return self.last_asked_at is not None and now - self.last_asked_at < PRESENCE_TIMEOUT
 
     def present_for(self, now: timedelta) -> timedelta:
-        """Return for how long the current process has answered; zero if it does not now."""
+        """Return for how long the current process has answered; zero if the peer is not present."""
         if self.first_asked_at is None or self.last_asked_at is None or not self.present(now):
             return timedelta(0)
         return self.last_asked_at - self.first_asked_at
 
 
 def presence(name: str, observations: Mapping[str, PeerObservation], now: timedelta) -> Presence:
-    """Return the presence of controller ``name``, also by what the other peers reach."""
+    """Return the presence of controller ``name``, including what the other peers reach."""
     observation = observations[name]
     if observation.present(now):
         return Presence.PRESENT
@@ -119,12 +119,12 @@
     max_state_age: timedelta,
     now: timedelta,
 ) -> timedelta:
-    """Return how long to leave a free lock to others before campaigning for it.
+    """Return how long to leave a free lock to the peers before campaigning for it.
 
-    Guards against needless elections in a rollout: a process that was not replaced yet, while
-    others were a moment ago, will be ended again soon.  This is an optimization only: if none of
-    the others campaigns, only this delay is lost.  ``started_at`` is that of our own process.
-    Peers without a response of the state service for ``max_state_age`` don't count.
+    Guards against needless elections in a rollout: if peers were replaced a moment ago and this
+    process was not, it will be stopped soon.  This is only an optimization: if no peer campaigns,
+    just the delay is lost.  ``started_at`` is the start of this process.  Peers that had no
+    response of the state service for ``max_state_age`` are ignored.
     """
     for observation in observations:
         peer = observation.process
--- a/micadeal/rollout/migration.py
+++ b/micadeal/rollout/migration.py
@@ -1,4 +1,4 @@
-"""The next step of the feature level, decided by the leader from peers and stored records."""
+"""The next change of the feature level, decided by the leader from peers and stored records."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from micadeal.schema.keys import MEMBER
 from micadeal.wire.state import LevelRecord
 
-#: All controllers must have been present with one process for so long before the level is raised:
-#: a process that crashes right after its start would only come back.
+#: Before the level is raised, each controller must have been present for this long with the same
+#: process.  A process that crashes right after its start would only be restarted and crash again.
 MIN_PRESENCE = seconds(2)
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationBacklog:
-    """Records that the leader knows of in layouts other than the one that it writes."""
+    """Numbers of records, known to the leader, in layouts other than the one that it writes."""
 
     older: int = 0
     newer: int = 0
-    #: Of the newer ones, those that can't be written back within the service's limits.
+    #: The newer records that can't be written back within the state service's limits.
     stuck: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The next step of the level, and what further steps wait for."""
+    """The next change of the level, and what further changes wait for."""
 
-    #: The record to be written now; None: nothing can be done yet, or nothing is to be done.
+    #: The level record to write now; None: no change is possible yet, or none is needed.
     next_record: LevelRecord | None = None
-    #: The step needs the agreement of every controller by its member record.
+    #: The level is raised, which every controller must agree to by its member record.
     is_raise: bool = False
-    #: What is waited for, as shown to operators.
+    #: The conditions that are waited for, as shown to operators.
     waits: tuple[str, ...] = ()
 
 
@@ -49,10 +49,10 @@
     migration_backlog: MigrationBacklog,
     now: timedelta,
 ) -> Plan:
-    """Return the next step from the level ``record`` that is in force.
+    """Return the next change of the level ``record`` that is in force.
 
-    ``observations`` has an entry for every other controller that the settings name.  ``ceiling`` is
-    the highest level that the operators allow, None: any.
+    ``observations`` has an entry for every peer that the settings name.  ``ceiling`` is the highest
+    level that the operators allow; None: any.
     """
     highest = own.build.highest if ceiling is None else min(own.build.highest, ceiling)
     if highest < record.writes:
@@ -62,7 +62,7 @@
         raising = _plan_raise(record, observations, highest, now)
         if raising.next_record is not None:
             return raising
-        # A migration at the level in force goes on meanwhile.
+        # Meanwhile the migration at the level in force continues.
         waits = raising.waits
     if record.level > record.writes:
         return _plan_write_back(record, migration_backlog, waits)
@@ -85,7 +85,7 @@
     highest: int,
     now: timedelta,
 ) -> Plan:
-    """Plan a raise to the highest level that all controllers know, several at once if they do."""
+    """Plan a raise to the highest level that all controllers know; it may skip levels."""
     waits: list[str] = []
     target = highest
     for name, observation in observations.items():
@@ -110,11 +110,11 @@
     observations: Mapping[str, PeerObservation],
     now: timedelta,
 ) -> str | None:
-    """Return why the level can't be raised beyond ``record`` because of one peer, if so."""
+    """Return why one peer prevents a raise of the level beyond ``record``; None: it does not."""
     observation = observations[name]
-    found = presence(name, observations, now)
-    if found is not Presence.PRESENT:
-        return f"{name} is {found.value}"
+    peer_presence = presence(name, observations, now)
+    if peer_presence is not Presence.PRESENT:
+        return f"{name} is {peer_presence.value}"
     if observation.process is None:
         return f"{name} is of a version that knows of no levels"
     build = observation.process.build
@@ -131,7 +131,7 @@
     observations: Mapping[str, PeerObservation],
     highest: int,
 ) -> Plan:
-    """Plan the first step down: stop writing at the level that is left; all still read it."""
+    """Plan the first step down: stop writing at the higher level, which all still read."""
     processes = [("this leader", own)]
     for name, observation in observations.items():
         if observation.process is not None:
@@ -150,7 +150,7 @@
 def _plan_write_back(
     record: LevelRecord, migration_backlog: MigrationBacklog, waits: tuple[str, ...]
 ) -> Plan:
-    """Plan the last step down, once no record of the level that is left is stored."""
+    """Plan the last step down, once no record of the higher level is stored any more."""
     if not migration_backlog.newer:
         return Plan(_with(record, level=record.writes))
     if migration_backlog.stuck:
@@ -170,20 +170,20 @@
     own: Process,
     observations: Mapping[str, PeerObservation],
 ) -> Sequence[str]:
-    """Return the objections of the member records to a raise.
+    """Return the objections to a planned raise that follow from the member records.
 
-    If there are none, the raise may be tried, on condition that the records are unchanged.
+    If there are none, the raise may be written, on condition that the records are unchanged.
 
-    Guards against a level that some controller can't read: the process that was observed must be
-    the one that is recorded, so a process started since then makes the transaction fail.
+    Guards against a level that some controller can't read: the observed process must be the
+    recorded one, so a process that starts later makes the transaction fail.
     """
     assert planned.next_record is not None
     objections: list[str] = []
-    observed = {
+    processes = {
         name: own,
         **{peer: observation.process for peer, observation in observations.items()},
     }
-    for controller, process in observed.items():
+    for controller, process in processes.items():
         member = leader_lock.members.get(controller)
         key = MEMBER + controller
         if key in leader_lock.damaged:
