--- a/micadeal/sharing/order.py
+++ b/micadeal/sharing/order.py
@@ -13,12 +13,12 @@
 }
 
 
-def team_key(used: float, minimum: float, weight: float) -> tuple[int, float]:
-    """Return the sort key of a team; the smallest gets the next free slot.
+def team_key(used: float, guarantee: float, weight: float) -> tuple[int, float]:
+    """Return the sort key of a team; the team with the smallest key is served next.
 
-    Teams below their minimum come first, the one furthest below it as a fraction of it foremost;
-    the others follow by usage per weight.
+    Teams below their guarantee (the minimum share of the design) come first, ordered by usage as a
+    fraction of it.  The others follow, ordered by usage per weight.
     """
-    if used < minimum:
-        return (0, used / minimum)
+    if used < guarantee:
+        return (0, used / guarantee)
     return (1, used / weight)
--- a/micadeal/sharing/shares.py
+++ b/micadeal/sharing/shares.py
@@ -5,43 +5,44 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-#: Halvings of the search interval, as in the design: the bits of precision wanted.
+#: Halvings of the search interval, as in the design; each adds one bit of precision.
 ITERATIONS = 25
 
-#: What a team books: (cores, accelerators).
+#: The amounts that a team books: (cores, accelerators).
 Amounts = tuple[float, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What one team brings to the division, in booked units of one resource."""
+    """The claim of one team to a resource, in booked units."""
 
     demand: float
     weight: float
-    minimum: float
+    guarantee: float
 
 
 def fair_shares(claims: Sequence[Claim], total: float) -> list[float]:
     """Return each claim's share of ``total``, in the order of the claims.
 
-    A share is ``min(demand, max(r * weight, minimum))`` with the r that uses up ``total``.
-    Minimums count only as far as they are demanded: an inactive team reserves nothing (section
-    3.2).  If they add up to more than ``total``, they scale down proportionally.
+    A share is ``min(demand, max(r * weight, guarantee))`` with the r that uses up ``total``.
+    A guarantee (the minimum share of the design) counts only up to the demand: an inactive team
+    reserves nothing (section 3.2).  If the guarantees add up to more than ``total``, they are
+    scaled down proportionally.
     """
-    minimums = [min(claim.minimum, claim.demand) for claim in claims]
-    minimum_sum = sum(minimums)
-    if minimum_sum > total:
-        return [total * minimum / minimum_sum for minimum in minimums]
+    guarantees = [min(claim.guarantee, claim.demand) for claim in claims]
+    guarantee_sum = sum(guarantees)
+    if guarantee_sum > total:
+        return [total * guarantee / guarantee_sum for guarantee in guarantees]
     if sum(claim.demand for claim in claims) <= total:
         return [claim.demand for claim in claims]
     ratio = _find_ratio(claims, total)
-    return [min(c.demand, max(ratio * c.weight, c.minimum)) for c in claims]
+    return [min(c.demand, max(ratio * c.weight, c.guarantee)) for c in claims]
 
 
 def _find_ratio(claims: Sequence[Claim], total: float) -> float:
     """Return the ratio of share to weight at which the claims use ``total``."""
     low, high = 0.0, 1.0
-    # Ends only if some weight is positive, which the settings guarantee.
+    # Terminates only if some weight is positive, which the settings ensure.
     while _used(claims, high) < total:
         high *= 2
     for _ in range(ITERATIONS):
@@ -54,9 +55,9 @@
 
 
 def _used(claims: Sequence[Claim], ratio: float) -> float:
-    return sum(min(c.demand, max(ratio * c.weight, c.minimum)) for c in claims)
+    return sum(min(c.demand, max(ratio * c.weight, c.guarantee)) for c in claims)
 
 
 def booked(amounts: Amounts, resource: str) -> float:
-    """Return what a team books of one resource."""
+    """Return the booked amount of one resource."""
     return amounts[1] if resource == "gpus" else amounts[0]
--- a/micadeal/sharing/starvation.py
+++ b/micadeal/sharing/starvation.py
@@ -1,4 +1,4 @@
-"""How long a team has been below its minimum or half its fair share (design, section 4.5)."""
+"""How long a team has been below its guarantee or half its fair share (design, section 4.5)."""
 
 from __future__ import annotations
 
@@ -6,52 +6,53 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-#: Amounts are sums of floats; shares come out of a search of 25 halvings.
+#: Tolerance for comparing amounts, which are sums of floats, and shares, which are the results of a
+#: search with 25 halvings.
 TOLERANCE = 1e-3
 
 
 class TeamUsage(NamedTuple):
-    """What a team uses and is entitled to, in booked units of one resource."""
+    """The usage and the entitlement of a team, in booked units of one resource."""
 
     used: float
     demand: float
-    minimum: float
+    guarantee: float
     share: float
 
 
 @dataclass(slots=True)
 class StarvationTimer:
-    """When a team last had its minimum, and half its fair share.
+    """When a team last had its guarantee, and when it last had half its fair share.
 
-    Demand below the one or the other counts as met.
+    A team that demands less than either of them has it once its demand is met.
     """
 
-    minimum_met: timedelta
-    half_share_met: timedelta
+    guarantee_met_at: timedelta
+    half_share_met_at: timedelta
 
     def update(self, now: timedelta, team: TeamUsage) -> None:
-        """Restart the timers of what is met now."""
-        if team.used + TOLERANCE >= min(team.minimum, team.demand):
-            self.minimum_met = now
+        """Restart the timers of the amounts that the team has now."""
+        if team.used + TOLERANCE >= min(team.guarantee, team.demand):
+            self.guarantee_met_at = now
         if team.used + TOLERANCE >= min(team.share / 2, team.demand):
-            self.half_share_met = now
+            self.half_share_met_at = now
 
     def starved_amount(
         self,
         now: timedelta,
         team: TeamUsage,
-        minimum_timeout: timedelta,
+        guarantee_timeout: timedelta,
         share_timeout: timedelta,
     ) -> tuple[float, bool]:
-        """Return what may be preempted now, and whether the team's minimum is what it lacks.
+        """Return the amount that may be preempted now, and whether it is for the guarantee.
 
-        The amount is the larger one of what the two timers allow, as in the design.
+        The amount is the larger one of those that the two timers allow, as in the design.
         """
-        for_minimum = for_share = 0.0
-        if now - self.minimum_met >= minimum_timeout:
-            for_minimum = max(0.0, min(team.minimum, team.demand) - team.used)
-        if now - self.half_share_met >= share_timeout:
+        for_guarantee = for_share = 0.0
+        if now - self.guarantee_met_at >= guarantee_timeout:
+            for_guarantee = max(0.0, min(team.guarantee, team.demand) - team.used)
+        if now - self.half_share_met_at >= share_timeout:
             for_share = max(0.0, min(team.share, team.demand) - team.used)
-        if for_share > for_minimum:
+        if for_share > for_guarantee:
             return for_share, False
-        return for_minimum, for_minimum > 0
+        return for_guarantee, for_guarantee > 0
--- a/micadeal/sharing/victims.py
+++ b/micadeal/sharing/victims.py
@@ -1,4 +1,4 @@
-"""Choice of victims for a starved task: the newest, gangs whole, no more than needed."""
+"""Choice of preemption victims for a starved task: newest first, whole gangs, only as needed."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from micadeal.placement.machine_capacity import EPSILON, MachineCapacity, fits_into
 from micadeal.wire.users import Submission
 
-#: Victims that started within so many seconds of each other count as equally new.
+#: Start times of victims are compared in steps of this many seconds.
 START_RESOLUTION_S = 10
 
 
 class FreedAmounts(NamedTuple):
-    """What one machine gets back when a victim ends."""
+    """The resources that a victim frees on one machine when it ends."""
 
     machine: str
     cpus: float
@@ -25,21 +25,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Victim:
-    """What is preempted as one: a single task, or all tasks of a gang."""
+    """A unit of preemption: a single task, or all tasks of a gang."""
 
     job_id: str
     team: str
     #: 0 production ... 3 low.
     rank: int
-    started: timedelta
+    started_at: timedelta
     #: One entry for each task that ends.
     freed: tuple[FreedAmounts, ...]
-    #: Booked units that its team loses.
+    #: The booked units that its team loses.
     units: float
     #: Index of the task; None: a whole gang.
     index: int | None = None
     #: Whether its progress is saved when it is stopped.
-    saves: bool = True
+    saves_progress: bool = True
 
 
 def may_preempt(
@@ -51,9 +51,9 @@
 ) -> bool:
     """Return whether the rules allow this victim.
 
-    PROTOCOL, "Preemption", and the design: another team loses only what it has beyond its minimum
+    PROTOCOL, "Preemption", and the design: another team loses only what it has beyond its guarantee
     (``surplus``, in booked units by team).  ``for_guarantee``: the preemptor's team is below its
-    own minimum.
+    own guarantee.
     """
     if victim.team == preemptor_team:
         return victim.rank > preemptor_rank
@@ -70,9 +70,9 @@
 ) -> list[Victim]:
     """Return victims on one machine whose end frees enough for one task; empty if there are none.
 
-    ``capacities`` are those that the task may use, ``permitted`` the ids of victims that the rules
-    allow.  Among machines, the one whose oldest victim is the newest is taken, and among equally
-    new ones the one where less work is lost.
+    ``capacities`` are the machines that the task may use, ``permitted`` the ids of the victims that
+    the rules allow.  The machine is chosen whose oldest victim is the newest.  Between equally new
+    ones, the machine is chosen where fewer tasks lose their progress, then where fewer tasks end.
     """
     best: list[Victim] = []
     best_key: tuple[float, ...] = ()
@@ -81,10 +81,10 @@
         chosen = _newest_that_free_enough(spec, capacity, candidates)
         if not chosen:
             continue
-        oldest = min(victim.started for victim in chosen)
-        lost = sum(len(v.freed) for v in chosen if not v.saves)
-        stopped = sum(len(v.freed) for v in chosen)
-        key = (oldest.total_seconds() // START_RESOLUTION_S, -lost, -stopped)
+        oldest = min(victim.started_at for victim in chosen)
+        lost_tasks = sum(len(v.freed) for v in chosen if not v.saves_progress)
+        stopped_tasks = sum(len(v.freed) for v in chosen)
+        key = (oldest.total_seconds() // START_RESOLUTION_S, -lost_tasks, -stopped_tasks)
         if not best or key > best_key:
             best, best_key = chosen, key
     return best
@@ -93,10 +93,10 @@
 def _newest_that_free_enough(
     spec: Submission, capacity: MachineCapacity, candidates: list[Victim]
 ) -> list[Victim]:
-    """Return as few of the newest candidates as free enough on this machine; empty if none do."""
+    """Return the newest candidates, as few as free enough on this machine; empty if none do."""
     cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
     chosen: list[Victim] = []
-    for victim in sorted(candidates, key=lambda v: v.started, reverse=True):
+    for victim in sorted(candidates, key=lambda v: v.started_at, reverse=True):
         if fits_into(spec, cpus, gpus, memory_gb):
             break
         for freed in victim.freed:
