--- a/micadeal/zones/__init__.py
+++ b/micadeal/zones/__init__.py
@@ -1,4 +1,4 @@
 """The health of each zone: healthy, suspected, partitioned, failed or recovering.
 
-Pure: no input or output.
+No I/O.
 """
--- a/micadeal/zones/zone_health.py
+++ b/micadeal/zones/zone_health.py
@@ -1,9 +1,9 @@
-"""The state of each zone, from what a leader can observe of it.
+"""The state of each zone, derived from what a leader can observe of it.
 
-No single signal tells a zone that is partitioned from many machines that died in it.  Missing
-heartbeats of the workers come first; the presence of the zone's controller tells the two apart; and
-only the cloud's confirmation that machines have ended, or time, makes a failure certain.  Instants
-are monotonic time of the leader.
+No single signal distinguishes a partitioned zone from a zone in which many machines have failed.
+Missing heartbeats of the workers come first.  The presence of the zone's controller distinguishes
+the two cases.  Only the cloud's confirmation that machines have ended, or time, makes a failure
+certain.  Instants are monotonic time of the leader.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from micadeal.clock import ZERO, seconds
 from micadeal.rollout.membership import Presence
 
-#: Nothing is concluded from fewer machines: one or two become unreachable on their own.
+#: No conclusion is drawn from fewer machines: one or two may fail independently of their zone.
 MIN_MACHINES = 3
 #: Shares of unreachable machines: above the first a zone is suspected; from the second on the
-#: suspicion is decided; below the third the zone recovers.  They are apart, so that a share near
-#: one of them does not make the state flap.
+#: suspicion is decided; below the third the zone recovers.  The gaps between them prevent flapping
+#: when the share is near one of them.
 SUSPECT_SHARE = 0.5
 DECIDE_SHARE = 0.8
 RECOVER_SHARE = 0.2
-#: A suspicion is decided no sooner: heartbeats of half a zone may be late together.
+#: Shortest time until a suspicion is decided: the heartbeats of half a zone may be late together.
 MIN_SUSPICION = seconds(2)
-#: How long a zone that came back is watched before it counts as healthy again; twice as long for
-#: each time that it failed within ``FLAP_WINDOW``, up to ``MAX_PROBATION``.
+#: How long a recovering zone is observed before it counts as healthy.  The time doubles with each
+#: further failure within ``FLAP_WINDOW``, up to ``MAX_PROBATION``.
 PROBATION = seconds(10)
 MAX_PROBATION = seconds(120)
 FLAP_WINDOW = seconds(300)
-#: Limits the exponent of the probation; far beyond what ``MAX_PROBATION`` allows.
+#: Limits the exponent of the probation; ``MAX_PROBATION`` is reached long before.
 MAX_DOUBLINGS = 10
 
 
@@ -45,7 +45,7 @@
 
 
 class Cause(Enum):
-    """What the signals fit best; the values are shown to operators."""
+    """The most likely cause of the signals; the values are shown to operators."""
 
     NONE = ""
     ZONE_UNREACHABLE = "its machines and its controller are silent to all"
@@ -63,17 +63,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSignals:
-    """What the leader observes of one zone, at one instant."""
+    """The leader's observations of one zone at one instant."""
 
     #: Machines that sent a heartbeat, or are recorded with tasks, and are not returned.
     machines: int
-    #: Of these, not heard of for longer than heartbeats take.
+    #: Of these, the machines without a recent heartbeat.
     unreachable: int
-    #: The zone's controller as seen by the leader; None: there is none, or it is the leader.
+    #: Presence of the zone's controller; None: there is none, or it is the leader.
     controller: Presence | None
-    #: It is the leader's own zone.
+    #: Whether it is the leader's own zone.
     own: bool = False
-    #: Machines that were returned and that the cloud has ended, or whose leases have expired.
+    #: Of these, the machines whose leases the leader has treated as expired.
     ended: int = 0
 
     @property
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Zone:
-    """The state of one zone and how it came to be."""
+    """The state of one zone, and its previous failures."""
 
     name: str
     state: ZoneState = ZoneState.HEALTHY
@@ -98,16 +98,16 @@
 
     @property
     def probation(self) -> timedelta:
-        """How long it is watched once it is back."""
+        """How long the zone is observed after it has recovered."""
         doublings = min(max(self.failures - 1, 0), MAX_DOUBLINGS)
         factor: int = 2**doublings
         return min(PROBATION * factor, MAX_PROBATION)
 
 
-def cause_of(signals: ZoneSignals, others_unreachable: bool) -> Cause:
-    """Return what the signals of a zone fit best.
+def likely_cause(signals: ZoneSignals, others_unreachable: bool) -> Cause:
+    """Return the most likely cause of the signals of a zone.
 
-    ``others_unreachable``: all that is outside the leader's own zone is unreachable from it.
+    ``others_unreachable``: the leader reaches nothing outside its own zone.
     """
     if others_unreachable and not signals.own:
         return Cause.OWN_ZONE_CUT_OFF
@@ -120,8 +120,8 @@
 
 
 def observe(zone: Zone, signals: ZoneSignals, others_unreachable: bool, now: timedelta) -> Zone:
-    """Return the zone after these signals; ``others_unreachable`` as in ``cause_of``."""
-    cause = cause_of(signals, others_unreachable)
+    """Return the zone after these signals; ``others_unreachable`` as in ``likely_cause``."""
+    cause = likely_cause(signals, others_unreachable)
     if (
         zone.failed_at is not None
         and now - zone.failed_at > FLAP_WINDOW
@@ -131,21 +131,23 @@
     state = _next_state(zone, signals, cause, now)
     if state is zone.state:
         return replace(zone, signals=signals, cause=cause)
-    # A zone that goes again while it is still on probation has failed once more.
-    fails = state in (ZoneState.PARTITIONED, ZoneState.FAILED) and zone.state is ZoneState.SUSPECTED
+    # A zone that fails again during its probation counts as having failed once more.
+    is_new_failure = (
+        state in (ZoneState.PARTITIONED, ZoneState.FAILED) and zone.state is ZoneState.SUSPECTED
+    )
     return replace(
         zone,
         state=state,
         cause=cause,
         since=now,
         signals=signals,
-        failures=zone.failures + fails,
-        failed_at=now if fails else zone.failed_at,
+        failures=zone.failures + is_new_failure,
+        failed_at=now if is_new_failure else zone.failed_at,
     )
 
 
 def _next_state(zone: Zone, signals: ZoneSignals, cause: Cause, now: timedelta) -> ZoneState:
-    """Return the state that follows; the current one if the signals change nothing."""
+    """Return the next state, which is the current one if the signals change nothing."""
     match zone.state:
         case ZoneState.HEALTHY | ZoneState.RECOVERING:
             return _after_reachable(zone, signals, now)
@@ -165,7 +167,7 @@
 
 def _after_suspicion(zone: Zone, signals: ZoneSignals, cause: Cause, now: timedelta) -> ZoneState:
     if signals.unreachable_share < RECOVER_SHARE:
-        # If it never failed, it has nothing to recover from.
+        # A zone that has not failed needs no probation.
         return ZoneState.HEALTHY if zone.failed_at is None else ZoneState.RECOVERING
     can_decide = (
         signals.machines >= MIN_MACHINES
--- a/micadeal/zones/zone_monitor.py
+++ b/micadeal/zones/zone_monitor.py
@@ -16,14 +16,14 @@
 
 CHECK_INTERVAL = seconds(0.5)
 
-#: A check that is late by more means that this process was stalled: it proves nothing that no
-#: heartbeat was received meanwhile.
+#: A check that is later than this means that this process was stalled.  Missing heartbeats prove
+#: nothing then.
 MAX_CHECK_DELAY = seconds(2)
 
 
 @dataclass(slots=True)
 class _MachineCounts:
-    """The machines of one zone by what is known of them; see ``ZoneSignals``."""
+    """Numbers of machines in one zone; ``ZoneSignals`` explains them."""
 
     machines: int = 0
     unreachable: int = 0
@@ -31,40 +31,41 @@
 
 
 class ZoneMonitor:
-    """Owns the leader's knowledge of zones for one term; no I/O."""
+    """Tracks the state of all zones for one term of a leader; no I/O."""
 
-    def __init__(self, names: Iterable[str], own: str, began: timedelta) -> None:
+    def __init__(self, names: Iterable[str], own: str, term_started_at: timedelta) -> None:
         """Start with all zones healthy.
 
-        ``own`` is the leader's zone, ``began`` the start of its term.
+        ``own`` is the leader's zone.
         """
-        self._zones = {name: Zone(name, since=began) for name in names}
+        self._zones = {name: Zone(name, since=term_started_at) for name in names}
         self._own = own
-        #: Machines count as heard of then, though nothing was received before.
-        self._observing_since = began
-        self._due = began
+        #: Start of the observation.  Each machine counts as reachable at this instant.
+        self._observing_since = term_started_at
+        self._next_check_at = term_started_at
 
     def due(self, now: timedelta) -> bool:
         """Return whether it is time for the next check."""
-        return now >= self._due
+        return now >= self._next_check_at
 
     def observe(
         self,
         machines: Iterable[Machine],
         controllers: Mapping[str, Presence],
-        silence: timedelta,
+        heartbeat_timeout: timedelta,
         now: timedelta,
     ) -> None:
         """Check all zones.
 
-        ``controllers`` has, by zone, the presence of the best reachable controller in it, without
-        the leader.  A machine that was not heard of for longer than ``silence`` is unreachable.
+        ``controllers`` maps a zone to the presence of the best reachable controller in it other
+        than the leader.  A machine without a heartbeat for longer than ``heartbeat_timeout`` is
+        unreachable.
         """
-        if now - self._due > MAX_CHECK_DELAY:
-            # Guards against zones that are suspected because we were stalled ourselves.
+        if now - self._next_check_at > MAX_CHECK_DELAY:
+            # Guards against zones that are suspected only because this process was stalled.
             self._observing_since = now
-        self._due = now + CHECK_INTERVAL
-        signals = self._signals(machines, controllers, silence, now)
+        self._next_check_at = now + CHECK_INTERVAL
+        signals = self._signals(machines, controllers, heartbeat_timeout, now)
         others_unreachable = self._others_unreachable(signals, controllers)
         for name, zone in self._zones.items():
             observed = observe(zone, signals[name], others_unreachable, now)
@@ -82,23 +83,23 @@
     def _others_unreachable(
         self, signals: Mapping[str, ZoneSignals], controllers: Mapping[str, Presence]
     ) -> bool:
-        """Return whether nothing outside our own zone can be reached.
+        """Return whether the leader reaches nothing outside its own zone.
 
-        If there are no machines outside, as in a small fleet, that proves nothing.
+        False if there are no machines outside it, as in a small fleet: that proves nothing.
         """
         outside = [zone_signals for name, zone_signals in signals.items() if name != self._own]
         has_machines = any(zone_signals.machines for zone_signals in outside)
-        any_machine = any(
+        reaches_machine = any(
             zone_signals.machines > zone_signals.unreachable for zone_signals in outside
         )
-        any_controller = any(presence is Presence.PRESENT for presence in controllers.values())
-        return has_machines and not any_machine and not any_controller
+        reaches_controller = any(presence is Presence.PRESENT for presence in controllers.values())
+        return has_machines and not reaches_machine and not reaches_controller
 
     def _signals(
         self,
         machines: Iterable[Machine],
         controllers: Mapping[str, Presence],
-        silence: timedelta,
+        heartbeat_timeout: timedelta,
         now: timedelta,
     ) -> dict[str, ZoneSignals]:
         counts = {name: _MachineCounts() for name in self._zones}
@@ -108,9 +109,9 @@
                 continue
             if not machine.up and not machine.attempts:
                 continue
-            heard_at = max(machine.heard or self._observing_since, self._observing_since)
+            last_heartbeat_at = max(machine.heard or self._observing_since, self._observing_since)
             count.machines += 1
-            count.unreachable += now - heard_at > silence
+            count.unreachable += now - last_heartbeat_at > heartbeat_timeout
             count.ended += machine.lease_expired
         return {
             name: ZoneSignals(
@@ -124,7 +125,7 @@
         }
 
     def notes(self, now: timedelta) -> list[str]:
-        """Return a line for the overview for each zone that is not healthy."""
+        """Return one line for the overview for each zone that is not healthy."""
         return [
             f"zone {zone.name} {_describe(zone)}, for {(now - zone.since).total_seconds():.0f} s"
             for zone in self._zones.values()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -15,7 +15,7 @@
     Zone,
     ZoneSignals,
     ZoneState,
-    cause_of,
+    likely_cause,
     observe,
 )
 from tests.fakes.deployment_settings import ZONES
@@ -49,7 +49,7 @@
 def test_cause_follows_from_signals(
     signals: ZoneSignals, others_unreachable: bool, cause: Cause
 ) -> None:
-    assert cause_of(signals, others_unreachable) is cause
+    assert likely_cause(signals, others_unreachable) is cause
 
 
 def test_zone_is_partitioned_after_suspicion_and_recovers_on_probation() -> None:
