--- a/micadeal/leadership/follower_leases.py
+++ b/micadeal/leadership/follower_leases.py
@@ -85,7 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalState:
-    """The controller's own state.  The process started at ``started_at`` with none of it."""
+    """The state of a controller itself, which is lost in a restart.
+
+    ``started_at`` is the start of its process.
+    """
 
     started_at: timedelta
     #: The highest token of a leader that contacted this controller, and when it last did.
--- a/micadeal/placement/bin_packing.py
+++ b/micadeal/placement/bin_packing.py
@@ -60,7 +60,7 @@
     on_demand = 0 if capacity.spot or not spec.spot_allowed else 1
     stage = 2 if capacity.planned else 0 if capacity.up else 1
     # A service pays for the idle rest of its machine until it is cancelled.  So sharing a machine
-    # matters more than finding the image cached.
+    # with other services matters more than finding the image cached.
     unshared = 1 if spec.shape is Shape.SERVICE and not capacity.bound_tasks else 0
     strands_accelerators = 1 if not spec.gpus and capacity.gpus > EPSILON else 0
     return (
--- a/tests/test_follower_lease_messages.py
+++ b/tests/test_follower_lease_messages.py
@@ -1,4 +1,4 @@
-"""Renewal of leases by followers: invalid messages, lost knowledge, the model of its rules."""
+"""Renewal of leases by followers: invalid messages, lost cancellations, the model of its rules."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     assert [r.message for r in caplog.records] == [
         "ping of a past term refused: controller=c2 token=4"
     ]
-    # It does not make us abstain: only the leader of the current term does.
+    # The pings of the past term start no renewal promise, so the controller may vote.
     ping = peers.Ping("c1", wants_consent=9, wants_cancellations=True)
     assert follower_leases.promise(ping, False, False, seconds(110)).consent == 9
     for unknown in (4, -1):
@@ -67,8 +67,8 @@
 def test_cancellation_is_kept_if_leader_mailbox_is_full(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``: it is on the leader's list, so no peer would report it again, and
-    the leader would go on answering as if it knew every cancellation."""
+    """Guards ``ran_cancelled``: the cancellation is on the controller's list, so no peer reports it
+    again, and the leader would continue to answer workers as if it knew every cancellation."""
 
     async def scenario(world: World) -> None:
         await curio.sleep(3)
@@ -126,9 +126,9 @@
 
 def test_model_has_no_execution_that_breaks_a_rule() -> None:
     for reading in (False, True):
-        found = explore(reading=reading)
-        assert (found.rule, found.complete) == ("", True)
-        assert found.states > 20_000
+        result = explore(reading=reading)
+        assert (result.rule, result.complete) == ("", True)
+        assert result.states > 20_000
 
 
 @pytest.mark.parametrize("name", [name for name, guard in GUARDS.items() if not guard.large])
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -10,7 +10,7 @@
 
 
 async def _start_service(world: World, tasks: int = 3) -> str:
-    """Start a service of some tasks, spread over zones, and wait until nothing changes any more."""
+    """Start a service spread over zones, and wait until followers may renew its leases."""
     service = await world.run_job("daemon", tasks, scatter=True, rank="production")
     await world.wait_until(lambda: world.running(service) == tasks)
     await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
@@ -51,8 +51,8 @@
 def test_tasks_survive_until_last_controller_with_token_crashes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The last one that was told the token crashes last: no task is lost before.  After that no
-    controller knows the token, and the tasks end with their leases; none is started twice."""
+    """No task is lost while a controller that knows the token is up.  After the last of these has
+    crashed, the tasks end with their leases; none is started twice."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -83,8 +83,8 @@
 def test_tasks_of_partitioned_zone_are_restarted_elsewhere(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_twice``: the zone's controller reaches no leader, state service or peer and does
-    not renew leases alone; the tasks are started elsewhere once their leases have expired."""
+    """Guards ``ran_twice``: the zone's controller reaches neither leader, state service nor peers,
+    so it does not renew leases.  The tasks are started elsewhere after their leases expired."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -110,7 +110,7 @@
     monkeypatch: pytest.MonkeyPatch, reaches_state: bool
 ) -> None:
     """Guards ``ran_twice``: some workers reach the leader, others only the two followers, which
-    renew their leases.  The leader may reach the state service all the time."""
+    renew their leases.  In one case the leader reaches the state service throughout."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -138,8 +138,8 @@
 def test_followers_enforce_cancellation_from_before_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled`` (checked by the world): the leader, which confirmed it, crashes
-    right after, and could not reach the machines.  Only one of the followers has the notice."""
+    """Guards ``ran_cancelled`` (checked by the world): the leader confirms a cancellation without
+    reaching the machines, then crashes.  Only one of the followers has received its notice."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -165,8 +165,8 @@
 def test_cancellation_unknown_to_peers_is_not_confirmed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It is recorded and its tasks are stopped at once.  A leader confirms it to the user when no
-    task is left, a follower when the peers can learn of it."""
+    """It is recorded and its tasks are stopped immediately.  A leader confirms it to the user when
+    no task is left, a follower when the peers can learn of it."""
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
@@ -193,7 +193,7 @@
 def test_outage_ends_during_partition_between_controllers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Transactions and heartbeats sent before arrive when the partition heals."""
+    """Transactions and heartbeats from before the outage arrive when the partition heals."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -223,7 +223,7 @@
 def test_machine_stalls_during_handover_from_follower_to_new_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It resumes within its lease just when a new leader takes over; spot machines end before."""
+    """It resumes within its lease when a new leader takes over; spot machines end before that."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -234,8 +234,8 @@
         await curio.sleep(2)
         world.crash(leader)
         await curio.sleep(20)
-        hung = world.tasks_on_machines(service)[0][0]
-        hung.stalled = True
+        stalled_worker = world.tasks_on_machines(service)[0][0]
+        stalled_worker.stalled = True
         await curio.sleep(3)
         for name in {w.name for w, _ in world.tasks_on_machines(spot) if w.spot}:
             world.cloud.take(name)
@@ -243,7 +243,7 @@
         world.state.outage = False
         await world.wait_until(lambda: world.leader() not in (None, leader), limit=10)
         await curio.sleep(2)
-        hung.stalled = False
+        stalled_worker.stalled = False
         await world.wait_until(lambda: world.running(spot) == 2)
         assert _all_started_once(world, service)
 
@@ -253,8 +253,8 @@
 def test_no_follower_renews_leases_beside_earlier_version(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``: the earlier version confirms cancellations on its own.  After it is
-    replaced, and those cancellations don't matter any more, followers may renew leases."""
+    """Guards ``ran_cancelled``: the earlier version confirms cancellations alone.  Once it has been
+    replaced and those cancellations are too old to matter, followers may renew leases."""
 
     async def scenario(world: World) -> None:
         await world.wait_until(lambda: world.leader() is not None, limit=10)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -42,7 +42,7 @@
         if status == 200:
             return
         await curio.sleep(0.5)
-    raise AssertionError("the settings were never taken")
+    raise AssertionError("the settings were never accepted")
 
 
 @pytest.mark.parametrize(
@@ -68,8 +68,8 @@
             await replace_controller(world, number)
             jobs.append(await world.run_job("array", 2, run_s=3.0))
         assert await world.wait_until(lambda: world.level() == 1, limit=8) < 5
-        found = (await overview(world))["level"]
-        assert found["level"] == found["writes"] == 1
+        level = (await overview(world))["level"]
+        assert level["level"] == level["writes"] == 1
         for job in jobs:
             await world.wait_until_done(job)
         await world.wait_until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1)
@@ -182,7 +182,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards the state service's rate: an earlier version watches all keys with prefix ``leader``,
-    and repeats the request at once as long as any of them is newer than the leader's record."""
+    and repeats the request immediately while any of them is newer than the leader's record."""
 
     async def scenario(world: World) -> None:
         handle = world.state.handle
@@ -238,7 +238,7 @@
 def test_level_rises_by_two_and_is_lowered_and_raised_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """From N to N+2 in one raise; back to N, with a leader crash in between; and raised again."""
+    """From N to N+2 in one raise, back to N with a leader crash in between, and up again."""
 
     async def scenario(world: World) -> None:
         for number in range(3):
@@ -255,7 +255,7 @@
         await world.wait_until(lambda: world.level() == 0, limit=60)
         assert not any(k.startswith("finished/") for k in world.state.keys)
         assert "seat/held" not in world.state.keys
-        # Now, and only now, an earlier version may be started, and leads with what it finds.
+        # Only after the lowering may an earlier version be started; it leads with these records.
         for number in range(3):
             await replace_controller(world, number, 1.0, **BEFORE_LEVELS)
         await world.wait_until(lambda: world.leader() is not None, limit=10)
@@ -275,7 +275,7 @@
 
 @pytest.mark.parametrize("lost", ["before", "after"])
 def test_raise_with_unknown_outcome_keeps_term(monkeypatch: pytest.MonkeyPatch, lost: str) -> None:
-    """The transaction is applied late, or without a response: the leader reads what is stored."""
+    """The transaction is applied late, or its response is lost; the leader reads it back."""
 
     async def scenario(world: World) -> None:
         handle = world.state.handle
@@ -325,7 +325,7 @@
 def test_partitioned_leader_delays_raise_and_does_not_undo_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It leads at the old level, its successor raises; its earlier requests are delivered after."""
+    """Its successor raises the level; the old leader's requests are delivered after that."""
 
     async def scenario(world: World) -> None:
         await set_highest_level(world, 0)
@@ -339,7 +339,7 @@
         await set_highest_level(world, None)
         await curio.sleep(6)
         assert world.level() == 0 and f"c{old} is silent" in await pending_reasons(world)
-        # If it were lost for good, the operator would remove it from the settings.
+        # If it were lost permanently, the operator would remove it from the settings.
         for host in ("state", "cloud", *(f"c{n}" for n in others)):
             await world.network.heal(f"c{old}", host)
         await world.wait_until(lambda: world.level() == 1, limit=10)
@@ -353,7 +353,7 @@
 def test_partitioned_follower_serves_users_after_raise(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Partitioned from the peers alone, it takes submissions and cancellations at the old level."""
+    """Partitioned from its peers only, it accepts requests of users at the old level."""
 
     async def scenario(world: World) -> None:
         await set_highest_level(world, 0)
@@ -380,7 +380,7 @@
 def test_level_is_raised_after_lost_controller_leaves_settings(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The level does not wait for ever, nor rise without the agreement of every controller."""
+    """The level does not wait permanently, nor rise without the agreement of every controller."""
 
     async def scenario(world: World) -> None:
         for number in range(3):
@@ -431,7 +431,7 @@
 def test_unreadable_level_record_is_not_overwritten(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards what is stored: the record may come from a later version."""
+    """Guards stored records: this one may come from a later version."""
 
     async def scenario(world: World) -> None:
         await set_highest_level(world, 0)
@@ -478,7 +478,7 @@
 
 
 def test_retiring_leader_hands_over_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two leaders in turn, as in a rolling update: less than a second without a leader, no loss."""
+    """Two leaders in turn, as in a rolling update: under a second without leader, no task lost."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, rank="production")
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -34,9 +34,9 @@
 
 
 def observed(
-    process: Process | None, since: float, heard: float = 0.5, **fields: Any
+    process: Process | None, since: float, last_answer: float = 0.5, **fields: Any
 ) -> PeerObservation:
-    return PeerObservation(process, NOW - seconds(since), NOW - seconds(heard), **fields)
+    return PeerObservation(process, NOW - seconds(since), NOW - seconds(last_answer), **fields)
 
 
 def test_presence_is_dated_by_pings_and_distinguishes_partition_from_crash() -> None:
@@ -50,15 +50,15 @@
     assert observation.with_answer(one, seconds(12), seconds(12.1)).present_for(
         seconds(12.5)
     ) == seconds(2)
-    again = observation.with_answer(two, seconds(13), seconds(13.1))
-    assert again.restarts == 1 and again.present_for(seconds(13.2)) == ZERO
+    restarted = observation.with_answer(two, seconds(13), seconds(13.1))
+    assert restarted.restarts == 1 and restarted.present_for(seconds(13.2)) == ZERO
     observations = {
         "x": observation,
         "y": observation.with_answer(one, seconds(19), seconds(19)),
         "z": PeerObservation(),
     }
-    found = {name: presence(name, observations, seconds(20)) for name in observations}
-    assert found == {"x": Presence.UNREACHABLE, "y": Presence.PRESENT, "z": Presence.UNSEEN}
+    presences = {name: presence(name, observations, seconds(20)) for name in observations}
+    assert presences == {"x": Presence.UNREACHABLE, "y": Presence.PRESENT, "z": Presence.UNSEEN}
     reaching = observations["y"].with_answer(one, seconds(20), seconds(20), reaches=["x"])
     assert presence("x", {**observations, "y": reaching}, seconds(20)) is Presence.SEEN_BY_OTHERS
 
@@ -66,14 +66,14 @@
 def test_free_lock_is_left_to_replaced_processes() -> None:
     old, fresh = NOW - seconds(500), NOW - seconds(30)
 
-    def wait(own_started_at: Any, **fields: Any) -> Any:
+    def delay(own_started_at: Any, **fields: Any) -> Any:
         values = {"started_at": fresh, "state_age": ZERO, **fields}
         observation = observed(Process("2", fields.pop("build", Build("b", 0, 2))), 20, **values)
         return election_delay(OWN_PROCESS, own_started_at, [observation], seconds(3), NOW)
 
-    assert wait(old) == ELECTION_DELAY
-    assert wait(fresh) == ZERO
-    assert wait(old, state_age=seconds(9)) == ZERO  # it could not be elected
+    assert delay(old) == ELECTION_DELAY
+    assert delay(fresh) == ZERO
+    assert delay(old, state_age=seconds(9)) == ZERO  # it could not be elected
     assert election_delay(OWN_PROCESS, old, [PeerObservation()], seconds(3), NOW) == ZERO
 
 
@@ -96,44 +96,44 @@
     assert mixed.next_record.level == 1 and mixed.next_record.oldest == 0
     for observation in (
         observed(peer, 1),
-        observed(peer, late, heard=9),
+        observed(peer, late, last_answer=9),
         observed(None, late),
         PeerObservation(),
     ):
         assert step(LevelRecord(), y=observation).next_record is None
-    there = LevelRecord(2, 2, 0)
-    assert step(there, migration_backlog=MigrationBacklog(older=3)).next_record is None
-    assert step(there).next_record.oldest == 2
-    # A later build leads: the migration at the level in force does not wait for the others.
-    after = plan(
+    raised = LevelRecord(2, 2, 0)
+    assert step(raised, migration_backlog=MigrationBacklog(older=3)).next_record is None
+    assert step(raised).next_record.oldest == 2
+    # A later build leads: the migration at the level in force does not wait for the peers.
+    next_step = plan(
         LevelRecord(1, 1, 0), OWN_PROCESS, {"x": PeerObservation()}, None, MigrationBacklog(), NOW
     )
-    assert after.next_record == LevelRecord(1, 1, 1) and "never seen" in after.waits[0]
+    assert next_step.next_record == LevelRecord(1, 1, 1) and "never seen" in next_step.waits[0]
     lowering = step(LevelRecord(2, 2, 2), 1).next_record
     assert (lowering.level, lowering.writes, lowering.oldest) == (2, 1, 1)
     assert step(lowering, 1, MigrationBacklog(newer=2)).next_record is None
     assert "can't be written back" in step(lowering, 1, MigrationBacklog(newer=2, stuck=1)).waits[0]
     assert step(lowering, 1).next_record.level == 1
-    # Half way down and up again.
+    # A lowering is reversed before its last step.
     assert step(lowering).next_record.writes == 2
     new = Process("n", Build("n", 1, 2))
-    assert "writes no level below 1" in step(there, 0, y=observed(new, late)).waits[0]
+    assert "writes no level below 1" in step(raised, 0, y=observed(new, late)).waits[0]
 
 
 def test_level_change_is_dropped_if_level_changed_since_plan(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards what is stored: a change of our own with unknown outcome may be applied late."""
+    """Guards stored records: a change of the leader with unknown outcome may be applied late."""
     level = LevelRecord(1, 1, 0)
     feature_levels = FeatureLevels("c0", [], NOW)
     feature_levels.on_leader_lock_read(
         leader_locks.LeaderLock(4, LeaderRecord("c0", 1), level=level, versions={"leader": 4})
     )
-    moved = leader_locks.LeaderLock(
+    changed_lock = leader_locks.LeaderLock(
         9, LeaderRecord("c0", 1, 4), level=LevelRecord(1, 0, 0), versions={"leader": 9}
     )
     committed: list[Any] = []
-    told: list[Any] = []
+    messages: list[Any] = []
 
     class State:
         async def commit(self, *changes: Any) -> int:
@@ -145,20 +145,20 @@
             return MigrationStatus(MigrationBacklog(), None)
 
         async def tell(message: Any) -> None:
-            told.append(message)
+            messages.append(message)
 
-        async def read_moved(_: Any) -> leader_locks.LeaderLock:
-            return moved
+        async def read_changed_lock(_: Any) -> leader_locks.LeaderLock:
+            return changed_lock
 
         monkeypatch.setattr(
-            "micadeal.controller.feature_level_updater.read_leader_lock", read_moved
+            "micadeal.controller.feature_level_updater.read_leader_lock", read_changed_lock
         )
         state: Any = State()
         term = Term(4, 1, NOW, NOW, 4)
         await FeatureLevelUpdater(feature_levels, state, term, ask, tell)._step()
 
     run_stepped(main, monkeypatch)
-    assert told == [FeatureLevelChanged(moved.level, 9)]
+    assert messages == [FeatureLevelChanged(changed_lock.level, 9)]
     assert committed == []
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -53,40 +53,40 @@
 
 
 def test_zone_is_partitioned_after_suspicion_and_recovers_on_probation() -> None:
-    cut, back = ZoneSignals(20, 19, UNREACHABLE), ZoneSignals(20, 1, PRESENT)
-    zone = observe_steps(Zone("a"), (0, back), (10, cut))
+    partitioned, healthy = ZoneSignals(20, 19, UNREACHABLE), ZoneSignals(20, 1, PRESENT)
+    zone = observe_steps(Zone("a"), (0, healthy), (10, partitioned))
     assert zone.state is ZoneState.SUSPECTED
-    assert observe_steps(zone, (11, cut)).state is ZoneState.SUSPECTED
+    assert observe_steps(zone, (11, partitioned)).state is ZoneState.SUSPECTED
     assert (
         observe_steps(zone, (11, ZoneSignals(20, 2, PRESENT))).state is ZoneState.HEALTHY
     )  # heartbeats were late
-    # Between the limits nothing changes: no flapping near one of them.
+    # Between the limits the state does not change, so it does not flap.
     assert observe_steps(zone, (13, ZoneSignals(20, 12, UNREACHABLE))).state is ZoneState.SUSPECTED
-    zone = observe_steps(zone, (12.5, cut))
+    zone = observe_steps(zone, (12.5, partitioned))
     assert zone.state is ZoneState.PARTITIONED and zone.failures == 1
     assert observe_steps(zone, (14, ZoneSignals(20, 9, UNREACHABLE))).state is ZoneState.PARTITIONED
     assert (
         observe_steps(zone, (30, ZoneSignals(20, 20, UNREACHABLE, ended=20))).state
         is ZoneState.FAILED
     )
-    zone = observe_steps(zone, (40, back))
+    zone = observe_steps(zone, (40, healthy))
     assert zone.state is ZoneState.RECOVERING
-    assert observe_steps(zone, (41, back)).state is ZoneState.RECOVERING
-    assert observe_steps(zone, (51, back)).state is ZoneState.HEALTHY
+    assert observe_steps(zone, (41, healthy)).state is ZoneState.RECOVERING
+    assert observe_steps(zone, (51, healthy)).state is ZoneState.HEALTHY
 
 
 def test_probation_doubles_for_flapping_zone() -> None:
-    cut, back = ZoneSignals(20, 20, UNREACHABLE), ZoneSignals(20, 0, PRESENT)
+    partitioned, healthy = ZoneSignals(20, 20, UNREACHABLE), ZoneSignals(20, 0, PRESENT)
     zone, now, probations = Zone("a"), 0.0, []
     for _ in range(6):
-        zone = observe_steps(zone, (now, cut), (now + 3, cut), (now + 10, back))
+        zone = observe_steps(zone, (now, partitioned), (now + 3, partitioned), (now + 10, healthy))
         assert zone.state is ZoneState.RECOVERING
         probations.append(zone.probation)
         now += 20
     assert probations[0] == PROBATION and probations[1] == PROBATION * 2
     assert probations == sorted(probations) and probations[-1] == seconds(120)
-    open_again = observe_steps(zone, (now + 200, back), (now + 600, back))
-    assert open_again.state is ZoneState.HEALTHY and open_again.failures == 0
+    recovered = observe_steps(zone, (now + 200, healthy), (now + 600, healthy))
+    assert recovered.state is ZoneState.HEALTHY and recovered.failures == 0
 
 
 def cut_pairs(world: World, zone: str) -> list[tuple[str, str]]:
@@ -112,7 +112,7 @@
 def test_partitioned_zone_is_detected_and_recovers(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, where: str
 ) -> None:
-    """With the leader outside, or inside, where its successor never reached the zone's machines."""
+    """The leader is outside the zone, or inside: then its successor never reached the machines."""
     caplog.set_level(logging.INFO, "micadeal.zones")
 
     async def scenario(world: World) -> None:
@@ -128,16 +128,16 @@
             world.network.cut(one, other)
         await world.wait_until(lambda: "cut off" in logged_states(caplog, zone), limit=15)
         if where == "outside":
-            found = await world.call(leader, "GET", "/overview")
-            assert any(f"zone {zone} is cut off" in note for note in found[1]["notes"])
+            overview = await world.call(leader, "GET", "/overview")
+            assert any(f"zone {zone} is cut off" in note for note in overview[1]["notes"])
         for one, other in cuts:
             await world.network.heal(one, other)
         await curio.sleep(90)
         assert not [
             state for state in logged_states(caplog, ZONES[(number + 1) % 3]) if state != "open"
         ]
-        found = await world.call(world.leader() or 0, "GET", "/overview")
-        assert not [note for note in found[1]["notes"] if note.startswith("zone ")]
+        overview = await world.call(world.leader() or 0, "GET", "/overview")
+        assert not [note for note in overview[1]["notes"] if note.startswith("zone ")]
 
     world = World(teams=LARGE_TEAMS)
     world.rules.team_limits = {"blue": 80.0, "red": 8.0}
