--- a/micadeal/scheduling/preemption_demand.py
+++ b/micadeal/scheduling/preemption_demand.py
@@ -133,7 +133,7 @@
         timer = inputs.timers.setdefault((name, resource), StarvationTimer(now, now))
         team = TeamUsage(used, state.demand, state.minimum, state.share)
         timer.update(now, team)
-        preemptible_units, for_guarantee = timer.lacks(
+        preemptible_units, for_guarantee = timer.starved_amount(
             now,
             team,
             policy.team(name).minimum_timeout or policy.minimum_timeout,
