--- a/micadeal/scheduling/__init__.py
+++ b/micadeal/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's decisions, which do no I/O: cluster state, scheduling cycles, scale out and in."""
+"""The leader's decisions, without I/O: cluster state, scheduling cycles, scale out and scale in."""
--- a/micadeal/scheduling/attempts.py
+++ b/micadeal/scheduling/attempts.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt is gone without having completed."""
+"""Handles attempts that are gone without having completed, and the rest of their gangs."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 
 
 def lose_attempt(cluster: ClusterState, machine: Machine, attempt: Attempt, now: timedelta) -> None:
-    """Remove an attempt that was on the machine, or could have been started, and can't be now."""
+    """Remove an attempt that can no longer be on the machine or be started there."""
     stop_gang_members(cluster, attempt, now)
-    # The stop of other members may have released this one as well.
+    # Stopping the other members may already have released this attempt.
     if attempt.key in machine.attempts:
         cluster.release(attempt, now)
 
 
 def stop_gang_members(cluster: ClusterState, attempt: Attempt, now: timedelta) -> None:
-    """Stop what runs together with an attempt that is gone, if that belonged to a gang.
+    """Stop the tasks that ran together with an attempt that is gone, if it belonged to a gang.
 
-    The whole attempt of a gang ends before the next one begins.  Its other attempts are left alone:
-    what an earlier one may have left on a machine, or what a record that was carried out late
-    names, ends without those that run.
+    The tasks of one attempt of a gang share its attempt number.  All of them end before the next
+    attempt of the gang begins.  Attempts with other numbers are not stopped: a leftover of an
+    earlier attempt, or one named by a record that was written late, must not end the attempt that
+    runs.
     """
     job = cluster.jobs.get(attempt.job_id)
     if job is None or not job.is_gang or job.over or job.complete:
@@ -34,7 +35,7 @@
         if other is not attempt and other.number == attempt.number
     ]
     if attempt.state is TaskState.SAVING or attempt.stop is not None:
-        # An orderly stop: each task saves and exits by itself.
+        # An orderly stop: members that are being stopped save and exit by themselves.
         members = [member for member in members if member.stop is None]
     for member in members:
         cluster.stop(member, ZERO, now)
--- a/micadeal/scheduling/bookings.py
+++ b/micadeal/scheduling/bookings.py
@@ -1,4 +1,4 @@
-"""Bookings of one scheduling cycle: task starts, reserved capacity, and what each team uses."""
+"""Bookings of one scheduling cycle: task starts, reserved capacity, and usage of each team."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Bookings:
-    """Books tasks for jobs and keeps count of what each team uses."""
+    """Books tasks for jobs and keeps track of what each team uses."""
 
     __slots__ = ("_cluster", "_now", "_plan", "_reserved_tasks", "unplaced", "usage")
 
@@ -28,7 +28,7 @@
         self._cluster = cluster
         self._plan = plan
         self._now = now
-        #: By team, bookings of this cycle included.
+        #: (CPUs, GPUs) by team, including the bookings of this cycle.
         self.usage: dict[str, Amounts] = cluster.usage()
         #: Pending tasks with capacity reserved in this cycle, by job.
         self._reserved_tasks: Counter[str] = Counter()
@@ -36,11 +36,11 @@
         self.unplaced: list[Job] = []
 
     def waiting(self, job: Job) -> int:
-        """Return how many tasks of the job have neither started nor capacity reserved."""
+        """Return how many tasks of the job are neither placed nor have capacity reserved."""
         return job.waiting_count() - self._reserved_tasks[job.id]
 
     def limit_reason(self, job: Job, tasks: int) -> str | None:
-        """Return which limit of its team so many more tasks would exceed, or None."""
+        """Return which limit of its team this many more tasks would exceed, or None."""
         spec = job.spec
         team = self._cluster.teams[spec.team]
         cpus, gpus = self.usage[team.name]
@@ -51,9 +51,9 @@
         return None
 
     def book_task(self, job: Job, capacity: MachineCapacity, number: int | None = None) -> None:
-        """Start the job's next task on a machine that is up; else reserve the capacity for it.
+        """Place the job's next task if the machine is up; otherwise reserve the capacity for it.
 
-        ``number``: the attempt number that all tasks of a gang share; None: a new one.
+        ``number`` is the attempt number that all tasks of a gang share; None assigns a new one.
         """
         self._charge(job, 1)
         index = job.next_waiting()
@@ -73,8 +73,8 @@
     def reserve_gang(self, job: Job, capacities: list[MachineCapacity]) -> None:
         """Reserve capacity for all tasks of a gang.
 
-        This covers machines that are up already: otherwise a gang's machines would never be free
-        at one time.
+        This includes machines that are already up.  Otherwise the gang's machines would never be
+        free at the same time.
         """
         tasks = job.spec.tasks
         self._charge(job, tasks)
--- a/micadeal/scheduling/capacity.py
+++ b/micadeal/scheduling/capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity of the cluster at the start of a cycle: machines up, booting, or asked for."""
+"""Free capacity at the start of a scheduling cycle: machines up, booting, or requested."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.cloud import MachineType
 
-#: A machine without a heartbeat for so many heartbeat intervals gets no new work.
+#: A machine without a heartbeat for this many heartbeat intervals gets no new work.
 MAX_MISSED_HEARTBEATS = 2.6
 
 
 def heartbeat_timeout(cluster: ClusterState) -> timedelta:
-    """Return how long after its last heartbeat a machine still gets new work."""
+    """Return for how long after its last heartbeat a machine still gets new work."""
     return cluster.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS
 
 
 def build_capacities(
     cluster: ClusterState, now: timedelta, pending_rentals: Counter[InstanceOffer]
 ) -> list[MachineCapacity]:
-    """Return the capacities of machines that are up or booting, and of those asked for."""
+    """Return the capacities of machines that are up, booting, or requested from the cloud."""
     timeout = heartbeat_timeout(cluster)
     capacities: list[MachineCapacity] = []
     for machine in cluster.machines.values():
@@ -51,18 +51,18 @@
 def _may_become_usable(
     cluster: ClusterState, machine: Machine, kind: MachineType, timeout: timedelta, now: timedelta
 ) -> bool:
-    """Return whether capacity may be reserved on a machine that gets no work yet."""
+    """Return whether capacity may be reserved on a machine that can't get work yet."""
     if machine.up:
         return not machine.has_our_token and not _token_overdue(machine, now, timeout)
-    # If it is late, pending work gets capacity elsewhere; if it comes after all, it is used or
-    # returned.
+    # If its boot is overdue, pending work gets capacity elsewhere.  If it comes up after all, it is
+    # used or returned.
     return not cluster.boot_times.late(machine, seconds(kind.boot_s), now)
 
 
 def _token_overdue(machine: Machine, now: timedelta, timeout: timedelta) -> bool:
-    """Return whether a machine that has reported should have shown our fencing token by now.
+    """Return whether a machine that has sent messages should have shown this leader's token by now.
 
-    If it should have, it does not receive our answers, or it is gone and what came from it was
+    An overdue machine does not receive this leader's answers, or it is gone and its messages were
     delayed by the network.
     """
     return (
@@ -93,25 +93,25 @@
 def _machine_capacity(
     cluster: ClusterState, machine: Machine, kind: MachineType, usable: bool, order: int
 ) -> MachineCapacity:
-    shape = machine.free_capacity
-    if shape is None:
-        # Derived anew only when something on the machine has changed (``ClusterState`` clears it).
-        shape = machine.free_capacity = _free_capacity(cluster, machine, kind)
-    # Positional: this runs for every machine in every cycle.
+    free = machine.free_capacity
+    if free is None:
+        # Computed again only after a change on the machine (``ClusterState`` clears it).
+        free = machine.free_capacity = _free_capacity(cluster, machine, kind)
+    # Positional arguments for speed: this runs for every machine in every cycle.
     return MachineCapacity(
         machine.name,
         machine.machine_type,
         machine.zone,
         machine.spot,
-        shape.cpus,
-        shape.gpus,
-        shape.memory_gb,
+        free.cpus,
+        free.gpus,
+        free.memory_gb,
         usable,
         False,
-        shape.images,
-        shape.fetching,
-        shape.tasks,
-        shape.bound_tasks,
+        free.images,
+        free.fetching,
+        free.tasks,
+        free.bound_tasks,
         0,
         order,
         machine.reserved_for if machine.preempted_for is None else machine.preempted_for.job_id,
@@ -144,7 +144,7 @@
 
 
 def _cached_images(cluster: ClusterState, machine: Machine, kind: MachineType) -> set[str]:
-    """Return the images that the machine's cache still holds, as far as known sizes tell."""
+    """Return the images that the machine's cache still holds, judged by the known sizes."""
     cached: set[str] = set()
     total = 0.0
     for image in sorted(machine.images, key=lambda name: machine.images[name], reverse=True):
--- a/micadeal/scheduling/capacity_pool.py
+++ b/micadeal/scheduling/capacity_pool.py
@@ -1,8 +1,9 @@
-"""The machine capacities of one scheduling cycle, and caches that keep searching them cheap.
+"""The machine capacities of one scheduling cycle, with caches that keep the search cheap.
 
-Within a cycle capacities only shrink.  So machines are ranked once for a job, not for each of its
-tasks, and where a task of some size found nothing, only machines added since need to be examined
-for the next one of that size.  tests/test_scale.py holds the outcome equal to a plain search.
+Free capacity only shrinks within a cycle.  Machines are therefore ranked once for a job, not for
+each of its tasks.  After a search for a task of some size has failed, the next search for that size
+examines only the machines added since.  tests/test_scale.py checks that the outcome equals that of
+an exhaustive search.
 """
 
 from __future__ import annotations
@@ -23,23 +24,23 @@
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.users import Submission
 
-#: A job with errors on more machines than this is tried on them again.
+#: A job with errors on more machines than this may be placed on them again.
 MAX_AVOIDED_MACHINES = 3
-#: Full machines are dropped from the search once they make up more than one in so many.
+#: Full machines are removed from the search list once they are more than 1/PRUNE_FRACTION of it.
 PRUNE_FRACTION = 4
 
 
-class _Searched(NamedTuple):
-    """How far a search without a result got; what came later may hold more."""
+class _SearchExtent(NamedTuple):
+    """What a search without a result covered; later additions may still fit."""
 
-    #: Number of capacities that existed.
+    #: Number of capacities at the time.
     capacities: int
-    #: Number of bookings that opened an on-demand machine to work that may use spot.
+    #: Number of bookings until then that opened an on-demand machine to work that may use spot.
     on_demand_openings: int
 
 
 def free_amount(capacity: MachineCapacity, resource: str) -> float:
-    """Return what is free of one resource."""
+    """Return the free amount of one resource."""
     return capacity.gpus if resource == "gpus" else capacity.cpus
 
 
@@ -48,30 +49,30 @@
 
 
 class CapacityPool:
-    """All capacities of a cycle; each booking and each planned machine is announced to it."""
+    """All capacities of a cycle; it must be notified of each booking and each planned machine."""
 
     def __init__(
         self, cluster: ClusterState, capacities: list[MachineCapacity], spot_scarce: bool
     ) -> None:
         self._cluster = cluster
         self.capacities = capacities
-        #: Every spot offer was refused lately: work that may use spot may use on-demand machines.
+        #: Every spot offer was refused recently: work that may use spot may use on-demand machines.
         self.spot_scarce = spot_scarce
         self.machines_by_zone = Counter(capacity.zone for capacity in capacities)
-        #: Capacities examined one by one, over the whole cycle.
+        #: Number of capacities examined one by one during the cycle.
         self.examined = 0
         self._resource = ""
-        #: Capacities with something free of the resource, in their order.
+        #: Capacities with a free amount of the resource, in their order.
         self._open: list[MachineCapacity] = []
         self._full_count = 0
-        #: Rankings of jobs that tasks are being placed for.
+        #: Rankings for jobs whose tasks are being placed.
         self._rankings: dict[str, MachineRanking] = {}
         self._zone_rules: dict[str, ZoneRule] = {}
-        self._no_fit: dict[RequestKey, _Searched] = {}
+        self._no_fit: dict[RequestKey, _SearchExtent] = {}
         self._on_demand_openings = 0
 
     def select_resource(self, resource: str) -> None:
-        """Begin to serve the jobs that are counted in this resource."""
+        """Start placing the jobs that are accounted in this resource."""
         self._resource = resource
         self._prune(self.capacities)
         self._no_fit.clear()
@@ -85,10 +86,10 @@
     # -- searching -------------------------------------------------------------------------
 
     def candidates(self, job: Job) -> list[MachineCapacity]:
-        """Return machines for this job: not where it failed, as long as there are others.
+        """Return the open machines for a job, without those where it failed if there are others.
 
-        A job that fails everywhere is tried again where its image is, instead of having it fetched
-        by one machine after the other.
+        A job that failed on many machines is retried on those that hold its image, instead of
+        having one machine after the other fetch it.
         """
         if len(job.errors) > MAX_AVOIDED_MACHINES or not job.errors:
             return self._open
@@ -108,23 +109,23 @@
         spec = job.spec
         fitting = self._unsearched_fits(spec)
         if not any(is_economical(spec, capacity, self.spot_scarce) for capacity in fitting):
-            self._no_fit[request_key(spec)] = self._searched
+            self._no_fit[request_key(spec)] = self._search_extent
             return None
         rule = self.zone_rule(job)
         if job.errors:
-            # Which machines it may use changes with every one that is added: ranked anew each time.
+            # Each added machine changes which machines the job may use: the ranking isn't cached.
             return MachineRanking(spec, self.candidates(job), rule, self.spot_scarce)
         ranking = self._rankings[job.id] = MachineRanking(spec, fitting, rule, self.spot_scarce)
         return ranking
 
     def _unsearched_fits(self, spec: Submission) -> list[MachineCapacity]:
-        """Return the open machines that hold such a task, less those that were too full before."""
-        searched = self._no_fit.get(request_key(spec))
+        """Return the open machines that fit such a task, except those known to be too full."""
+        last_search = self._no_fit.get(request_key(spec))
         first = 0
-        if searched is not None and (
-            searched.on_demand_openings == self._on_demand_openings or not spec.spot_allowed
+        if last_search is not None and (
+            last_search.on_demand_openings == self._on_demand_openings or not spec.spot_allowed
         ):
-            first = searched.capacities
+            first = last_search.capacities
         start = bisect_left(self._open, first, key=_order) if first else 0
         self.examined += len(self._open) - start
         return [
@@ -135,29 +136,29 @@
         ]
 
     @property
-    def _searched(self) -> _Searched:
-        return _Searched(len(self.capacities), self._on_demand_openings)
+    def _search_extent(self) -> _SearchExtent:
+        return _SearchExtent(len(self.capacities), self._on_demand_openings)
 
     def forget_ranking(self, job: Job) -> None:
-        """Drop the job's ranking: no more of its tasks are placed for now."""
+        """Drop the job's ranking, since no more of its tasks are placed for now."""
         self._rankings.pop(job.id, None)
 
     def zone_rule(self, job: Job) -> ZoneRule:
-        """Return the zones open to the job's next task, kept up to date by the caller."""
+        """Return the zone rule for the job's next task; the caller keeps it up to date."""
         rule = self._zone_rules.get(job.id)
         if rule is None:
             rule = self._zone_rules[job.id] = ZoneRule(job.spec, self._cluster.zones_of(job))
         return rule
 
     def gang_search_due(self, job: Job) -> bool:
-        """Return whether a search for a gang of this size may find more than the last one did."""
-        return bool(job.errors) or self._no_fit.get(_gang_key(job.spec)) != self._searched
+        """Return whether a search for a gang of this size may succeed after the last one failed."""
+        return bool(job.errors) or self._no_fit.get(_gang_key(job.spec)) != self._search_extent
 
     def note_no_gang_fit(self, job: Job) -> None:
-        """Remember that a gang of this size found nothing."""
+        """Record that the search for a gang of this size failed."""
         if not job.errors:
-            # A job that failed somewhere examines fewer machines: that proves nothing for others.
-            self._no_fit[_gang_key(job.spec)] = self._searched
+            # A job with errors searches fewer machines, which proves nothing for other jobs.
+            self._no_fit[_gang_key(job.spec)] = self._search_extent
 
     # -- changes ---------------------------------------------------------------------------
 
@@ -167,7 +168,7 @@
         self.note_booking(capacity, spec)
 
     def note_booking(self, capacity: MachineCapacity, spec: Submission) -> None:
-        """Take note of a booking: the machine may rank better for other jobs now."""
+        """Update the caches after a booking: the machine may now rank better for other jobs."""
         if spec.image not in capacity.images:
             capacity.fetching |= {spec.image}
         if not spec.spot_allowed and not capacity.spot:
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -1,13 +1,15 @@
-"""Jobs, machines and attempts as the leader knows them, and their simple transitions.  No I/O.
+"""Jobs, machines and attempts as the leader knows them, and their state transitions.
 
-All of it serves one question: may a task still be on a machine, or may it still be started there?
-An attempt stays in the state, and counts towards limits, zones and capacity, until that is
-certainly not so (docs/safety.md).
+This module does no I/O.  The state answers one question: may a task still be on a machine, or may
+it still be started there?  An attempt stays in the state, and counts towards limits, zones and
+capacity, until both are certainly ruled out (docs/safety.md).
 
-The modules that work on this state: ``takeover`` loads what earlier leaders recorded,
-``reconciliation`` takes in heartbeats (with ``reported_tasks`` and ``response_effects``),
-``worker_commands`` says what workers are told, ``attempts`` and ``machine_loss`` handle attempts
-and machines that are gone.
+Other modules work on this state:
+
+- ``takeover`` loads what earlier leaders recorded;
+- ``reconciliation`` applies heartbeats, with ``reported_tasks`` and ``response_effects``;
+- ``worker_commands`` derives the commands for workers;
+- ``attempts`` and ``machine_loss`` remove attempts and machines that are gone.
 """
 
 from __future__ import annotations
@@ -32,97 +34,98 @@
 
 log = logging.getLogger(__name__)
 
-#: Attempt numbers are the leader's token times this, plus a counter: they grow over all leaders and
-#: are never used twice, without anything being written down.
+#: An attempt number is the leader's fencing token times this, plus a counter.  Numbers therefore
+#: increase from term to term and are never reused, without being stored.
 ATTEMPTS_PER_TERM = 1 << 20
-#: Beyond a worker's lease, for drift, late timers and a heartbeat that was on its way.
+#: Added to a worker's lease for clock drift, late timers and a heartbeat in transit.
 LEASE_MARGIN = seconds(1.5)
-#: What the worker gets beyond the time that a task needs to save its checkpoint.
+#: Added to the time that a task needs to save its checkpoint.
 GRACE_MARGIN = seconds(2)
-#: Images whose size is remembered; the least lately submitted one is forgotten.
+#: Most images whose sizes are kept; the least recently submitted one is dropped first.
 MAX_IMAGE_SIZES = 2000
 
 
 def grace_to_save(job: Job) -> timedelta:
-    """Return the grace period a stopped task needs to save; zero if it can't save."""
+    """Return the grace period that a stopped task needs to save; zero if it can't save."""
     return job.save_time + GRACE_MARGIN if job.can_save else ZERO
 
 
 def lease_expiry(workers: Workers) -> timedelta:
-    """Return the length of a silence after which a worker's lease has certainly expired."""
+    """Return how long a worker must be silent for its lease to have certainly expired."""
     return workers.lease * (1 + 2 * DRIFT) + LEASE_MARGIN
 
 
 class StaleTokenError(Exception):
-    """A worker has shown the fencing token of a later leader: this one must resign."""
+    """A worker has seen the fencing token of a later leader, so this leader must resign."""
 
-    def __init__(self, machine: str, shown: int, own: int) -> None:
+    def __init__(self, machine: str, seen_token: int, own_token: int) -> None:
         self.machine = machine
-        self.shown = shown
-        self.own = own
-        super().__init__(f"{machine} shows token {shown}, ours is {own}")
+        self.seen_token = seen_token
+        self.own_token = own_token
+        super().__init__(f"{machine} has seen token {seen_token}; own token is {own_token}")
 
 
 @dataclass(slots=True)
 class ClusterState:
-    """What one leader knows of the cluster during its term; not shared between terms."""
+    """One leader's view of the cluster during its term; never shared between terms."""
 
-    #: The leader's fencing token.
+    #: Fencing token of this leader.
     token: int
     #: Timing of heartbeats and leases.
     workers: Workers
     #: Teams with their limits, by name.
     teams: dict[str, Team]
-    #: When the term began.
+    #: Start of the term.
     term_start: timedelta
     #: Machine types of the cloud's catalog, by name.
     types: dict[str, MachineType] = field(default_factory=dict)
-    #: Sizes in GB of images of jobs that were submitted lately.
+    #: Sizes in GB of the images of recently submitted jobs.
     image_sizes: dict[str, float] = field(default_factory=dict)
-    #: All jobs that are alive, and those that are over but may have tasks on machines.
+    #: Live jobs, and jobs that are over but may still have tasks on machines.
     jobs: dict[str, Job] = field(default_factory=dict)
     machines: dict[str, Machine] = field(default_factory=dict)
-    #: Jobs whose set of finished tasks must be written.
+    #: Jobs whose set of finished tasks must be written to the state service.
     jobs_with_unwritten_results: MutableSet[str] = field(default_factory=OrderedSet)
-    #: Attempts that no record in the state service names yet, in the order of their placement.
+    #: Attempts that no record in the state service names yet, in order of placement.
     unwritten: dict[Attempt, None] = field(default_factory=dict)
-    #: Keys of placement records in the state service, with the attempts of each that remain.
+    #: Remaining attempts of each placement record in the state service, by its key.
     records: dict[str, OrderedSet[Attempt]] = field(default_factory=dict)
-    #: Records that name attempts which are gone, and since when.
+    #: Placement records that name removed attempts, and since when they do.
     stale_records: dict[str, timedelta] = field(default_factory=dict)
-    #: Machines that are to get their stop commands at once.
+    #: Machines to send a direct command to, with their stop commands and the fencing token.
     pending_direct_commands: MutableSet[str] = field(default_factory=OrderedSet)
-    #: Machines that are to be probed, since their heartbeats leave something open.
+    #: Machines to probe, because their heartbeats leave their state unclear.
     pending_probes: MutableSet[str] = field(default_factory=OrderedSet)
-    #: Whether something changed that a scheduling cycle could make use of.
+    #: Whether anything changed that a scheduling cycle could act on.
     changed: bool = True
-    #: Machines that are certainly gone, since when: a late heartbeat or list brings none back.
+    #: Machines that are certainly gone, with the time of removal.  A late heartbeat or cloud list
+    #: does not add them again.
     removed_machines: dict[str, timedelta] = field(default_factory=dict)
-    #: How long boots took lately.
+    #: Durations of recent boots.
     boot_times: BootTimes = field(default_factory=BootTimes)
-    #: Where deferral is switched on: job class of each task that completed, and its run time as a
-    #: multiple of its estimate.  None: nothing is collected.
+    #: Job class of each completed task, and its run time as a multiple of its estimate.  Collected
+    #: only while deferral is switched on; None otherwise.
     completed_run_times: list[tuple[str, float]] | None = None
-    #: Jobs of which all tasks ran, by the last report of the previous leader.
+    #: Jobs of which all tasks had started, by the last report of the previous leader.
     all_started: frozenset[str] = frozenset()
-    #: Jobs that turned out to be over, of which users are still to be told.
+    #: Jobs that are over, of which users have not been notified yet.
     unannounced_ends: list[str] = field(default_factory=list)
-    #: Which jobs wait for which others.
+    #: Dependencies between jobs.
     dependencies: JobDependencies = field(init=False)
-    _attempts: int = 0
+    _attempt_count: int = 0
 
     def __post_init__(self) -> None:
         self.dependencies = JobDependencies(self.jobs)
 
     @property
     def lease_expiry(self) -> timedelta:
-        """Length of a silence after which a worker's lease has certainly expired."""
+        """How long a worker must be silent for its lease to have certainly expired."""
         return lease_expiry(self.workers)
 
     # -- jobs ------------------------------------------------------------------------------
 
     def add_job(self, job: Job) -> None:
-        """Add a job that has just become known."""
+        """Add a newly known job."""
         self.jobs[job.id] = job
         self.image_sizes.pop(job.spec.image, None)
         self.image_sizes[job.spec.image] = job.spec.image_gb
@@ -132,9 +135,9 @@
         self.changed = True
 
     def job_gone(self, job_id: str, now: timedelta) -> None:
-        """Take in that the job's record was removed: it is done or cancelled, so all of it stops.
+        """Stop all tasks of a job that is done or cancelled, as the removal of its record shows.
 
-        Which of the two it is, for jobs that depend on it, is read from its end.
+        Its end record tells dependent jobs which of the two it is.
         """
         self.dependencies.retry_end(job_id)
         job = self.jobs.get(job_id)
@@ -146,10 +149,10 @@
         self.changed = True
         for attempt in list(job.all_attempts()):
             self.stop(attempt, ZERO, now)
-        self._forget_if_gone(job)
+        self._remove_if_gone(job)
 
     def job_ended(self, job_id: str, end: EndRecord, now: timedelta) -> None:
-        """Take in that the job's end is recorded: its tasks on machines only have to exit."""
+        """Apply the recorded end of a job: its tasks on machines only have to exit."""
         job = self.jobs.get(job_id)
         if job is not None and end.status is Status.DONE:
             job.durable |= job.finished
@@ -166,30 +169,30 @@
             job = self.jobs[job_id] = placeholder_job(job_id)
         return job
 
-    def _forget_if_gone(self, job: Job) -> None:
+    def _remove_if_gone(self, job: Job) -> None:
         if job.over and not job.attempts and self.jobs.pop(job.id, None) is not None:
-            log.debug("job forgotten: job=%s", job.id)
+            log.debug("ended job removed from memory: job=%s", job.id)
 
     # -- attempts --------------------------------------------------------------------------
 
     def next_number(self) -> int:
         """Return a new attempt number."""
-        self._attempts += 1
-        return self.token * ATTEMPTS_PER_TERM + self._attempts
+        self._attempt_count += 1
+        return self.token * ATTEMPTS_PER_TERM + self._attempt_count
 
-    def is_ours(self, attempt: Attempt) -> bool:
-        """Tell whether this leader placed the attempt, as opposed to an earlier one."""
+    def placed_by_this_leader(self, attempt: Attempt) -> bool:
+        """Tell whether this leader placed the attempt, rather than an earlier one."""
         return attempt.number >= self.token * ATTEMPTS_PER_TERM
 
     def place(self, job: Job, index: int, number: int, machine: Machine, now: timedelta) -> Attempt:
-        """Assign a task to a machine.  It is started once a record names the attempt."""
+        """Assign a task to a machine; it is started only once a record names the attempt."""
         attempt = Attempt(job.id, index, number, machine.name, now)
-        self.adopt(job, machine, attempt)
+        self.add_attempt(job, machine, attempt)
         machine.images[job.spec.image] = now
         return attempt
 
-    def adopt(self, job: Job, machine: Machine, attempt: Attempt) -> None:
-        """Add an attempt that was placed, was recorded by an earlier leader, or was reported."""
+    def add_attempt(self, job: Job, machine: Machine, attempt: Attempt) -> None:
+        """Add an attempt: newly placed, recorded by an earlier leader, or reported by a worker."""
         machine.attempts[attempt.key] = attempt
         machine.idle_since = None
         machine.free_capacity = None
@@ -214,24 +217,28 @@
         job = self.jobs.get(attempt.job_id)
         if job is not None:
             job.remove(attempt)
-            self._forget_if_gone(job)
+            self._remove_if_gone(job)
         self.changed = True
 
     def stop(self, attempt: Attempt, grace: timedelta, now: timedelta) -> None:
-        """Have an attempt stopped; of two grace periods the shorter one counts."""
+        """Request the stop of an attempt; of two grace periods the shorter one applies."""
         if attempt.stop is not None and attempt.stop <= grace:
             return
         attempt.stop = grace
         if attempt.stop_since is None:
             attempt.stop_since = now
-        if attempt.state is None and attempt.ordered is None and self.is_ours(attempt):
-            # Its start was never sent to anybody, so there is nothing to stop.
+        if (
+            attempt.state is None
+            and attempt.ordered is None
+            and self.placed_by_this_leader(attempt)
+        ):
+            # Its start command was never sent, so there is nothing to stop.
             self.release(attempt, now)
             return
         self.pending_direct_commands.add(attempt.machine)
 
     def stop_job(self, job: Job, now: timedelta, save: bool) -> None:
-        """Stop all attempts of a job; with ``save``, give them time to save a checkpoint."""
+        """Stop all attempts of a job; ``save`` gives them time to save a checkpoint."""
         grace = grace_to_save(job) if save else ZERO
         for attempt in list(job.all_attempts()):
             self.stop(attempt, grace, now)
@@ -239,7 +246,7 @@
     # -- placement records -----------------------------------------------------------------
 
     def placements_written(self, key: str, attempts: Iterable[Attempt], now: timedelta) -> None:
-        """Take in that the state service holds a record under ``key`` naming these attempts."""
+        """Note that the state service holds a record under ``key`` naming these attempts."""
         remaining = self.records.setdefault(key, OrderedSet())
         for attempt in attempts:
             machine = self.machines.get(attempt.machine)
@@ -255,7 +262,7 @@
             self.unwritten.pop(attempt, None)
 
     def record_gone(self, key: str) -> None:
-        """Take in that the state service holds no such record: its attempts are written anew."""
+        """Note that the state service holds no such record: its attempts are written again."""
         self.stale_records.pop(key, None)
         for attempt in self.records.pop(key, OrderedSet()):
             attempt.record = None
@@ -274,7 +281,7 @@
         return job is not None and (not job.over or job.may_start)
 
     def usage(self) -> dict[str, tuple[float, float]]:
-        """Return (CPUs, GPUs) by team of everything that may be on a machine."""
+        """Return the (CPUs, GPUs) by team of everything that may be on a machine."""
         used: dict[str, list[float]] = {name: [0.0, 0.0] for name in self.teams}
         for job in self.jobs.values():
             count = sum(len(attempts) for attempts in job.attempts.values())
@@ -285,14 +292,14 @@
         return {name: (amounts[0], amounts[1]) for name, amounts in used.items()}
 
     def held(self) -> Counter[InstanceOffer]:
-        """Return how many machines of each offer are known."""
+        """Return the number of known machines of each offer."""
         return Counter(
             InstanceOffer(machine.machine_type, machine.zone, machine.spot)
             for machine in self.machines.values()
         )
 
     def zones_of(self, job: Job) -> Counter[str]:
-        """Return how many attempts of the job each zone has."""
+        """Return the number of the job's attempts in each zone."""
         zones: Counter[str] = Counter()
         for attempt in job.all_attempts():
             machine = self.machines.get(attempt.machine)
@@ -308,9 +315,9 @@
 def placeholder_job(
     job_id: str, team: str = "", cpus: float = 0.0, gpus: float = 0.0, memory_gb: float = 0.0
 ) -> Job:
-    """Return a stand-in for a job that is over, of which a task may still be on a machine.
+    """Return a stand-in for a job that is over but may still have tasks on machines.
 
-    ``team`` and amounts, where known: what each of its tasks counts for.
+    ``team`` and the amounts, where known, are what each of its tasks counts for.
     """
     spec = Submission(
         job_id, "", team, Shape.ARRAY, Priority.LOW, 0, cpus, gpus, memory_gb, "", 0.0,
--- a/micadeal/scheduling/cycle_data.py
+++ b/micadeal/scheduling/cycle_data.py
@@ -1,4 +1,4 @@
-"""What a scheduling cycle is given, and what it hands on to preemption."""
+"""Inputs of a scheduling cycle, and the data that it passes on to preemption."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 from micadeal.sharing.starvation import StarvationTimer
 
 if TYPE_CHECKING:
-    # Imported at run time only where timing is switched on: other deployments start without it.
+    # Imported at run time only if deferral is switched on; other deployments start without it.
     from micadeal.scheduling.deferral import Deferral
 
-#: A team and a resource.
+#: Name of a team and of a resource.
 TeamResource = tuple[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class CycleInputs:
-    """Everything that one cycle depends on."""
+    """Everything that one scheduling cycle depends on."""
 
     cluster: ClusterState
     instance_offers: InstanceOffers
     policy: Policy
-    #: Starvation timers; kept from cycle to cycle and updated by preemption.
+    #: Starvation timers; kept between cycles and updated by preemption.
     timers: dict[TeamResource, StarvationTimer]
     now: timedelta
-    #: Work that warm capacity is kept for.
+    #: Expected work, for which warm capacity is kept.
     expected: tuple[ExpectedWork, ...]
-    #: Whether machines may be rented; not before the present ones are counted.
+    #: Whether machines may be rented; False until the existing ones have been counted.
     may_rent: bool
-    #: Machines asked for whose rental is not answered yet: they count as booting.
+    #: Machines in rental requests that the cloud has not answered; they count as booting.
     pending_rentals: Counter[InstanceOffer]
-    #: Defers flexible work to better hours; None where timing is switched off.
+    #: Defers flexible work to better hours; None if deferral is switched off.
     deferral: Deferral | None = None
-    #: Teams whose last start went to their longest waiting job; kept from cycle to cycle.
+    #: Teams whose last start went to their longest waiting job; kept between cycles.
     served_by_age: set[str] = field(default_factory=set)
 
 
 @dataclass(frozen=True, slots=True)
 class CycleFindings:
-    """What placement leaves to preemption, the last step of a cycle."""
+    """Outcome of placement, passed on to preemption, the last step of a cycle."""
 
     inputs: CycleInputs
     plan: Plan
-    #: How many machines there are in each zone, with those that boot or are planned.
+    #: Number of machines in each zone, including those that are booting or planned.
     machines_by_zone: Counter[str]
     #: Jobs with tasks that found no capacity, in the order in which they were considered.
     unplaced: list[Job]
-    #: Every spot offer was refused lately.
+    #: Every spot offer was refused recently.
     spot_scarce: bool
--- a/micadeal/scheduling/draining.py
+++ b/micadeal/scheduling/draining.py
@@ -1,4 +1,4 @@
-"""Draining of machines that the cloud has announced to reclaim."""
+"""Drains machines with a reclaim notice from the cloud."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 
 def drain_reclaimed_machines(cluster: ClusterState, now: timedelta) -> None:
-    """Stop tasks on machines with a reclaim notice, while there is time to save.
+    """Stop tasks on machines with a reclaim notice while there is time to save.
 
-    What can neither save nor end in time is stopped at once: its work is lost in any case, and so
-    it starts elsewhere sooner.
+    A task that can neither save nor end in time is stopped immediately: its work is lost in any
+    case, and this way it starts elsewhere sooner.
     """
     for machine in list(cluster.machines.values()):
         if machine.reclaim_expected_at is None:
             continue
-        left = machine.reclaim_expected_at - now
+        remaining = machine.reclaim_expected_at - now
         for attempt in list(machine.attempts.values()):
             job = cluster.jobs[attempt.job_id]
             if attempt.stop is not None or job.over:
                 continue
-            if job.can_save and left >= job.save_time:
+            if job.can_save and remaining >= job.save_time:
                 if job.is_gang:
                     cluster.stop_job(job, now, save=True)
                 else:
                     cluster.stop(attempt, grace_to_save(job), now)
-            elif not job.is_gang and not _ends_within(job, attempt, left, now):
+            elif not job.is_gang and not _ends_within(job, attempt, remaining, now):
                 cluster.stop(attempt, ZERO, now)
 
 
-def _ends_within(job: Job, attempt: Attempt, left: timedelta, now: timedelta) -> bool:
-    """Return whether a task is likely to be done by then, as far as its owner's estimate tells."""
+def _ends_within(job: Job, attempt: Attempt, remaining: timedelta, now: timedelta) -> bool:
+    """Return whether a task is likely to complete in the remaining time, by its estimate."""
     if attempt.running_since is None or job.is_service:
         return False
-    return attempt.running_since + seconds(job.spec.estimate_s) <= now + left
+    return attempt.running_since + seconds(job.spec.estimate_s) <= now + remaining
--- a/micadeal/scheduling/machine_inventory.py
+++ b/micadeal/scheduling/machine_inventory.py
@@ -1,4 +1,4 @@
-"""What the cloud lists, rents and takes back: the leader's side of scale out and scale in."""
+"""Machines that the cloud lists, rents and takes back: the leader's side of scaling out and in."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from micadeal.scheduling.scale_in import ReturnReason
 from micadeal.wire.cloud import ListedMachine, RentalRequest
 
-#: Machines asked for in one request.
+#: Most machines in one rental request.
 MAX_PER_RENTAL = 50
 #: Status of a machine in the cloud's list.
 LISTED_BOOTING = "booting"
@@ -23,23 +23,23 @@
 
 
 class MachineInventory:
-    """Keeps the machines of the cluster state in line with the cloud's answers."""
+    """Keeps the machines of the cluster state consistent with the cloud's answers."""
 
     def __init__(self, cluster: ClusterState, instance_offers: InstanceOffers) -> None:
         self._cluster = cluster
         self._offers = instance_offers
         #: Whether the cloud's list has been read in this term.
         self.listed = False
-        #: Rental requests that are not answered yet, one for each offer at most.
+        #: Rental requests that the cloud has not answered yet, at most one for each offer.
         self.rentals: dict[InstanceOffer, RentalRequest] = {}
-        #: Machines to be returned; each stays until the cloud confirms.
+        #: Machines to be returned; each stays here until the cloud confirms its return.
         self.releases: set[str] = set()
         self._rental_count = 0
 
     # -- the cloud's list ------------------------------------------------------------------
 
     def on_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
-        """Take in the cloud's list of all machines."""
+        """Apply the cloud's list of all machines."""
         self.listed = True
         present: set[str] = set()
         for entry in listed:
@@ -54,7 +54,7 @@
         rented = now - seconds(entry.age_s)
         machine = self._cluster.machines.get(entry.name)
         if machine is None:
-            # Rented by an earlier leader, or by a request that was executed late.
+            # Rented by an earlier leader, or by a request that the cloud executed late.
             machine = Machine(
                 entry.name,
                 entry.address,
@@ -77,11 +77,11 @@
     # -- scale out -------------------------------------------------------------------------
 
     def pending_rentals(self) -> Counter[InstanceOffer]:
-        """Return how many machines are asked for, by offer."""
+        """Return the number of machines in unanswered rental requests, by offer."""
         return Counter({offer: request.count for offer, request in self.rentals.items()})
 
     def request_rentals(self, wanted: Counter[InstanceOffer]) -> None:
-        """Make requests for these machines, where none is under way for their offer."""
+        """Create rental requests for the offers that have none pending."""
         for offer, count in wanted.most_common():
             if offer in self.rentals:
                 continue
@@ -95,7 +95,7 @@
             )
 
     def rented(self, request: RentalRequest, names: list[str], now: timedelta) -> None:
-        """Take in a granted request; fewer machines than asked for count as a refusal of more."""
+        """Apply a granted request; fewer machines than requested count as a refusal of more."""
         offer = _offer_of(request)
         self.rentals.pop(offer, None)
         self._offers.granted(offer)
@@ -114,7 +114,7 @@
         self._cluster.changed = True
 
     def rental_refused(self, request: RentalRequest, now: timedelta) -> None:
-        """Take in a refused request."""
+        """Apply a refused request."""
         offer = _offer_of(request)
         self.rentals.pop(offer, None)
         self._offers.refused(offer, self._cluster.held()[offer], now)
@@ -123,9 +123,9 @@
     # -- scale in --------------------------------------------------------------------------
 
     def return_again(self, names: Iterable[str], now: timedelta) -> None:
-        """Ask the cloud once more to take back machines that an earlier leader was returning.
+        """Request again the return of machines that an earlier leader was returning.
 
-        Its answer makes certain at once what would otherwise take until their leases expire.
+        The cloud's answer proves that their tasks are gone before their leases expire.
         """
         for name in names:
             machine = self._cluster.machines.get(name)
@@ -133,13 +133,13 @@
                 self.release(machine, ReturnReason.RETURNED_EARLIER, now)
 
     def release(self, machine: Machine, reason: str, now: timedelta) -> None:
-        """Have the machine returned."""
+        """Request the return of the machine."""
         machine.draining = reason
         machine.release_requested = now
         self.releases.add(machine.name)
 
     def released(self, names: Iterable[str], now: timedelta) -> None:
-        """Take in the cloud's confirmation that these machines are gone."""
+        """Remove machines after the cloud has confirmed that they are gone."""
         for name in names:
             self.releases.discard(name)
             machine_loss.remove_machine(self._cluster, name, now)
--- a/micadeal/scheduling/machine_loss.py
+++ b/micadeal/scheduling/machine_loss.py
@@ -1,4 +1,4 @@
-"""Machines whose lease has expired, and those that the cloud has removed."""
+"""Handles machines whose lease has expired, and machines that the cloud has removed."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 log = logging.getLogger(__name__)
 
-#: Names of removed machines that are remembered; the earliest is forgotten.
+#: Most names of removed machines that are kept; the oldest is dropped first.
 MAX_REMOVED_MACHINES = 20_000
 
 
 def expire_leases(cluster: ClusterState, now: timedelta) -> None:
-    """Free the tasks of machines that were silent for longer than their lease.
+    """Release the attempts on machines that were silent for longer than their lease.
 
-    Only of workers that have shown our token: no other leader can have answered them since.
+    This covers only workers that have shown this leader's token: no other leader can have renewed
+    their lease since.
     """
     limit = cluster.lease_expiry
     for machine in list(cluster.machines.values()):
@@ -38,7 +39,7 @@
 
 
 def remove_machine(cluster: ClusterState, name: str, now: timedelta) -> None:
-    """Take in that the cloud has confirmed the end of a machine, and of everything on it."""
+    """Remove a machine, and all on it, after the cloud has confirmed that it is gone."""
     cluster.removed_machines[name] = now
     if len(cluster.removed_machines) > MAX_REMOVED_MACHINES:
         del cluster.removed_machines[next(iter(cluster.removed_machines))]
@@ -51,7 +52,7 @@
 
 
 def lose_all_attempts(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
-    """Remove everything that was on a machine, or could have been started there."""
+    """Remove all attempts that were on a machine, or could have been started there."""
     for attempt in list(machine.attempts.values()):
         lose_attempt(cluster, machine, attempt, now)
     machine.exited.clear()
--- a/micadeal/scheduling/machine_monitor.py
+++ b/micadeal/scheduling/machine_monitor.py
@@ -1,4 +1,4 @@
-"""Care for machines at each tick: returning, draining faulty ones, and what to ask workers."""
+"""Checks machines at each tick: returns them, drains faulty ones, and requests worker contact."""
 
 from __future__ import annotations
 
@@ -14,50 +14,51 @@
 
 log = logging.getLogger(__name__)
 
-#: A machine is faulty with so many points.
+#: Points from which a machine counts as faulty.
 FAULTY_POINTS = 3
-#: Points of a job that failed on it and has run elsewhere for ``PROVEN_AFTER``.
+#: Points for a job that failed on the machine and has run elsewhere for ``PROVEN_AFTER``, or has a
+#: finished task.
 PROVEN_JOB_POINTS = 2
 PROVEN_AFTER = seconds(5)
-#: Points of a job of which nothing else is known.
+#: Points for any other job that failed on the machine.
 UNPROVEN_JOB_POINTS = 1
-#: Errors of a single job say nothing about the machine.
+#: Errors of fewer jobs than this say nothing about the machine.
 MIN_FAILED_JOBS = 2
-#: Direct commands to a machine are so far apart.
+#: Shortest time between two direct commands to one machine.
 DIRECT_COMMAND_INTERVAL = seconds(2)
 
 
 class MachineMonitor:
-    """Checks all machines; called at each tick."""
+    """Checks all machines at each tick."""
 
     def __init__(self, cluster: ClusterState, inventory: MachineInventory, now: timedelta) -> None:
         self._cluster = cluster
         self._inventory = inventory
         self._scale_in = ScaleIn(cluster, now)
-        #: When each machine may get direct commands again.
+        #: Earliest time of the next direct command to each machine.
         self._direct_due: dict[str, timedelta] = {}
 
     def observe_from(self, now: timedelta) -> None:
-        """Count silence of machines anew from now: this process was stalled before."""
+        """Restart the count of each machine's silence, since this process was stalled until now."""
         self._scale_in.observe_from(now)
 
     def check(self, plan: Plan, now: timedelta) -> None:
-        """Return, drain, command or probe each machine where that is due.
+        """Return, drain, command or probe each machine for which that is due.
 
-        ``plan``: of the last cycle; machines that it needs are kept.
+        ``plan`` is the plan of the last scheduling cycle; machines that it needs are kept.
         """
         lease_expiry = self._cluster.lease_expiry
-        heard = receives_nothing = 0
+        reporting = unreachable = 0
         for machine in list(self._cluster.machines.values()):
             if machine.heard is not None and now - machine.heard <= lease_expiry:
-                heard += 1
-                receives_nothing += machine.reachability.receives_nothing
+                reporting += 1
+                unreachable += machine.reachability.receives_nothing
             if machine.release_requested is None:
                 self._return_or_drain(machine, plan, now)
                 self._request_contact(machine, now)
         for name in self._cluster.pending_direct_commands:
             self._direct_due[name] = now + DIRECT_COMMAND_INTERVAL
-        self._scale_in.note_reachability(heard, receives_nothing)
+        self._scale_in.note_reachability(reporting, unreachable)
 
     def _return_or_drain(self, machine: Machine, plan: Plan, now: timedelta) -> None:
         reason = self._scale_in.return_reason(machine, plan, now)
@@ -76,11 +77,11 @@
             self._cluster.changed = True
 
     def _request_contact(self, machine: Machine, now: timedelta) -> None:
-        """Have the machine sent direct commands, or asked for its state, where that is due."""
-        # The first direct command shows a worker our fencing token.  It can be lost, or be refused
-        # since the worker is in another incarnation: unless it is repeated, an earlier leader that
-        # lost the state service alone could go on answering the worker, and its tasks would be out
-        # of our reach.
+        """Request direct commands to the machine, or a probe of it, where that is due."""
+        # The first direct command shows a worker this leader's fencing token.  It can be lost, or a
+        # worker in another incarnation can refuse it, so it is repeated.  Otherwise an earlier
+        # leader that lost only the state service could keep answering the worker, and this leader
+        # could not stop its tasks.
         lacks_token = bool(machine.attempts) and not machine.has_our_token
         if (lacks_token or _has_stopping_task(machine)) and now >= self._direct_due.get(
             machine.name, ZERO
@@ -88,15 +89,15 @@
             self._cluster.pending_direct_commands.add(machine.name)
         reachability = machine.reachability
         if reachability.missed and reachability.receives_nothing and reachability.may_probe(now):
-            # Its answer proves that it receives what we send again.
+            # An answer proves that it receives messages again.
             self._cluster.pending_probes.add(machine.name)
 
     def is_faulty(self, machine: Machine, now: timedelta) -> bool:
-        """Return whether errors of several jobs on one machine point to the machine.
+        """Return whether errors of several jobs on the machine suggest that it is faulty.
 
-        Guards against draining machines for jobs that were submitted with a mistake: a job that
-        fails elsewhere as well says nothing about a machine, and one that runs elsewhere says more
-        than one of which nothing else is known.
+        Guards against draining machines because of jobs that were submitted with a mistake.  A job
+        that also fails elsewhere says nothing about the machine.  A job that works elsewhere says
+        more than a job of which nothing else is known.
         """
         if len(machine.errors) < MIN_FAILED_JOBS:
             return False
@@ -113,7 +114,7 @@
 
 
 def _has_stopping_task(machine: Machine) -> bool:
-    # A loop, since a generator costs more than everything else that a tick does for most machines.
+    # A loop: for most machines a generator would cost more than the rest of the tick.
     for attempt in machine.attempts.values():  # noqa: SIM110 - see above
         if attempt.stop is not None:
             return True
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciling the cluster state with a heartbeat, or with a worker's answer to a command."""
+"""Reconciles the cluster state with a heartbeat, or with a worker's answer to a command."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from micadeal.scheduling.attempts import lose_attempt
 from micadeal.scheduling.cluster_state import ClusterState, StaleTokenError
 from micadeal.scheduling.reported_tasks import reconcile_tasks
-from micadeal.scheduling.response_effects import assess_last_response, withdraw_unseen_starts
+from micadeal.scheduling.response_effects import assess_last_response, withdraw_unconfirmed_starts
 from micadeal.scheduling.scale_in import ReturnReason
 from micadeal.wire.workers import Heartbeat
 
 log = logging.getLogger(__name__)
 
-#: After so many heartbeat intervals without a newer message, a worker whose messages look old is
-#: probed.
+#: A worker whose messages look old is probed after this many heartbeat intervals without a newer
+#: message.
 PROBE_AFTER_INTERVALS = 1.5
-#: Latest end of a machine that an announcement is taken for, in seconds from now.
+#: Longest accepted time until a machine is reclaimed, in seconds; longer notices are cut to it.
 MAX_NOTICE_S = 1e6
 
 
@@ -31,14 +31,14 @@
     is_heartbeat: bool,
     asked: timedelta | None = None,
 ) -> Machine | None:
-    """Take in a message of a worker and return its machine.
+    """Apply a message of a worker to the cluster state and return its machine.
 
-    ``is_heartbeat``: the worker sent it by itself; False for an answer to a command, which was sent
-    at ``asked``.
+    ``is_heartbeat`` is True if the worker sent the message by itself.  It is False for an answer to
+    a command, which was sent at ``asked``.
 
-    Returns None if the message is of a machine that is gone for good, or older than one taken in
-    already: it must not be answered as if it were new.  Raises ``StaleTokenError`` if it shows the
-    token of a later leader.
+    Returns None if the machine is permanently gone, or if the message is older than one already
+    applied: the caller must not answer it as a new one.  Raises ``StaleTokenError`` if the message
+    shows the token of a later leader.
     """
     if heartbeat.token > cluster.token:
         raise StaleTokenError(heartbeat.machine, heartbeat.token, cluster.token)
@@ -49,31 +49,31 @@
         machine = _add_unknown_machine(cluster, heartbeat, now)
     reachability = machine.reachability
     if reachability.restarted or _looks_older(machine, heartbeat):
-        _take_old_message(cluster, machine, heartbeat, now, is_heartbeat, asked)
+        _handle_old_message(cluster, machine, heartbeat, now, is_heartbeat, asked)
         return None
     if machine.lease_expired and heartbeat.incarnation == machine.incarnation:
-        # Guards against copies that bring back machines which are gone: after its lease a worker
-        # that is there reports its next incarnation.  What the message shows still counts as
+        # Guards against late copies that make a lost machine look alive: a live worker reports its
+        # next incarnation once its lease has expired.  The tasks in the message still count as
         # possibly running.
         is_heartbeat = False
     if machine.up_since is None:
         _mark_up(cluster, machine, now)
     assess_last_response(cluster, machine, heartbeat, now, is_heartbeat)
-    _take_position(cluster, machine, heartbeat)
+    _update_position(cluster, machine, heartbeat)
     reachability.record_message(heartbeat.token, now)
     if asked is not None:
         reachability.probe_answered(asked)
     if is_heartbeat:
-        _take_sign_of_life(cluster, machine, now)
-    _take_notice(cluster, machine, heartbeat, now)
+        _record_heartbeat(cluster, machine, now)
+    _update_reclaim_notice(cluster, machine, heartbeat, now)
     if reachability.receives_nothing:
-        withdraw_unseen_starts(cluster, machine, now)
+        withdraw_unconfirmed_starts(cluster, machine, now)
     reconcile_tasks(cluster, machine, heartbeat, now, is_heartbeat)
     return machine
 
 
 def _add_unknown_machine(cluster: ClusterState, heartbeat: Heartbeat, now: timedelta) -> Machine:
-    """Add a machine known from a heartbeat alone: a late rental, or one of an earlier leader."""
+    """Add a machine known only from a heartbeat: a late rental, or one of an earlier leader."""
     machine = Machine(
         heartbeat.machine,
         heartbeat.address,
@@ -89,16 +89,16 @@
 
 
 def _looks_older(machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Tell whether a message looks older than one taken in before.
+    """Tell whether a message looks older than one already applied.
 
-    Within one worker process incarnation, sequence and token only grow.
+    Within one worker process, incarnation, sequence and token never decrease.
     """
     latest = (machine.incarnation, machine.sequence)
     shown = (heartbeat.incarnation, heartbeat.sequence)
     return shown <= latest or heartbeat.token < machine.reachability.token
 
 
-def _take_old_message(
+def _handle_old_message(
     cluster: ClusterState,
     machine: Machine,
     heartbeat: Heartbeat,
@@ -106,35 +106,37 @@
     is_heartbeat: bool,
     asked: timedelta | None,
 ) -> None:
-    """Handle a message that was held up by the network, or is a copy; or the worker was restarted.
+    """Handle a message that looks old: delayed, duplicated, or sent by a restarted worker.
 
-    Its list of tasks is as old as itself: nothing is renewed, freed or brought back by it.
+    Its list of tasks may be out of date.  Unless it proves a restart, the message renews no lease
+    and neither releases nor adds attempts.
     """
     reachability = machine.reachability
     if reachability.proves_restart(asked):
-        _take_restart(cluster, machine, heartbeat, now)
+        _handle_worker_restart(cluster, machine, heartbeat, now)
     elif is_heartbeat and not reachability.restarted and _needs_probe(cluster, machine, now):
         cluster.pending_probes.add(machine.name)
 
 
 def _needs_probe(cluster: ClusterState, machine: Machine, now: timedelta) -> bool:
-    """Tell whether messages that look old may be all that this worker sends.
+    """Tell whether this worker may be sending nothing but messages that look old.
 
-    Otherwise the message is a copy: many copies are no reason to probe hundreds of machines.
+    If newer messages arrived recently, this one is a late copy.  Many late copies are no reason to
+    probe hundreds of machines.
     """
     latest = machine.reachability.latest
     overdue = cluster.workers.heartbeat_interval * PROBE_AFTER_INTERVALS
     return (latest is None or now - latest > overdue) and machine.reachability.may_probe(now)
 
 
-def _take_restart(
+def _handle_worker_restart(
     cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, now: timedelta
 ) -> None:
-    """Take in that the worker process was restarted, as its answer to a probe proves.
+    """Handle a restart of the worker process, as proven by its answer to a probe.
 
-    What the answer does not show is gone, and the machine is returned.  Guards against tasks that
-    are thought to run for as long as the sequence of the new process is below that of the one
-    before it, and against what copies of the latter's heartbeats would seem to show.
+    Tasks that the answer does not show are gone, and the machine is returned.  Guards against tasks
+    that seem to run while the sequence of the new process is below that of the previous one, and
+    against late copies of the previous process's heartbeats.
     """
     if not machine.reachability.restarted:
         log.info("worker restarted: machine=%s zone=%s", machine.name, machine.zone)
@@ -145,10 +147,10 @@
     for attempt in list(machine.attempts.values()):
         if (attempt.task, attempt.number) in shown:
             cluster.stop(attempt, ZERO, now)
-        elif cluster.is_ours(attempt) or heartbeat.token == cluster.token:
-            # We order no start as long as heartbeats look old.  A start by an earlier leader may be
-            # on its way to a worker that does not know our token: there only the return of the
-            # machine makes certain.
+        elif cluster.placed_by_this_leader(attempt) or heartbeat.token == cluster.token:
+            # This leader sends no start while heartbeats look old.  A start by an earlier leader
+            # may be in transit to a worker that has not seen this leader's token.  In that case
+            # only the return of the machine proves that the attempt can't run.
             lose_attempt(cluster, machine, attempt, now)
     cluster.changed = True
 
@@ -161,29 +163,29 @@
     cluster.changed = True
 
 
-def _take_position(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> None:
-    """Take over incarnation, sequence, address, and whether the worker knows our token."""
+def _update_position(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> None:
+    """Copy incarnation, sequence, address, and whether the worker has this leader's token."""
     if heartbeat.incarnation > machine.incarnation:
         machine.exited.clear()
     machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
     machine.address = heartbeat.address
-    had_our_token = machine.has_our_token
+    had_token = machine.has_our_token
     machine.has_our_token = heartbeat.token == cluster.token
-    if machine.has_our_token and not had_our_token:
+    if machine.has_our_token and not had_token:
         cluster.changed = True
 
 
-def _take_sign_of_life(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
+def _record_heartbeat(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
     machine.heard = now
     if machine.lease_expired:
         machine.lease_expired = False
         cluster.changed = True
 
 
-def _take_notice(
+def _update_reclaim_notice(
     cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, now: timedelta
 ) -> None:
-    """Take over when the cloud is going to take the machine away, if that is announced."""
+    """Update when the cloud is going to reclaim the machine, if it gave notice."""
     if heartbeat.notice_s is None:
         machine.reclaim_expected_at = None
         return
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -1,4 +1,4 @@
-"""Reconciling the attempts on a machine with the tasks that its newest heartbeat shows."""
+"""Reconciles the attempts on a machine with the tasks that its newest heartbeat shows."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 log = logging.getLogger(__name__)
 
-#: A task of a service that has run for so long does not fail by a mistake of its job.
+#: A service task that has run for longer than this shows that its job is not at fault.
 PROVEN_RUN_TIME = seconds(30)
-#: Delay before a job is tried again after an error, doubled with each further failure.
+#: Delay before a job is retried after an error; doubled with each further failure.
 FIRST_RETRY_DELAY = seconds(2)
 MAX_RETRY_DELAY = seconds(90)
 MAX_RETRY_DOUBLINGS = 6
-#: So many failures on one machine are no reason to delay the job: the machine may be faulty.
+#: Up to this many failures on a single machine don't delay the job: the machine may be faulty.
 MAX_UNDELAYED_FAILURES = 2
 
-#: Causes of an exit, as workers spell them.
+#: Causes of an exit, as workers report them.
 CAUSE_DONE = "done"
 CAUSE_ERROR = "error"
 CAUSE_UNKNOWN = "unknown"
@@ -39,9 +39,9 @@
     now: timedelta,
     is_heartbeat: bool,
 ) -> None:
-    """Take in the tasks that a message shows, and release what it proves to be gone.
+    """Apply the tasks that a message shows, and release attempts that it proves to be gone.
 
-    ``is_heartbeat``: False for an answer to a command, which proves less.
+    ``is_heartbeat`` is False for an answer to a command, which proves less.
     """
     shown: set[AttemptKey] = set()
     exited: set[ReportedTask] = set()
@@ -49,18 +49,18 @@
         try:
             job_id, index = _parse_task_id(task.task)
         except ValueError:
-            log.warning("unreadable task id: machine=%s task=%r", machine.name, task.task)
+            log.warning("invalid task id in heartbeat: machine=%s task=%r", machine.name, task.task)
             continue
         key = (job_id, index, task.attempt)
         shown.add(key)
         if task.state == TaskState.EXITED.value:
             exited.add((task.task, task.attempt))
-            _take_exit(cluster, machine, key, task, now)
+            _handle_exit(cluster, machine, key, task, now)
         else:
             state = _STATES.get(task.state, TaskState.RUNNING)
-            _take_state(cluster, machine, key, state, now)
-    for forgotten in [task for task in machine.exited if task not in exited]:
-        del machine.exited[forgotten]
+            _update_task_state(cluster, machine, key, state, now)
+    for no_longer_reported in [task for task in machine.exited if task not in exited]:
+        del machine.exited[no_longer_reported]
     for attempt in [a for key, a in machine.attempts.items() if key not in shown]:
         if _absent_for_good(cluster, attempt, machine, is_heartbeat):
             if attempt.state is None:
@@ -70,70 +70,70 @@
 
 
 def _parse_task_id(text: str) -> tuple[str, int]:
-    """Split ``<job id>/<index>``; raises ``ValueError`` if it is not of that form."""
+    """Split ``<job id>/<index>``; raise ``ValueError`` for any other form."""
     job_id, _, index = text.rpartition("/")
     if not job_id or not index.isdigit():
-        raise ValueError(f"not a task: {text!r}")
+        raise ValueError(f"invalid task id: {text!r}")
     return job_id, int(index)
 
 
 def _absent_for_good(
     cluster: ClusterState, attempt: Attempt, machine: Machine, is_heartbeat: bool
 ) -> bool:
-    """Tell whether an attempt that the newest message does not show can't be started any more."""
+    """Tell whether an attempt that the newest message does not show can't run any more."""
     if attempt.state is not None:
-        # It was there and is not any more: killed with its incarnation, or forgotten.
+        # An earlier message showed it: it was killed with its incarnation, or forgotten.
         return True
-    if not cluster.is_ours(attempt):
-        # Its start could only come in a response of an earlier leader.  The worker drops those once
-        # it has seen our token; before that, a heartbeat that the network held up proves nothing.
-        # Guards ``ran_twice``: with two leaders, one late heartbeat would be enough.
+    if not cluster.placed_by_this_leader(attempt):
+        # Only a response of an earlier leader can start it.  The worker drops such responses once
+        # it has seen this leader's token; until then a delayed heartbeat proves nothing.
+        # Guards ``ran_twice``: with two leaders, one delayed heartbeat would break it.
         return machine.has_our_token
     if attempt.ordered is None:
         return False
     if not is_heartbeat:
-        # An answer to a command may be made while the response with the start is on its way.
+        # The worker may answer a command while the response with the start is in transit.
         return False
-    # The worker has one heartbeat in flight.  This one was sent after the response with the start
-    # had been taken or given up, and it does not show the task.  Unless the attempt is to be
-    # stopped, its start is simply ordered again.
+    # The worker has one heartbeat in flight at a time.  It sent a heartbeat newer than ``ordered``
+    # after it had processed or given up on the response with the start, and that heartbeat does not
+    # show the task.  An attempt that is not to be stopped stays: its start command is sent again.
     latest = (machine.incarnation, machine.sequence)
     return attempt.stop is not None and attempt.ordered < latest
 
 
-def _take_state(
+def _update_task_state(
     cluster: ClusterState,
     machine: Machine,
     key: AttemptKey,
     state: TaskState,
     now: timedelta,
 ) -> None:
-    """Take in a task that is on the machine and has not exited."""
+    """Apply the state of a task that is on the machine and has not exited."""
     job_id, index, _ = key
     attempt = machine.attempts.get(key)
     unknown = attempt is None
     if attempt is None:
         attempt = Attempt(*key, machine.name, now)
-        cluster.adopt(cluster.job_or_placeholder(job_id), machine, attempt)
+        cluster.add_attempt(cluster.job_or_placeholder(job_id), machine, attempt)
     job = cluster.jobs[job_id]
     if state is not attempt.state:
         if state is TaskState.RUNNING and attempt.running_since is None:
-            _note_running(machine, job, attempt, now)
+            _record_running(machine, job, attempt, now)
         attempt.state = state
-    if job.is_service and job.errors and _has_proven_itself(attempt, now):
-        # A service is never done: that it runs takes back what failed on faulty machines.
-        # Otherwise a replica lost later would not be replaced as long as another one runs.
+    if job.is_service and job.errors and _has_run_long_enough(attempt, now):
+        # A service task never completes, so a long run clears the errors of faulty machines.
+        # Otherwise a replica lost later would not be replaced while another one runs.
         job.errors.clear()
         job.retry_at = timedelta.min
     if not job.over:
         machine.images[job.spec.image] = now
     if unknown and (job.over or len(job.attempts[index]) > 1 or index in job.finished):
-        # Only now that its state is known: an attempt that no heartbeat has shown is taken for
-        # never started and would be released at once.
+        # Must follow the update of its state: ``stop`` immediately releases an attempt without a
+        # state, as one that was never started.
         cluster.stop(attempt, ZERO, now)
 
 
-def _note_running(machine: Machine, job: Job, attempt: Attempt, now: timedelta) -> None:
+def _record_running(machine: Machine, job: Job, attempt: Attempt, now: timedelta) -> None:
     attempt.running_since = now
     machine.free_capacity = None
     log.debug(
@@ -147,21 +147,21 @@
     )
 
 
-def _has_proven_itself(attempt: Attempt, now: timedelta) -> bool:
+def _has_run_long_enough(attempt: Attempt, now: timedelta) -> bool:
     return attempt.running_since is not None and now - attempt.running_since > PROVEN_RUN_TIME
 
 
-def _take_exit(
+def _handle_exit(
     cluster: ClusterState, machine: Machine, key: AttemptKey, task: TaskStatus, now: timedelta
 ) -> None:
-    """Take in a task that has exited; workers repeat it until they are told to forget it."""
+    """Apply the exit of a task, which workers report until they are told to forget it."""
     job_id, index, _ = key
     done = task.why == CAUSE_DONE
     reported = (task.task, task.attempt)
-    seen_before = reported in machine.exited
+    already_reported = reported in machine.exited
     attempt = machine.attempts.get(key)
     machine.exited[reported] = ExitedTask(job_id, index, done)
-    if seen_before and attempt is None:
+    if already_reported and attempt is None:
         return
     job = cluster.jobs.get(job_id)
     if job is not None and not job.over:
@@ -179,7 +179,7 @@
 def _collect_run_time(
     cluster: ClusterState, job: Job, attempt: Attempt | None, now: timedelta
 ) -> None:
-    """Remember how the run time of a completed task compares to its estimate, if it is wanted."""
+    """Collect the ratio of a completed task's run time to its estimate, if enabled."""
     since = None if attempt is None else attempt.running_since
     if cluster.completed_run_times is not None and since is not None and job.spec.estimate_s > 0:
         run_time_s = (now - since).total_seconds()
@@ -195,7 +195,7 @@
     job.errors.clear()
     job.retry_at = timedelta.min
     job.last_progress = now
-    # The tasks of a gang complete together: if one is done, every one is.
+    # The tasks of a gang complete together: if one is done, all are.
     indexes: Iterable[int] = range(job.spec.tasks) if job.is_gang else (index,)
     for finished in indexes:
         job.finish(finished)
@@ -204,13 +204,13 @@
 
 
 def _record_failure(job: Job, machine: Machine, task: TaskStatus, now: timedelta) -> None:
-    """Count an error against machine and job, and delay the job's next attempt if it is suspect."""
+    """Count an error of a job on a machine, and delay its next attempt if the job is suspect."""
     cause = task.why or CAUSE_UNKNOWN
     if cause == CAUSE_ERROR:
         machine.errors.add(job.id)
         job.errors[machine.name] += 1
-        # A job submitted with a mistake fails everywhere, stays below its share and would retake
-        # each freed slot (design, "Consequences"): it waits longer each time.
+        # A job submitted with a mistake fails on every machine.  It stays below its share and would
+        # take each slot that it frees again (design, "Consequences"), so it waits longer each time.
         failures = sum(job.errors.values())
         if len(job.errors) > 1 or failures > MAX_UNDELAYED_FAILURES:
             doublings = min(failures - MAX_UNDELAYED_FAILURES, MAX_RETRY_DOUBLINGS)
--- a/micadeal/scheduling/response_effects.py
+++ b/micadeal/scheduling/response_effects.py
@@ -1,7 +1,7 @@
-"""Judging from a heartbeat whether the last response to its worker arrived.
+"""Tells from a heartbeat whether the last response to its worker arrived.
 
-Guards against one-way partitions, in which a machine is given one start after the other and runs
-none.  A response counts by its effect alone, never by having been sent (docs/safety.md).
+Guards against one-way partitions, in which a machine is sent one start command after the other and
+runs none.  A response counts only by its effect, never by having been sent (docs/safety.md).
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
     now: timedelta,
     is_heartbeat: bool,
 ) -> None:
-    """Record what a message shows of the last response, before it is taken over into ``machine``.
+    """Record whether a message shows an effect of the last response.
 
-    ``is_heartbeat``: False for an answer to a command.
+    Called before the message is applied to ``machine``.  ``is_heartbeat`` is False for an answer to
+    a command.
     """
     shows_our_token = heartbeat.token == cluster.token
     starts = [
@@ -39,16 +40,16 @@
         and machine.has_our_token
         and heartbeat.incarnation == machine.incarnation
     ):
-        # Nothing was asked for that could show.
+        # The last response asked for nothing that a message could show.
         return
     reachability = machine.reachability
-    reported = {(task.task, task.attempt) for task in heartbeat.tasks}
-    started = any((attempt.task, attempt.number) in reported for attempt in starts)
+    shown = {(task.task, task.attempt) for task in heartbeat.tasks}
+    started = any((attempt.task, attempt.number) in shown for attempt in starts)
     if started or (shows_our_token and not machine.has_our_token):
         reachability.response_took_effect()
         return
     if not is_heartbeat or machine.heard is None:
-        # It may have been sent while the response was on its way.
+        # The message may have been sent while the response was in transit.
         return
     latest = (machine.incarnation, machine.sequence)
     start_missing = any(attempt.ordered == latest and attempt.stop is None for attempt in starts)
@@ -63,14 +64,18 @@
         cluster.changed |= reachability.receives_nothing
 
 
-def withdraw_unseen_starts(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
-    """Stop the starts that an unreachable machine has not shown, so that they go elsewhere.
+def withdraw_unconfirmed_starts(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
+    """Stop attempts whose start an unreachable machine has not shown, so that they go elsewhere.
 
-    They are released by the ways that are certain: once a newer heartbeat, sent after the response
-    with the start, does not show them.  A gang is withdrawn as a whole: the rest of it would wait
-    in vain.
+    Each is released only when that is certainly safe: once a heartbeat that was sent after the
+    response with the start does not show it.  A gang is withdrawn as a whole, since its other tasks
+    would wait for the missing one.
     """
     for attempt in list(machine.attempts.values()):
-        if attempt.state is None and cluster.is_ours(attempt) and attempt.stop is None:
+        if (
+            attempt.state is None
+            and cluster.placed_by_this_leader(attempt)
+            and attempt.stop is None
+        ):
             stop_gang_members(cluster, attempt, now)
             cluster.stop(attempt, ZERO, now)
--- a/micadeal/scheduling/slot_forecast.py
+++ b/micadeal/scheduling/slot_forecast.py
@@ -1,4 +1,4 @@
-"""Forecast of when machines have free slots for a job, if nothing is added to them."""
+"""Forecasts when machines have free slots for a job, if no other work is placed on them."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from micadeal.sharing.order import RANK
 from micadeal.wire.users import Priority
 
-LOW = RANK[Priority.LOW]
-#: Remaining time of a task that is being stopped, in seconds.
+LOW_RANK = RANK[Priority.LOW]
+#: Assumed remaining time of a task that is being stopped, in seconds.
 STOPPING_S = 5.0
-#: Added to a task that still fetches its image, in seconds.
+#: Added to the remaining time of a task that does not run yet, for its image fetch, in seconds.
 FETCHING_S = 15.0
-#: Remaining time of a task past its estimate, as a share of its running time.
+#: Assumed remaining time of a task past its estimate, as a share of its running time.
 OVERDUE_SHARE = 0.5
 
 
 def slots_needed(job: Job) -> int:
-    """Return how many slots the job needs before any of its tasks starts."""
+    """Return how many slots the job needs before any of its tasks can start."""
     return job.spec.tasks if job.is_gang else 1
 
 
 class SlotForecast:
-    """The forecast at one instant, by the owners' estimates of running time."""
+    """The forecast at one instant, based on the users' run time estimates."""
 
     def __init__(self, cluster: ClusterState, now: timedelta) -> None:
         self._cluster = cluster
@@ -39,7 +39,8 @@
     def free_at(self, machine: Machine, job: Job) -> list[float]:
         """Return in how many seconds each slot becomes free, soonest first.
 
-        What does not end by itself, or is urgent itself, stays.
+        Services and production tasks are assumed to stay, unless they are being stopped or their
+        job is over.
         """
         kind = self._cluster.types.get(machine.machine_type)
         spec = job.spec
@@ -53,47 +54,47 @@
             memory_gb -= other.memory_gb
         ending = self._ending(machine, job)
         needed = slots_needed(job)
-        result: list[float] = []
-        at = 0.0
+        slot_times: list[float] = []
+        time_s = 0.0
         while True:
             while fits_into(spec, cpus, gpus, memory_gb):
-                result.append(at)
+                slot_times.append(time_s)
                 cpus -= spec.cpus
                 gpus -= spec.gpus
                 memory_gb -= spec.memory_gb
-                if len(result) >= needed:
-                    return result
+                if len(slot_times) >= needed:
+                    return slot_times
             if not ending:
-                return result
-            at, ended = ending.pop(0)
+                return slot_times
+            time_s, ended = ending.pop(0)
             cpus += ended.spec.cpus
             gpus += ended.spec.gpus
             memory_gb += ended.spec.memory_gb
 
     def _ending(self, machine: Machine, job: Job) -> list[tuple[float, Job]]:
-        """Return the tasks that end, as (seconds left, job), soonest first."""
+        """Return the tasks that are expected to end, as (seconds left, job), soonest first."""
         ending: list[tuple[float, Job]] = []
         for attempt in machine.attempts.values():
             other = self._cluster.jobs[attempt.job_id]
-            left = _seconds_left(other, attempt, self._now)
-            if left is None:
+            remaining_s = _seconds_left(other, attempt, self._now)
+            if remaining_s is None:
                 continue
-            if other.rank > job.rank and other.rank == LOW:
-                # Low work is preempted at once (scheduling/preemption_demand.py).
-                left = min(left, STOPPING_S + other.spec.save_s)
-            ending.append((left, other))
+            if other.rank > job.rank and other.rank == LOW_RANK:
+                # Low-priority work is preempted immediately (scheduling/preemption_demand.py).
+                remaining_s = min(remaining_s, STOPPING_S + other.spec.save_s)
+            ending.append((remaining_s, other))
         ending.sort(key=lambda entry: entry[0])
         return ending
 
 
 def _seconds_left(job: Job, attempt: Attempt, now: timedelta) -> float | None:
-    """Return how long a task is likely to stay; None: it does not end by itself."""
+    """Return how long a task is likely to stay, or None if it does not end by itself."""
     if attempt.stop is not None or job.over:
         return STOPPING_S
     if job.is_service or job.production:
         return None
-    estimate = job.spec.estimate_s
+    estimate_s = job.spec.estimate_s
     if attempt.running_since is None:
-        return estimate + FETCHING_S
-    ran = (now - attempt.running_since).total_seconds()
-    return estimate - ran if ran < estimate else max(ran * OVERDUE_SHARE, STOPPING_S)
+        return estimate_s + FETCHING_S
+    ran_s = (now - attempt.running_since).total_seconds()
+    return estimate_s - ran_s if ran_s < estimate_s else max(ran_s * OVERDUE_SHARE, STOPPING_S)
--- a/micadeal/scheduling/start_invariants.py
+++ b/micadeal/scheduling/start_invariants.py
@@ -1,6 +1,7 @@
-"""Rules of the protocol that are checked once more before a start command is sent.
+"""Protocol invariants that are checked again before a start command is sent.
 
-The scheduler has decided by them already.  Whatever it missed is withheld here and reported.
+The scheduler's decisions already follow them.  A start that violates one nevertheless is withheld
+and reported.
 """
 
 from __future__ import annotations
@@ -13,22 +14,26 @@
 from micadeal.scheduling.cluster_state import ClusterState
 
 
-class BrokenRule(NamedTuple):
-    """A rule that a start would break, and how."""
+class StartViolation(NamedTuple):
+    """An invariant that a start would violate, and how."""
 
     invariant: Invariant
     reason: str
 
 
-def broken_rule(cluster: ClusterState, machine: Machine, attempt: Attempt) -> BrokenRule | None:
-    """Return the rule that the start of an attempt would break; None: it breaks none."""
+def find_start_violation(
+    cluster: ClusterState, machine: Machine, attempt: Attempt
+) -> StartViolation | None:
+    """Return the invariant that the start of an attempt would violate, or None."""
     job = cluster.jobs.get(attempt.job_id)
     if job is None or job.over:
-        return BrokenRule(Invariant.RAN_CANCELLED, "start of a job that is over")
+        return StartViolation(Invariant.RAN_CANCELLED, "start of a job that is over")
     if any(other is not attempt for other in job.attempts.get(attempt.index, ())):
-        return BrokenRule(Invariant.RAN_TWICE, "start while another attempt may be on a machine")
+        return StartViolation(
+            Invariant.RAN_TWICE, "start while another attempt may be on a machine"
+        )
     if not allowed(job.spec, machine.machine_type, machine.zone, machine.spot):
-        return BrokenRule(Invariant.WRONG_PLACE, f"start on {machine.name}, in {machine.zone}")
+        return StartViolation(Invariant.WRONG_PLACE, f"start on {machine.name}, in {machine.zone}")
     if job.needs:
-        return BrokenRule(Invariant.TOO_EARLY, f"start before {min(job.needs)} is done")
+        return StartViolation(Invariant.TOO_EARLY, f"start before {min(job.needs)} is done")
     return None
--- a/micadeal/scheduling/status_counts.py
+++ b/micadeal/scheduling/status_counts.py
@@ -1,4 +1,4 @@
-"""Counts of jobs, tasks and machines for the other controllers, the overview and the log."""
+"""Counts jobs, tasks and machines for the other controllers, the overview and the log."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from micadeal.wire.peers import Counts
 
 if TYPE_CHECKING:
-    # Imported at run time only where timing is switched on: other deployments start without it.
+    # Imported at run time only if deferral is switched on; other deployments start without it.
     from micadeal.scheduling.deferral import Deferral
 
 log = logging.getLogger(__name__)
 
-#: Jobs named in one message to the other controllers.
+#: Most jobs named in one message to the other controllers.
 MAX_JOBS = 2000
-#: When so many of the machines in use have been heard of by a new leader, its log says so.
-HEARD_SHARES = (0.5, 0.65, 0.9)
-#: How often the log gets a line on machines and tasks.
+#: A new leader logs when it has received heartbeats of these shares of the machines in use.
+HEARTBEAT_SHARES = (0.5, 0.65, 0.9)
+#: Time between two log lines on machines and tasks.
 STATUS_INTERVAL = seconds(15)
 
 
 def job_counts(cluster: ClusterState, limit: int) -> list[Counts]:
-    """Return how many tasks of each job are done and running, for jobs where any are."""
+    """Return how many tasks of each job are done and running, for jobs that have any."""
     result: list[Counts] = []
     for job in cluster.live_jobs():
         running = job.running_count()
@@ -39,7 +39,7 @@
 
 
 def fully_started_jobs(cluster: ClusterState, limit: int) -> list[str]:
-    """Return the jobs of which each task that is not done runs: no task of them can start."""
+    """Return the jobs whose unfinished tasks all run, so that none can still start."""
     return [
         job.id
         for job in cluster.jobs.values()
@@ -50,7 +50,7 @@
 def job_state_counts(
     cluster: ClusterState, deferral: Deferral | None, now: timedelta
 ) -> Counter[str]:
-    """Return how many jobs there are in each state, by the names that the overview shows."""
+    """Return the number of jobs in each state, by the names that the overview shows."""
     states: Counter[str] = Counter()
     for job in cluster.live_jobs():
         if job.blocked:
@@ -67,18 +67,18 @@
 
 
 class StatusLog:
-    """Logs machines and tasks, and how soon a new leader hears of the machines."""
+    """Logs machines and tasks, and how soon a new leader receives the first heartbeats."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
         self._logged_at: timedelta | None = None
-        #: Shares of the machines whose first heartbeats are still awaited.
-        self._awaited_shares = list(HEARD_SHARES)
+        #: Shares of ``HEARTBEAT_SHARES`` that have not been reached yet.
+        self._pending_shares = list(HEARTBEAT_SHARES)
 
     def tick(self, now: timedelta) -> None:
-        """Log what is due."""
-        if self._awaited_shares:
-            self._log_heard(now)
+        """Log the lines that are due."""
+        if self._pending_shares:
+            self._log_first_heartbeats(now)
         if self._logged_at is None or now - self._logged_at >= STATUS_INTERVAL:
             self._logged_at = now
             for spot in (True, False):
@@ -86,13 +86,13 @@
             waiting = sum(job.waiting_count() for job in self._cluster.live_jobs())
             log.info("pending tasks: tasks=%d", waiting)
 
-    def _log_heard(self, now: timedelta) -> None:
-        """Log how soon after the failover machines were heard of: until then they get no work."""
+    def _log_first_heartbeats(self, now: timedelta) -> None:
+        """Log how soon after the failover machines sent heartbeats; until then they get no work."""
         machines = self._cluster.machines.values()
         known = [machine for machine in machines if machine.attempts or machine.up]
-        heard = sum(1 for machine in known if machine.heard is not None)
-        while self._awaited_shares and known and heard >= self._awaited_shares[0] * len(known):
-            share = self._awaited_shares.pop(0)
+        reporting = sum(1 for machine in known if machine.heard is not None)
+        while self._pending_shares and known and reporting >= self._pending_shares[0] * len(known):
+            share = self._pending_shares.pop(0)
             log.info(
                 "machines heard of: percent=%.0f machines=%d seconds=%.1f",
                 share * 100,
--- a/micadeal/scheduling/takeover.py
+++ b/micadeal/scheduling/takeover.py
@@ -1,4 +1,4 @@
-"""Loading into the cluster state what earlier leaders have recorded in the state service."""
+"""Loads into the cluster state what earlier leaders recorded in the state service."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def load_placements(cluster: ClusterState, key: str, record: PlacedRecord, now: timedelta) -> None:
-    """Take over a placement record: everything that it names may be on machines."""
+    """Load a placement record: every attempt that it names may be on a machine."""
     cluster.records.setdefault(key, OrderedSet())
     if not record.machines:
-        # Emptied by an earlier leader that could not drop it.
+        # Emptied by an earlier leader that could not delete it.
         cluster.stale_records.setdefault(key, now)
     for entry in record.machines:
         machine = _load_machine(cluster, entry, now)
@@ -24,7 +24,7 @@
 
 
 def load_images(cluster: ClusterState, record: ImagesRecord, now: timedelta) -> None:
-    """Take over which images machines are likely to hold; the record lists the latest first."""
+    """Load which images machines are likely to hold; the record lists the latest first."""
     for name, images in record.machines.items():
         machine = cluster.machines.get(name)
         if machine is not None:
@@ -34,7 +34,7 @@
 
 
 def load_ended_job(cluster: ClusterState, job_id: str, end: EndRecord) -> None:
-    """Add a job that is over: tasks of it that may be on machines still count for its team."""
+    """Add a job that is over: its tasks that may be on machines still count for its team."""
     cluster.jobs[job_id] = placeholder_job(job_id, end.team, end.cpus, end.gpus, end.memory_gb)
 
 
@@ -44,7 +44,7 @@
         machine = cluster.machines[entry.name] = Machine(
             entry.name, entry.address, entry.machine_type, entry.zone, entry.spot, now, now
         )
-    # Records are never changed, so the one of the later incarnation is the later one.
+    # Records are immutable, so the one with the higher incarnation is the newer one.
     if entry.incarnation >= machine.incarnation:
         machine.incarnation, machine.address = entry.incarnation, entry.address
     return machine
@@ -57,9 +57,9 @@
     attempt = Attempt(placed.job_id, placed.index, placed.attempt, machine.name, now, record=key)
     attempt.started = placed.job_id in cluster.all_started
     if attempt.key in machine.attempts:
-        # Two records name it: this one has no use.
+        # Another record names it already, so this one is redundant.
         cluster.stale_records.setdefault(key, now)
         return
-    cluster.adopt(job, machine, attempt)
+    cluster.add_attempt(job, machine, attempt)
     if job.over:
         cluster.stop(attempt, ZERO, now)
--- a/micadeal/scheduling/warm_capacity.py
+++ b/micadeal/scheduling/warm_capacity.py
@@ -1,4 +1,4 @@
-"""Warm capacity: machines kept for work that is to start sooner than a machine boots."""
+"""Keeps warm capacity: machines for expected work that must start sooner than a machine boots."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from micadeal.scheduling.plan import ExpectedWork, Plan
 from micadeal.scheduling.scale_out import ScaleOut
 
-#: Expected tasks are not tied to other tasks of a job.
+#: Zones used by other tasks of the job: expected tasks have none.
 _NO_ZONES: Counter[str] = Counter()
 
 
 def keep_warm_capacity(
     work: ExpectedWork, pool: CapacityPool, scale_out: ScaleOut, plan: Plan
 ) -> None:
-    """Book capacity for the expected tasks, and plan machines where too little is free.
+    """Book capacity for the expected tasks, and plan machines if too little is free.
 
-    Machines are ranked once, and anew only when something was booked on them: with hundreds of
-    expected tasks, ranking all for each took most of a leader's time.
+    Machines are ranked once, and again only after a booking on them.  With hundreds of expected
+    tasks, ranking all machines for each task took most of a leader's time.
     """
     spec = work.spec
     heap = [
@@ -43,7 +43,7 @@
         capacity.book(spec)
         if not capacity.planned:
             plan.warm.add(capacity.name)
-        # The machine is fuller now, so it ranks better if anything: it is the next to be taken.
+        # A fuller machine ranks no worse, so it stays the next choice while it fits.
         heappop(heap)
         if capacity.fits(spec):
             heappush(heap, (_warm_rank(work, capacity), capacity.order, capacity))
@@ -52,8 +52,9 @@
 def _warm_rank(work: ExpectedWork, capacity: MachineCapacity) -> Rank:
     """Rank a machine as warm capacity; smaller is better.
 
-    The rest of a machine that is kept anyway costs nothing.  One that caches more of the class's
-    images is worth more, since a fetch takes longer than work of such a class may wait.
+    Free capacity on a machine that is kept for other tasks anyway costs nothing.  A machine that
+    caches more of the job class's images ranks better, since a fetch takes longer than such work
+    may wait.
     """
     shared = capacity.up and (capacity.bound_tasks > 0 or work.spec.spot_allowed)
     images = len(capacity.images & work.images) if capacity.up else 0
--- a/micadeal/scheduling/worker_commands.py
+++ b/micadeal/scheduling/worker_commands.py
@@ -1,19 +1,19 @@
-"""The commands for a worker, derived from the cluster state: start, stop and forget tasks."""
+"""Derives the commands for a worker from the cluster state: start, stop and forget tasks."""
 
 from __future__ import annotations
 
 from micadeal.fleet.machines import HeartbeatId, Machine
 from micadeal.invariants import report_violation
 from micadeal.scheduling.cluster_state import ClusterState
-from micadeal.scheduling.start_invariants import broken_rule
+from micadeal.scheduling.start_invariants import find_start_violation
 from micadeal.wire.workers import Command, CommandKind
 
 
 def commands_for(cluster: ClusterState, machine: Machine, full_authority: bool) -> list[Command]:
     """Return the commands for the response to the machine's newest heartbeat.
 
-    Starts are given only with full authority, and only in such responses: the worker ignores those
-    that arrive late.
+    Start commands are sent only with full authority, and only in these responses, since the worker
+    ignores responses that arrive late.
     """
     commands = stop_commands_for(cluster, machine)
     if not full_authority:
@@ -27,16 +27,17 @@
 
 
 def stop_commands_for(cluster: ClusterState, machine: Machine) -> list[Command]:
-    """Return the stops for a machine; they may be sent at any time and repeated."""
+    """Return the stop commands for a machine; they may be sent at any time and repeated."""
     return [
         Command(CommandKind.STOP, attempt.task, attempt.number, attempt.stop.total_seconds())
         for attempt in machine.attempts.values()
-        if attempt.stop is not None and (attempt.state is not None or not cluster.is_ours(attempt))
+        if attempt.stop is not None
+        and (attempt.state is not None or not cluster.placed_by_this_leader(attempt))
     ]
 
 
 def _forget_commands(cluster: ClusterState, machine: Machine) -> list[Command]:
-    """Let the worker forget exited tasks; one that completed only once that is recorded."""
+    """Return commands to forget exited tasks; a completed task only once that is recorded."""
     commands: list[Command] = []
     for (task, number), exited in machine.exited.items():
         job = cluster.jobs.get(exited.job_id)
@@ -52,16 +53,16 @@
 
 
 def _start_commands(cluster: ClusterState, machine: Machine) -> list[Command]:
-    """Order the start of recorded attempts that no heartbeat has shown yet."""
+    """Return the start commands for recorded attempts that no heartbeat has shown yet."""
     commands: list[Command] = []
     for attempt in machine.attempts.values():
-        # What most attempts fail first: this runs with each heartbeat.
+        # The most selective conditions come first: this runs with each heartbeat.
         if attempt.state is not None or attempt.stop is not None:
             continue
-        if attempt.durable and cluster.is_ours(attempt):
-            broken = broken_rule(cluster, machine, attempt)
-            if broken is not None:
-                report_violation(broken.invariant, attempt.task, broken.reason)
+        if attempt.durable and cluster.placed_by_this_leader(attempt):
+            violation = find_start_violation(cluster, machine, attempt)
+            if violation is not None:
+                report_violation(violation.invariant, attempt.task, violation.reason)
                 continue
             attempt.ordered = HeartbeatId(machine.incarnation, machine.sequence)
             commands.append(Command(CommandKind.START, attempt.task, attempt.number))
