--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -148,7 +148,7 @@
 
 def _any_absence_frees(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        reported_tasks, "_absent_for_good", lambda cluster, attempt, machine, is_heartbeat: True
+        reported_tasks, "_is_certainly_gone", lambda cluster, attempt, machine, is_heartbeat: True
     )
 
 
--- a/bench/model_reachability.py
+++ b/bench/model_reachability.py
@@ -89,7 +89,11 @@
         "proves_restart",
         _always_restarted,
     ),
-    "absence counts once no start is in flight": (reported_tasks, "_absent_for_good", _any_absence),
+    "absence counts once no start is in flight": (
+        reported_tasks,
+        "_is_certainly_gone",
+        _any_absence,
+    ),
     "a lease counts from the newest message": (Reachability, "record_message", _first_message_only),
 }
 
--- a/bench/night_simulation.py
+++ b/bench/night_simulation.py
@@ -152,7 +152,7 @@
         self._scheduler.on_heartbeat(heartbeat, now, is_heartbeat=True, full=True)
         for job in list(cluster.live_jobs()):
             if job.complete:
-                cluster.job_gone(job.id, now)
+                cluster.job_record_removed(job.id, now)
 
     def _run(self, attempt: Attempt, now: timedelta) -> TaskStatus:
         """Let a task run for one more step, and return its status."""
--- a/bench/reachability_world.py
+++ b/bench/reachability_world.py
@@ -288,7 +288,7 @@
         assert self.probe_answer is not None
         (asked, heartbeat), self.probe_answer = self.probe_answer, None
         reconciliation.reconcile_heartbeat(
-            self.cluster, heartbeat, self.at, is_heartbeat=False, asked=seconds(asked)
+            self.cluster, heartbeat, self.at, is_heartbeat=False, command_sent_at=seconds(asked)
         )
 
     def _place(self) -> None:
--- a/micadeal/controller/direct_commands.py
+++ b/micadeal/controller/direct_commands.py
@@ -76,7 +76,7 @@
                 result.heartbeat,
                 now,
                 is_heartbeat=False,
-                asked=result.sent_at,
+                command_sent_at=result.sent_at,
             )
             return
         machine = self._cluster.machines.get(result.machine)
--- a/micadeal/controller/persistence/job_ends.py
+++ b/micadeal/controller/persistence/job_ends.py
@@ -96,6 +96,6 @@
         self._keys.schedule_job_drops(job)
         record = decode_item(item, EndRecord)
         if record is None:
-            self._cluster.job_gone(end.job_id, now)
+            self._cluster.job_record_removed(end.job_id, now)
         else:
             self._cluster.job_ended(end.job_id, record, now)
--- a/micadeal/controller/persistence/placements.py
+++ b/micadeal/controller/persistence/placements.py
@@ -81,7 +81,7 @@
         for operation in batch.operations:
             emptied = operation.key.startswith(PLACED) and operation.key not in written
             if isinstance(operation, Delete) or emptied:
-                self._cluster.record_gone(operation.key)
+                self._cluster.placement_record_missing(operation.key)
 
     def failed(self, batch: WriteBatch, items: Mapping[str, Item | None], now: timedelta) -> None:
         """Take over what the service holds after a batch failed, or had an unknown outcome."""
@@ -93,7 +93,7 @@
                 self._take_existing(write, item, now)
         for key, item in items.items():
             if item is None and key in self._cluster.records:
-                self._cluster.record_gone(key)
+                self._cluster.placement_record_missing(key)
 
     def _take_existing(self, write: PlacementWrite, item: Item, now: timedelta) -> None:
         """Take over a record that exists, perhaps by an earlier transaction under its key.
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -234,7 +234,7 @@
         """Take in that a job's record is gone: it is done or cancelled."""
         self.unreadable.remove(job_id)
         self._record_writer.drop_job_records(self._cluster.jobs.get(job_id))
-        self._cluster.job_gone(job_id, now)
+        self._cluster.job_record_removed(job_id, now)
 
     # -- settings --------------------------------------------------------------------------
 
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -134,7 +134,7 @@
         self.dependencies.add(job)
         self.changed = True
 
-    def job_gone(self, job_id: str, now: timedelta) -> None:
+    def job_record_removed(self, job_id: str, now: timedelta) -> None:
         """Stop all tasks of a job that is done or cancelled, as the removal of its record shows.
 
         Its end record tells dependent jobs which of the two it is.
@@ -156,7 +156,7 @@
         job = self.jobs.get(job_id)
         if job is not None and end.status is Status.DONE:
             job.durable |= job.finished
-        self.job_gone(job_id, now)
+        self.job_record_removed(job_id, now)
         self.dependencies.ended(
             job_id, JobEnd(end.status is Status.DONE, monotonic_at(end.ended_at, now))
         )
@@ -261,7 +261,7 @@
             remaining.add(attempt)
             self.unwritten.pop(attempt, None)
 
-    def record_gone(self, key: str) -> None:
+    def placement_record_missing(self, key: str) -> None:
         """Note that the state service holds no such record: its attempts are written again."""
         self.stale_records.pop(key, None)
         for attempt in self.records.pop(key, OrderedSet()):
@@ -291,7 +291,7 @@
                 amounts[1] += count * job.spec.gpus
         return {name: (amounts[0], amounts[1]) for name, amounts in used.items()}
 
-    def held(self) -> Counter[InstanceOffer]:
+    def machines_by_offer(self) -> Counter[InstanceOffer]:
         """Return the number of known machines of each offer."""
         return Counter(
             InstanceOffer(machine.machine_type, machine.zone, machine.spot)
--- a/micadeal/scheduling/machine_inventory.py
+++ b/micadeal/scheduling/machine_inventory.py
@@ -110,14 +110,14 @@
                 machine.boot_seen = True
             machine.confirmed = True
         if len(names) < request.count:
-            self._offers.refused(offer, self._cluster.held()[offer], now)
+            self._offers.refused(offer, self._cluster.machines_by_offer()[offer], now)
         self._cluster.changed = True
 
     def rental_refused(self, request: RentalRequest, now: timedelta) -> None:
         """Apply a refused request."""
         offer = _offer_of(request)
         self.rentals.pop(offer, None)
-        self._offers.refused(offer, self._cluster.held()[offer], now)
+        self._offers.refused(offer, self._cluster.machines_by_offer()[offer], now)
         self._cluster.changed = True
 
     # -- scale in --------------------------------------------------------------------------
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -29,12 +29,12 @@
     now: timedelta,
     *,
     is_heartbeat: bool,
-    asked: timedelta | None = None,
+    command_sent_at: timedelta | None = None,
 ) -> Machine | None:
     """Apply a message of a worker to the cluster state and return its machine.
 
     ``is_heartbeat`` is True if the worker sent the message by itself.  It is False for an answer to
-    a command, which was sent at ``asked``.
+    a command, which was sent at ``command_sent_at``.
 
     Returns None if the machine is permanently gone, or if the message is older than one already
     applied: the caller must not answer it as a new one.  Raises ``StaleTokenError`` if the message
@@ -49,7 +49,7 @@
         machine = _add_unknown_machine(cluster, heartbeat, now)
     reachability = machine.reachability
     if reachability.restarted or _looks_older(machine, heartbeat):
-        _handle_old_message(cluster, machine, heartbeat, now, is_heartbeat, asked)
+        _handle_old_message(cluster, machine, heartbeat, now, is_heartbeat, command_sent_at)
         return None
     if machine.lease_expired and heartbeat.incarnation == machine.incarnation:
         # Guards against late copies that make a lost machine look alive: a live worker reports its
@@ -61,8 +61,8 @@
     assess_last_response(cluster, machine, heartbeat, now, is_heartbeat)
     _update_position(cluster, machine, heartbeat)
     reachability.record_message(heartbeat.token, now)
-    if asked is not None:
-        reachability.probe_answered(asked)
+    if command_sent_at is not None:
+        reachability.probe_answered(command_sent_at)
     if is_heartbeat:
         _record_heartbeat(cluster, machine, now)
     _update_reclaim_notice(cluster, machine, heartbeat, now)
@@ -104,7 +104,7 @@
     heartbeat: Heartbeat,
     now: timedelta,
     is_heartbeat: bool,
-    asked: timedelta | None,
+    command_sent_at: timedelta | None,
 ) -> None:
     """Handle a message that looks old: delayed, duplicated, or sent by a restarted worker.
 
@@ -112,7 +112,7 @@
     and neither releases nor adds attempts.
     """
     reachability = machine.reachability
-    if reachability.proves_restart(asked):
+    if reachability.proves_restart(command_sent_at):
         _handle_worker_restart(cluster, machine, heartbeat, now)
     elif is_heartbeat and not reachability.restarted and _needs_probe(cluster, machine, now):
         cluster.pending_probes.add(machine.name)
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -62,7 +62,7 @@
     for no_longer_reported in [task for task in machine.exited if task not in exited]:
         del machine.exited[no_longer_reported]
     for attempt in [a for key, a in machine.attempts.items() if key not in shown]:
-        if _absent_for_good(cluster, attempt, machine, is_heartbeat):
+        if _is_certainly_gone(cluster, attempt, machine, is_heartbeat):
             if attempt.state is None:
                 cluster.release(attempt, now)
             else:
@@ -77,7 +77,7 @@
     return job_id, int(index)
 
 
-def _absent_for_good(
+def _is_certainly_gone(
     cluster: ClusterState, attempt: Attempt, machine: Machine, is_heartbeat: bool
 ) -> bool:
     """Tell whether an attempt that the newest message does not show can't run any more."""
--- a/micadeal/scheduling/reservations.py
+++ b/micadeal/scheduling/reservations.py
@@ -112,7 +112,7 @@
 
     def _choose_all(self, inputs: ReservationInputs, waiting: list[Job]) -> dict[str, Reservation]:
         forecast = SlotForecast(inputs.cluster, inputs.now)
-        self._existing = inputs.cluster.held()
+        self._existing = inputs.cluster.machines_by_offer()
         limit = len(inputs.cluster.machines) * MAX_RESERVED_SHARE
         taken: set[str] = set()
         chosen: dict[str, Reservation] = {}
--- a/micadeal/scheduling/scale_out.py
+++ b/micadeal/scheduling/scale_out.py
@@ -32,7 +32,7 @@
         self._may_rent = inputs.may_rent
         self._pending_rentals = inputs.pending_rentals
         #: Machines that exist, by offer.
-        self._existing = inputs.cluster.held()
+        self._existing = inputs.cluster.machines_by_offer()
         self._pool = pool
         self._plan = plan
         self._planned = 0
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -31,7 +31,7 @@
 from micadeal.scheduling.reservations import GangReservations, ReservationInputs
 from micadeal.scheduling.scheduling_cycle import SchedulingCycle
 from micadeal.scheduling.status_counts import (
-    MAX_JOBS,
+    MAX_JOBS_PER_MESSAGE,
     StatusLog,
     fully_started_jobs,
     job_counts,
@@ -278,11 +278,11 @@
 
     # -- counts ----------------------------------------------------------------------------
 
-    def counts(self, limit: int = MAX_JOBS) -> list[Counts]:
+    def counts(self, limit: int = MAX_JOBS_PER_MESSAGE) -> list[Counts]:
         """Return how many tasks of each job are done and running, for jobs where any are."""
         return job_counts(self.cluster, limit)
 
-    def all_started(self, limit: int = MAX_JOBS) -> list[str]:
+    def all_started(self, limit: int = MAX_JOBS_PER_MESSAGE) -> list[str]:
         """Return the jobs of which each task that is not done runs: no task of them can start."""
         return fully_started_jobs(self.cluster, limit)
 
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -382,5 +382,5 @@
             worker.heartbeat(self.time),
             self.now,
             is_heartbeat=False,
-            asked=self.now,
+            command_sent_at=self.now,
         )
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -128,7 +128,7 @@
     reconcile_heartbeat(cluster, heartbeat(2, running), seconds(3), is_heartbeat=True)
     expire_leases(cluster, seconds(40))
     assert machine.lease_expired and not machine.attempts
-    cluster.job_gone(job.id, seconds(41))
+    cluster.job_record_removed(job.id, seconds(41))
     assert job.id not in cluster.jobs
     reconcile_heartbeat(cluster, heartbeat(3, running), seconds(42), is_heartbeat=True)
     assert [attempt.number for attempt in machine.attempts.values()] == [attempt.number]
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -322,7 +322,7 @@
     jobs[1].ready = jobs[2].ready = seconds(210)
     assert sorted(jobs[1:3], key=lambda job: job.order) == [jobs[2], jobs[1]]
     # Without the last one they are what they were.
-    cluster.job_gone("req-4", seconds(50))
+    cluster.job_record_removed("req-4", seconds(50))
     assert [job.rank for job in jobs[:3]] == [2, 2, 3]
     assert jobs[2].latest is None
 
