--- a/micadeal/scheduling/capacity_pool.py
+++ b/micadeal/scheduling/capacity_pool.py
@@ -88,8 +88,8 @@
     def candidates(self, job: Job) -> list[MachineCapacity]:
         """Return the open machines for a job, without those where it failed if there are others.
 
-        A job that failed on many machines is retried on those that hold its image, instead of
-        having one machine after the other fetch it.
+        A job that failed on many machines may use all of them again.  It is then retried where its
+        image is cached, instead of having one machine after the other fetch it.
         """
         if len(job.errors) > MAX_AVOIDED_MACHINES or not job.errors:
             return self._open
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -90,7 +90,7 @@
     unwritten: dict[Attempt, None] = field(default_factory=dict)
     #: Remaining attempts of each placement record in the state service, by its key.
     records: dict[str, OrderedSet[Attempt]] = field(default_factory=dict)
-    #: Placement records that name removed attempts, and since when they do.
+    #: Placement records that name removed attempts, with the time of the first removal.
     stale_records: dict[str, timedelta] = field(default_factory=dict)
     #: Machines to send a direct command to, with their stop commands and the fencing token.
     pending_direct_commands: MutableSet[str] = field(default_factory=OrderedSet)
@@ -106,7 +106,7 @@
     #: Job class of each completed task, and its run time as a multiple of its estimate.  Collected
     #: only while deferral is switched on; None otherwise.
     completed_run_times: list[tuple[str, float]] | None = None
-    #: Jobs of which all tasks had started, by the last report of the previous leader.
+    #: Jobs whose tasks had all started, according to the previous leader's last report.
     all_started: frozenset[str] = frozenset()
     #: Jobs that are over, of which users have not been notified yet.
     unannounced_ends: list[str] = field(default_factory=list)
