--- a/micadeal/controller/api/peers.py
+++ b/micadeal/controller/api/peers.py
@@ -123,7 +123,7 @@
                 cancel_age_ms=_milliseconds(monotonic() - self._jobs.last_cancel),
                 leader=self._leader.name,
                 counts=progress.counts,
-                reaches=self._peer_links.reaches(),
+                reaches=self._peer_links.reachable_peers(),
                 cascade_age_ms=progress.cascade_age_ms,
                 renewal_promise=promise,
                 process=self._feature_levels.own_process(monotonic()),
--- a/micadeal/controller/api/readiness.py
+++ b/micadeal/controller/api/readiness.py
@@ -67,7 +67,7 @@
         peer_contact = self._peer_links.latest_state_contact()
         if peer_contact is not None and monotonic() - peer_contact < MAX_PEER_STATE_CONTACT_AGE:
             return "no touch with the state service"
-        if self._has_peers and not self._peer_links.reaches():
+        if self._has_peers and not self._peer_links.reachable_peers():
             # Cut off from the state service and from all peers, we can't serve anybody while
             # others may: an outage counts as shared only if a peer confirms it.
             return "no touch with the state service and the other controllers"
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -206,7 +206,7 @@
 
     def _leads_with_unreachable_peers(self) -> bool:
         """Return whether this controller leads and can't reach all peers."""
-        some_unreachable = len(self._peer_links.reaches()) < len(self._peer_names)
+        some_unreachable = len(self._peer_links.reachable_peers()) < len(self._peer_names)
         return some_unreachable and self._leader.actor is not None
 
     def _all_started(self) -> frozenset[str]:
--- a/micadeal/controller/peer_links.py
+++ b/micadeal/controller/peer_links.py
@@ -182,7 +182,7 @@
         """Return the last contact with each peer; None: there was none."""
         return tuple(link.contact for link in self._links.values())
 
-    def reaches(self) -> list[str]:
+    def reachable_peers(self) -> list[str]:
         """Return the peers that answered a ping recently."""
         now = monotonic()
         return [
@@ -193,7 +193,7 @@
 
     def latest_state_contact(self) -> timedelta | None:
         """Return when a reachable peer last had contact with the state service; None: unknown."""
-        reachable = self.reaches()
+        reachable = self.reachable_peers()
         contacts = [
             link.state_contact_at
             for name, link in self._links.items()
@@ -228,7 +228,7 @@
         answer.
         """
         message = Relay(heartbeat, 0)
-        if leader in self.reaches() or hops == 0:
+        if leader in self.reachable_peers() or hops == 0:
             try:
                 return await self.send(leader, "/relay", message, Relayed, RELAY_TIMEOUT)
             except HttpError:
@@ -237,7 +237,7 @@
         for name, link in self._links.items():
             if name == leader or link.pong is None or leader not in link.pong.reaches:
                 continue
-            if name in self.reaches():
+            if name in self.reachable_peers():
                 return await self.send(name, "/relay", message, Relayed, INDIRECT_RELAY_TIMEOUT)
         raise HttpError(f"no way to {leader}")
 
@@ -250,7 +250,7 @@
         the background.
         """
         answers: curio.Queue = curio.Queue()
-        unanswered, reachable = OrderedSet(self._links), OrderedSet(self.reaches())
+        unanswered, reachable = OrderedSet(self._links), OrderedSet(self.reachable_peers())
         for name in unanswered:
             await curio.spawn(self._notify_peer, name, job_id, answers, daemon=True)
         may_start_by_peer: dict[str, bool] = {}
