--- a/micadeal/controller/follower_leases.py
+++ b/micadeal/controller/follower_leases.py
@@ -33,7 +33,7 @@
 #: A controller treats the state service as unreachable after this time without a response.  An
 #: idle controller gets one every two seconds, when a watch returns.
 STATE_CONTACT_TIMEOUT = seconds(3)
-#: Maximum length of the list of cancellations: more than are to be expected within
+#: Maximum length of the list of cancellations: more than is expected within
 #: ``cancellation_retention``.
 MAX_CANCELLATIONS = 1500
 #: Maximum duration accepted in a message, in milliseconds.
@@ -44,14 +44,17 @@
     """The renewal state of one controller; it outlives terms as leader."""
 
     def __init__(self, peers: Iterable[str], timing: RenewalTiming, now: timedelta) -> None:
-        """Create the state of a process that starts at ``now``; ``peers`` names all others."""
+        """Create the state of a process that starts at ``now``.
+
+        ``peers`` names all other controllers.
+        """
         self.timing = timing
         self._state = RenewalState(now)
         self._views = {name: PeerRenewalView() for name in peers}
         #: Jobs whose cancellation was, or may be, confirmed to a user, and when this controller
         #: learned of each.
         self._cancellations: dict[str, timedelta] = {}
-        #: When the list was last full, so that an entry was removed that may still matter.
+        #: When the list last overflowed and lost an entry that may still matter.
         self._overflowed_at: timedelta | None = None
         self._renewing = False
         #: Controllers that last sent the token of a past term.
@@ -124,7 +127,7 @@
             ping.wants_consent
             and ping.wants_cancellations
             and not leading
-            # While it is reachable, electing a leader serves workers better.
+            # While the state service is reachable, electing a leader serves workers better.
             and not state_reachable
             and may_vote(self._state, ping.wants_consent, is_list_synced, now, self.timing)
         ):
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -57,7 +57,7 @@
 
 
 class Leader(Actor):
-    """Leads for one term, by the records and by what workers and the cloud report."""
+    """Leads for one term, based on the records and on reports of workers and the cloud."""
 
     def __init__(
         self, config: LeaderConfig, term: Term, initial_knowledge: InitialKnowledge
--- a/micadeal/controller/leader_config.py
+++ b/micadeal/controller/leader_config.py
@@ -39,5 +39,5 @@
     machine_types: list[MachineType]
     #: Jobs on this controller's list of cancellations.
     cancelled_jobs: tuple[str, ...]
-    #: Jobs whose unfinished tasks all ran, by the previous leader's last report.
+    #: Jobs whose unfinished tasks all ran, according to the previous leader's last report.
     all_started: frozenset[str]
--- a/micadeal/controller/messages.py
+++ b/micadeal/controller/messages.py
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GetMigrationBacklog:
-    """Ask what is left to migrate before the next step; answered with ``MigrationStatus``."""
+    """Ask what is left to migrate before the level changes; answered with ``MigrationStatus``."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/micadeal/controller/outbound.py
+++ b/micadeal/controller/outbound.py
@@ -99,8 +99,8 @@
                 self._token,
                 problem,
             )
-        # Guards ``ran_cancelled``: a machine gets no further command until the result of this one
-        # is reported.
+        # Guards ``ran_cancelled``: a result is reported in every case, since the machine gets no
+        # further direct command before that.
         await self._callbacks.tell(DirectCommandResult(machine, heartbeat, sent_at))
 
     async def write(self, batch: WriteBatch, fence: int) -> None:
