--- a/micadeal/controller/api/__init__.py
+++ b/micadeal/controller/api/__init__.py
@@ -1,6 +1,7 @@
-"""Requests of users: submission, status and cancellation of jobs.
+"""The HTTP interfaces of a controller: to users, workers, operators and peers.
 
-``jobs`` holds what the controller uses.  Each request has a module of its own; they share
-``known_answers`` (what this controller remembers), ``job_reader`` (what is recorded of a job),
-``dependencies`` and ``confirmation`` (when a cancellation may be answered).
+``public`` and ``peers`` route the requests.  ``jobs`` is the entry point to the users' requests:
+submission, status and cancellation have a module each.  These share ``known_answers`` (what this
+controller remembers), ``job_reader`` (what the state service stores about a job),
+``dependencies`` and ``confirmation`` (when users may be answered that a job is cancelled).
 """
--- a/micadeal/controller/api/answer_log.py
+++ b/micadeal/controller/api/answer_log.py
@@ -1,4 +1,4 @@
-"""What users were answered by this controller: log lines for refusals, counts, unanswered jobs."""
+"""Logs and counts refused user requests, and tracks jobs whose status can't be answered."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 log = logging.getLogger(__name__)
 
-#: Refusals of one kind that are logged in one period.
+#: Refusals of one kind that are logged per period.
 MAX_LINES_PER_PERIOD = 20
-PERIOD = seconds(10)
-#: Jobs whose unanswered questions are followed.
+LOG_PERIOD = seconds(10)
+#: Jobs that are tracked as unanswered.
 MAX_UNANSWERED_JOBS = 2000
-#: A job that has had no answer for longer is named in the overview.
+#: The overview names a job whose status requests have failed for longer than this.
 UNANSWERED_NOTE_AFTER = seconds(30)
 
 
 class UserRequest(StrEnum):
-    """What a user asks for."""
+    """The kinds of user requests."""
 
     SUBMISSION = "submission"
     STATUS = "status"
@@ -33,36 +33,36 @@
 
 
 class UnansweredJob(NamedTuple):
-    """The job about which questions have failed here for longest."""
+    """The job whose status requests have failed here for the longest time."""
 
     job_id: str
     duration: timedelta
 
 
 class AnswerLog:
-    """Counts the answers of one controller to its users, and logs why it refused."""
+    """Counts one controller's refusals of user requests, and logs the reasons."""
 
     def __init__(self, controller: str) -> None:
         self._controller = controller
         self._refusals: Counter[tuple[UserRequest, int]] = Counter()
         self._unanswered_since: RecentJobs[timedelta] = RecentJobs(MAX_UNANSWERED_JOBS)
-        self._period_began = ZERO
-        self._lines: Counter[tuple[UserRequest, int]] = Counter()
+        self._period_started_at = ZERO
+        self._refusals_in_period: Counter[tuple[UserRequest, int]] = Counter()
 
     def record(self, request: UserRequest, job_id: str | None, reply: Answer) -> None:
-        """Take note of an answer; ``job_id`` is None if the request names none."""
+        """Process the answer to a request; ``job_id`` is None if the request names none."""
         now = monotonic()
         if request is UserRequest.STATUS and job_id is not None:
-            self._note_question(job_id, reply.status, now)
+            self._track_status_request(job_id, reply.status, now)
         if reply.status < HTTPStatus.BAD_REQUEST:
             return
         kind = (request, reply.status)
         self._refusals[kind] += 1
-        if now - self._period_began > PERIOD:
+        if now - self._period_started_at > LOG_PERIOD:
             self._log_omitted()
-            self._period_began = now
-        self._lines[kind] += 1
-        if self._lines[kind] <= MAX_LINES_PER_PERIOD:
+            self._period_started_at = now
+        self._refusals_in_period[kind] += 1
+        if self._refusals_in_period[kind] <= MAX_LINES_PER_PERIOD:
             log.info(
                 "user refused: job=%s request=%s status=%d controller=%s reason=%s",
                 job_id,
@@ -72,15 +72,15 @@
                 reply.reason,
             )
 
-    def _note_question(self, job_id: str, status: int, now: timedelta) -> None:
-        """Follow whether a question was answered: by a state, or by "there is no such job"."""
+    def _track_status_request(self, job_id: str, status: int, now: timedelta) -> None:
+        """Track whether a status request was answered, with a status or with "no such job"."""
         if status in (HTTPStatus.OK, HTTPStatus.NOT_FOUND):
             self._unanswered_since.discard(job_id)
         elif self._unanswered_since.get(job_id) is None:
             self._unanswered_since.add(job_id, now)
 
     def _log_omitted(self) -> None:
-        for (request, status), count in self._lines.items():
+        for (request, status), count in self._refusals_in_period.items():
             if count > MAX_LINES_PER_PERIOD:
                 log.info(
                     "user refusals not logged: request=%s status=%d count=%d controller=%s",
@@ -89,10 +89,10 @@
                     count - MAX_LINES_PER_PERIOD,
                     self._controller,
                 )
-        self._lines.clear()
+        self._refusals_in_period.clear()
 
     def longest_unanswered(self, now: timedelta) -> UnansweredJob | None:
-        """Return the job about which no question has been answered for longest; None: none."""
+        """Return the job that has been unanswered for the longest time; None if there is none."""
         unanswered = self._unanswered_since.items()
         if not unanswered:
             return None
@@ -100,7 +100,7 @@
         return UnansweredJob(job_id, now - since)
 
     def notes(self, now: timedelta) -> list[str]:
-        """Return what operators should know, in plain text."""
+        """Return the notes that the operators' overview shows, in plain text."""
         notes = [
             f"{self._controller} refused {count} of its users' requests since its start:"
             f" {request.value}, status {status}"
--- a/micadeal/controller/api/cancellation.py
+++ b/micadeal/controller/api/cancellation.py
@@ -14,12 +14,12 @@
 from micadeal.state.service import ConflictError, StateService, StateServiceError
 from micadeal.wire.users import JobAnswer, Status
 
-#: How often a cancellation is tried while the job's record changes.
+#: Attempts at a cancellation if the job's record changes concurrently.
 MAX_ATTEMPTS = 3
 
 
 class JobCancellation:
-    """Records cancellations and answers them once they are confirmed."""
+    """Records cancellations, and answers users once they are confirmed."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._status = status
 
     async def cancel(self, job_id: str) -> Answer:
-        """Answer a request to cancel a job; a job that has ended is answered with its end."""
+        """Answer a request to cancel a job; if the job has ended, answer with its final status."""
         if not JOB_ID.match(job_id):
             return not_a_job_id()
         reason = "the job's record changed meanwhile"
@@ -48,15 +48,15 @@
         return not_recorded_yet(reason)
 
     async def _try_to_cancel(self, job_id: str) -> Answer | None:
-        """Try once; None: the job's record has changed meanwhile."""
+        """Make one attempt; return None if the job's record has changed meanwhile."""
         if (final := self._answers.final.get(job_id)) is not None:
             return answer(200, final)
         item = await self._state.get(JOBS + job_id)
         if item is None:
-            found = await self._status.look_up(job_id)
-            if isinstance(found, NeverAccepted):
-                return no_such_job(found)
-            return answer(200, found) if found.status in FINAL_STATUSES else None
+            current = await self._status.look_up(job_id)
+            if isinstance(current, NeverAccepted):
+                return no_such_job(current)
+            return answer(200, current) if current.status in FINAL_STATUSES else None
         try:
             await write_cancellation(self._state, job_id, item)
         except ConflictError:
--- a/micadeal/controller/api/cancellation_ages.py
+++ b/micadeal/controller/api/cancellation_ages.py
@@ -1,4 +1,4 @@
-"""Since when enough controllers have known of cancellations that could not be confirmed at once."""
+"""Ages of cancellations that could not be confirmed by the first request."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from micadeal.controller.api.known_answers import RecentJobs
 from micadeal.jobs.validate import JOB_ID
 
-#: Jobs that are remembered, and named in an answer to a ping.
+#: Jobs that are remembered, and sent in an answer to a ping.
 MAX_JOBS = 500
-#: Long after a cancellation may be confirmed by its age alone, it is of no use any more.
+#: Ages above this are dropped: far smaller ones are enough to confirm a cancellation.
 MAX_AGE = seconds(600)
 MILLISECOND = timedelta(milliseconds=1)
 
 
 class CancellationAges:
-    """Cancelled jobs of which a task could still start, and since when enough controllers know.
+    """For each cancelled job that may still start a task: since when enough controllers know.
 
-    Controllers tell each other: what one of them has waited for counts at the others, and outlives
-    its process.
+    Controllers exchange the ages.  So the time that one of them has counted also counts at the
+    others, and is not lost when its process ends.
     """
 
     def __init__(self) -> None:
         self._known_since: RecentJobs[timedelta] = RecentJobs(MAX_JOBS)
 
     def age(self, job_id: str, now: timedelta) -> timedelta | None:
-        """Return for how long enough controllers have certainly known; None: it is unknown."""
+        """Return for how long at least enough controllers have known; None if that is unknown."""
         known_since = self._known_since.get(job_id)
         return None if known_since is None else now - known_since
 
     def note(self, job_id: str, now: timedelta) -> bool:
-        """Note that enough controllers know by now; return whether that was unknown here."""
+        """Note that enough controllers know by now; return whether that is new."""
         if job_id in self._known_since:
             return False
         self._known_since.add(job_id, now)
@@ -49,10 +49,10 @@
         }
 
     def merge(self, ages_ms: Mapping[str, float], now: timedelta) -> None:
-        """Take over ages that a peer has sent, where they are greater than ours.
+        """Adopt the ages of a peer that are greater than those known here.
 
-        An age is that of the moment in which it was sent: one that the network has delayed says
-        less than is true, never more.
+        An age is correct when it is sent.  If the network delays the message, the adopted age is
+        too small, never too great.
         """
         for job_id, age_ms in ages_ms.items():
             if not JOB_ID.match(job_id) or not 0 <= age_ms <= MAX_AGE / MILLISECOND:
--- a/micadeal/controller/api/confirmation.py
+++ b/micadeal/controller/api/confirmation.py
@@ -1,4 +1,4 @@
-"""When a user may be answered that a job is cancelled."""
+"""Rules for when a user may be answered that a job is cancelled."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class CancellationConfirmation(NamedTuple):
-    """What is certain about a cancellation, as far as the controllers have answered."""
+    """What is certain about a cancellation after the other controllers were notified."""
 
-    #: Enough controllers know of it.  That alone does not allow to confirm it to a user.
+    #: Enough controllers know of it.  That alone is not enough to confirm it to a user.
     majority_notified: bool
-    #: A leader has said that no task of the job can start any more.
+    #: A leader has reported that no task of the job can start any more.
     no_task_can_start: bool
 
 
@@ -43,26 +43,28 @@
         broadcast: Callable[[str], Awaitable[CancellationConfirmation]],
         cancel_timeout: timedelta,
         ages: CancellationAges,
-        ask_others: Callable[[str], None],
+        request_confirmation: Callable[[str], None],
     ) -> None:
-        """Confirm by ``broadcast``, which makes a cancellation known to the other controllers.
+        """Confirm cancellations to the users of one controller.
 
-        A task is gone ``cancel_timeout`` after its cancellation was confirmed.  ``ask_others``
-        asks controllers that can't be told directly to confirm a cancellation in our place.
+        ``broadcast`` announces a cancellation to the other controllers.  No task of a job is left
+        ``cancel_timeout`` after its cancellation was confirmed.  ``request_confirmation`` asks
+        other controllers through the state service to confirm a cancellation, for the case that
+        too few of them can be reached directly.
         """
         self._answers = answers
         self._broadcast = broadcast
         self._cancel_timeout = cancel_timeout
         self._ages = ages
-        self._ask_others = ask_others
+        self._request_confirmation = request_confirmation
 
     async def confirm(self, answer: JobAnswer, cannot_start: bool = False) -> JobAnswer:
-        """Make the cancellation known, and return the answer if a user may be given it.
+        """Announce the cancellation, and return the answer if a user may be given it.
 
-        Guards ``ran_cancelled`` by two conditions.  Enough controllers know of the cancellation:
-        any that renews leases in place of the leader will learn of it, whichever of them crash.
-        And no task of the job can start any more: a leader has seen that, or so much time has
-        passed since enough controllers knew that every task is certainly gone.
+        Guards ``ran_cancelled`` by two conditions.  First, enough controllers know of the
+        cancellation: a follower that renews leases in place of the leader learns of it even if
+        some of them crash.  Second, no task of the job can start any more: a leader has
+        reported that, or enough controllers have known for so long that no task can be left.
 
         ``cannot_start``: it is certain that no task can start.  Raises
         ``UnconfirmedCancellationError`` if the user has to ask again.
@@ -70,7 +72,7 @@
         job_id = answer.job_id
         confirmation = await self._broadcast(job_id)
         if not confirmation.majority_notified:
-            self._ask_others(job_id)
+            self._request_confirmation(job_id)
             raise _unconfirmed(job_id, "too few controllers know of it")
         if not (cannot_start or confirmation.no_task_can_start):
             self._check_tasks_are_gone(job_id)
--- a/micadeal/controller/api/confirmation_exchange.py
+++ b/micadeal/controller/api/confirmation_exchange.py
@@ -1,14 +1,14 @@
 """Controllers confirm cancellations for each other through the state service.
 
-A controller that too few others answer can't confirm a cancellation: no majority is told of it.
-It names the job under ``seat/unconfirmed/<controller>``, which all followers read as they watch for
-the next leader.  Whoever would be allowed to confirm the cancellation to a user of its own says so
-in the job's end, ``EndRecord.confirmed``, where the other one finds it.  A day on which every
-controller reaches a majority costs no request.
-
-Guards ``ran_cancelled``: time alone proves nothing, and neither does the end itself, which a leader
-that the state service refuses does not see.  The only proof is that a controller was entitled to
-tell a user.
+A controller that reaches no majority of the controllers can't confirm a cancellation.  It writes
+the job's id to ``seat/unconfirmed/<controller>``, which all followers read as they watch the leader
+lock.  A controller that may confirm the cancellation to its own users sets ``EndRecord.confirmed``
+in the record of the job's end, where the requesting controller reads it.  While every controller
+reaches a majority, this causes no requests.
+
+Guards ``ran_cancelled``: neither elapsed time nor the record of the end proves that the
+cancellation has taken effect, since a leader that the state service refuses does not see that
+record.  The only proof is that a controller was entitled to confirm the cancellation to a user.
 """
 
 from __future__ import annotations
@@ -36,66 +36,70 @@
 
 log = logging.getLogger(__name__)
 
-#: Jobs that one controller names: those that were asked about last.
+#: Jobs for which one controller requests confirmation: those last asked about.
 MAX_REQUESTS = 100
-#: A job that nobody has asked about for so long is no longer named.
+#: A request is withdrawn if no user has asked about the job for this long.
 REQUEST_TIMEOUT = seconds(60)
-#: A job is named if users ask about it for longer than this: peers that restart are back by then.
+#: Confirmation is requested once users have asked for this long: peers that restart are back by
+#: then.
 MIN_WAIT = seconds(2)
 WRITE_INTERVAL = seconds(0.5)
-#: Followers read requests at least every two seconds; older ones may have been withdrawn.
+#: Requests read longer ago are ignored, since they may have been withdrawn.  Followers read them at
+#: least every two seconds.
 MAX_REQUESTS_AGE = seconds(5)
-#: How often a cancellation that can't be confirmed yet is tried again.
+#: Interval between attempts to confirm a cancellation that can't be confirmed yet.
 CONFIRM_INTERVAL = seconds(1)
-#: Cancellations tried at once: each notifies all controllers.
+#: Cancellations tried concurrently: each attempt notifies all controllers.
 MAX_CONCURRENT = 6
 
 
-class _Questions(NamedTuple):
+class _UserRequests(NamedTuple):
     """When users first and last asked about a cancellation."""
 
-    first: timedelta
-    last: timedelta
+    first_at: timedelta
+    last_at: timedelta
 
 
 class ConfirmationRequests:
-    """Names the cancellations that this controller can't confirm alone."""
+    """Records requests for the cancellations that this controller can't confirm alone."""
 
     def __init__(self, name: str, state: StateService) -> None:
         self._key = UNCONFIRMED + name
         self._state = state
-        self._questions: RecentJobs[_Questions] = RecentJobs(MAX_REQUESTS)
-        #: What the key holds, as far as we know; empty: it does not exist.
+        self._user_requests: RecentJobs[_UserRequests] = RecentJobs(MAX_REQUESTS)
+        #: Last known content of the key; empty if it does not exist.
         self._recorded: list[str] = []
 
     def add(self, job_id: str) -> None:
         """Note that a user has asked about a cancellation that can't be confirmed here."""
         now = monotonic()
-        earlier = self._questions.get(job_id)
-        self._questions.discard(job_id)
-        self._questions.add(job_id, _Questions(now if earlier is None else earlier.first, now))
+        earlier = self._user_requests.get(job_id)
+        self._user_requests.discard(job_id)
+        self._user_requests.add(
+            job_id, _UserRequests(now if earlier is None else earlier.first_at, now)
+        )
 
     def on_recorded(self, job_ids: list[str]) -> None:
-        """Take over what is recorded: an earlier process, or a late write, may have left it."""
+        """Adopt the recorded requests: an earlier process or a delayed write may have left them."""
         self._recorded = job_ids
 
     async def run(self) -> None:
-        """Keep the record as it should be, until cancelled."""
+        """Keep the record up to date until cancelled."""
         while True:
             await sleep(WRITE_INTERVAL)
             try:
-                await self._record(self._wanted(monotonic()))
+                await self._record(self._jobs_to_request(monotonic()))
             except StateServiceError as problem:
                 log.debug("requests for confirmation not recorded: reason=%s", problem)
 
-    def _wanted(self, now: timedelta) -> list[str]:
-        for job_id, asked in self._questions.items():
-            if now - asked.last > REQUEST_TIMEOUT:
-                self._questions.discard(job_id)
+    def _jobs_to_request(self, now: timedelta) -> list[str]:
+        for job_id, requests in self._user_requests.items():
+            if now - requests.last_at > REQUEST_TIMEOUT:
+                self._user_requests.discard(job_id)
         return sorted(
             job_id
-            for job_id, asked in self._questions.items()
-            if asked.last - asked.first >= MIN_WAIT
+            for job_id, requests in self._user_requests.items()
+            if requests.last_at - requests.first_at >= MIN_WAIT
         )
 
     async def _record(self, job_ids: list[str]) -> None:
@@ -108,47 +112,48 @@
 
 
 class ConfirmationPublisher:
-    """Confirms cancellations that other controllers can't confirm, by their records."""
+    """Confirms cancellations that other controllers have requested in their records."""
 
     def __init__(
         self,
         state: StateService,
         look_up: Callable[[str], Awaitable[JobAnswer | NeverAccepted]],
-        leads_apart: Callable[[], bool],
+        is_partitioned_leader: Callable[[], bool],
     ) -> None:
-        """``look_up`` returns what a user may be told of a job now, and raises if that is nothing.
+        """Confirm in the records of the jobs' ends.
 
-        ``leads_apart``: whether this controller leads, so that it does not watch for a leader, and
-        does not reach all others.
+        ``look_up`` returns what a user may be answered about a job now, and raises if there is no
+        such answer.  ``is_partitioned_leader`` returns whether this controller leads and does not
+        reach all others: a leader does not watch the lock, so it has to read the requests itself.
         """
         self._state = state
         self._look_up = look_up
-        self._leads_apart = leads_apart
+        self._is_partitioned_leader = is_partitioned_leader
         self._requested: list[str] = []
         self._requested_at = monotonic()
-        #: Jobs whose cancellation is confirmed in the record of their end, or that are not
+        #: Jobs that need no further attempt: the record of their end is confirmed, or they are not
         #: cancelled.
         self._settled: RecentJobs[None] = RecentJobs()
 
     def on_requests_read(self, job_ids: list[str]) -> None:
-        """Take over which jobs the other controllers name."""
+        """Store the jobs for which the other controllers request confirmation."""
         self._requested = [job_id for job_id in job_ids if JOB_ID.match(job_id)]
         self._requested_at = monotonic()
 
     async def run(self, own_name: str) -> None:
-        """Confirm what is requested until cancelled."""
+        """Confirm the requested cancellations until cancelled."""
         while True:
             await sleep(CONFIRM_INTERVAL)
-            if self._leads_apart():
+            if self._is_partitioned_leader():
                 await self._read_requests(own_name)
-            waiting = self._waiting()
-            while waiting:
-                batch, waiting = waiting[:MAX_CONCURRENT], waiting[MAX_CONCURRENT:]
+            unsettled = self._unsettled()
+            while unsettled:
+                batch, unsettled = unsettled[:MAX_CONCURRENT], unsettled[MAX_CONCURRENT:]
                 async with curio.TaskGroup() as group:
                     for job_id in batch:
                         await group.spawn(self._settle, job_id)
 
-    def _waiting(self) -> list[str]:
+    def _unsettled(self) -> list[str]:
         if monotonic() - self._requested_at > MAX_REQUESTS_AGE:
             return []
         return [job_id for job_id in self._requested if job_id not in self._settled]
@@ -165,15 +170,15 @@
         try:
             await self._publish(job_id)
         except (StateServiceError, ConflictError) as problem:
-            # To be tried again; after a conflict the end is read anew.
+            # Retried later; after a conflict the end is read again.
             log.debug("cancellation not confirmed for a peer: job=%s reason=%s", job_id, problem)
             return
         self._settled.add(job_id, None)
 
     async def _publish(self, job_id: str) -> None:
-        """Record that a cancellation is confirmed, once a user of ours may be told it."""
-        found = await self._look_up(job_id)
-        if isinstance(found, NeverAccepted) or found.status is not Status.CANCELLED:
+        """Record that a cancellation is confirmed, if this controller may confirm it to a user."""
+        current = await self._look_up(job_id)
+        if isinstance(current, NeverAccepted) or current.status is not Status.CANCELLED:
             return
         item = await self._state.get(ENDS + job_id, Urgency.END)
         end = None if item is None else decode_item(item, EndRecord)
@@ -187,7 +192,7 @@
 
 
 class ConfirmationExchange:
-    """Both sides of one controller."""
+    """Requests confirmations from other controllers, and confirms what they request."""
 
     def __init__(
         self, name: str, requests: ConfirmationRequests, publisher: ConfirmationPublisher
@@ -197,23 +202,23 @@
         self._publisher = publisher
 
     def on_leader_lock_read(self, leader_lock: LeaderLock) -> None:
-        """Take over what all controllers request, ours as it is recorded."""
+        """Take in the recorded requests of this controller and of all others."""
         self._requests.on_recorded(sorted(leader_lock.unconfirmed.get(self._name, ())))
         self._publisher.on_requests_read(requests_of_others(leader_lock, self._name))
 
     async def run(self) -> None:
-        """Serve both sides until cancelled."""
+        """Record requests and confirm cancellations until cancelled."""
         async with curio.TaskGroup() as group:
             await group.spawn(self._requests.run)
             await group.spawn(self._publisher.run, self._name)
 
 
 def requests_of_others(leader_lock: LeaderLock, own_name: str) -> list[str]:
-    """Return the jobs that other controllers name, each once."""
-    named = {
+    """Return the jobs for which other controllers request confirmation, each once."""
+    requested = {
         job_id
         for name, job_ids in leader_lock.unconfirmed.items()
         if name != own_name
         for job_id in job_ids
     }
-    return sorted(named)
+    return sorted(requested)
--- a/micadeal/controller/api/dependencies.py
+++ b/micadeal/controller/api/dependencies.py
@@ -1,4 +1,4 @@
-"""Whether jobs that a job depends on, directly or through others, are cancelled."""
+"""Checks whether jobs that a job depends on, directly or transitively, are cancelled."""
 
 from __future__ import annotations
 
@@ -12,47 +12,48 @@
 from micadeal.state.service import StateServiceError
 from micadeal.wire.users import Submission
 
-#: Of longer lists of prerequisites, those found once are not looked up again: a repetition after
-#: a 503 then gets further.
+#: In longer lists of prerequisites, those already known as accepted are not read again.  So a
+#: retry after a 503 has fewer records to read.
 MAX_UNCACHED_PREREQUISITES = 16
-#: Records of ancestors (jobs that a job depends on, directly or not) that are read for one answer
-#: at most.  Those that were read alive before are only compared, so a repetition gets further.
+#: Maximum number of records of ancestors (jobs that a job depends on, directly or transitively)
+#: that are read for one answer.  For those read as live before, only versions are compared, so a
+#: retry has fewer records to read.
 MAX_ANCESTOR_READS = 400
 
 
 class DependencyReader:
-    """Reads a job's ancestors, where the leader may not have recorded a cancellation yet."""
+    """Reads a job's ancestors if the leader may not have propagated a cancellation yet."""
 
     def __init__(self, reader: JobReader, answers: KnownAnswers, cancel_timeout: timedelta) -> None:
         self._reader = reader
         self._answers = answers
         self._cancel_timeout = cancel_timeout
-        #: All jobs that need one that was cancelled before this instant are recorded cancelled.
+        #: All jobs that depend on a job cancelled before this instant are recorded as cancelled.
         self.propagated_until: timedelta | None = None
 
-    def cancellations_propagated(self, asked: timedelta) -> bool:
-        """Return whether a job's own record is enough to answer a request received at ``asked``.
+    def cancellations_propagated(self, asked_at: timedelta) -> bool:
+        """Return whether a job's own record is enough to answer a request received at ``asked_at``.
 
-        As long as the leader's last report is fresh, whatever was cancelled before it is recorded
-        for all jobs that depend on it.
+        While the leader's last report is recent, every cancellation before it is recorded for all
+        jobs that depend on the cancelled job.
         """
         return (
             self.propagated_until is not None
-            and asked - self.propagated_until < self._cancel_timeout / 2
+            and asked_at - self.propagated_until < self._cancel_timeout / 2
         )
 
     async def has_cancelled_prerequisite(self, spec: Submission) -> bool:
         """Return whether a prerequisite of a new job, or one of its ancestors, is cancelled.
 
-        Raises ``UnschedulableJobError`` if one was never accepted, by reads that begin now, or
-        never ends by itself.  A cancellation that is recorded at the same time as the submission
-        is found by the leader from the records.
+        Raises ``UnschedulableJobError`` if a prerequisite was never accepted, by reads that begin
+        now, or is a service, which never ends by itself.  If a cancellation is recorded
+        concurrently with the submission, the leader finds it in the records.
         """
-        names = list(dict.fromkeys(spec.prerequisites or ()))
-        if len(names) > MAX_UNCACHED_PREREQUISITES:
-            names = [name for name in names if name not in self._answers.accepted]
-        jobs = await self._reader.read_jobs(names)
-        for name in names:
+        job_ids = list(dict.fromkeys(spec.prerequisites or ()))
+        if len(job_ids) > MAX_UNCACHED_PREREQUISITES:
+            job_ids = [job_id for job_id in job_ids if job_id not in self._answers.accepted]
+        jobs = await self._reader.read_jobs(job_ids)
+        for name in job_ids:
             job = jobs[name]
             if job is None:
                 raise UnschedulableJobError(f"{name}, which it waits for, was never accepted")
@@ -63,40 +64,41 @@
             self._answers.accepted.add(name, None)
         return _any_cancelled(jobs) or await self.has_cancelled_ancestor(jobs, monotonic())
 
-    async def has_cancelled_ancestor(self, jobs: RecordedJobs, asked: timedelta) -> bool:
+    async def has_cancelled_ancestor(self, jobs: RecordedJobs, asked_at: timedelta) -> bool:
         """Return whether one of the jobs, or one of their ancestors, is cancelled.
 
-        Guards ``orphaned``: without a fresh report of the leader (no leader for long, an outage)
-        the records of all ancestors are read, or compared with what was read before.  Guards
-        ``forgotten``: a question that fails leaves less to read for the next one.
+        Guards ``orphaned``: without a recent report of the leader (in an outage, or if there has
+        been no leader for a while) the records of all ancestors are read, or their versions are
+        compared with those read before.  Guards ``forgotten``: after a request that fails, a retry
+        has fewer records to read.
         """
-        if self.cancellations_propagated(asked):
+        if self.cancellations_propagated(asked_at):
             return False
         seen = set(jobs)
         latest = jobs
         reads_left = MAX_ANCESTOR_READS
         while not _any_cancelled(latest):
-            names = self._known_ancestors(_prerequisites(latest), seen)
-            if not names:
+            job_ids = self._known_ancestors(_prerequisites(latest), seen)
+            if not job_ids:
                 return False
-            seen |= names
-            unread = sorted(names - await self._reader.still_live(names))
+            seen |= job_ids
+            unread = sorted(job_ids - await self._reader.still_live(job_ids))
             latest = await self._reader.read_jobs(unread[:reads_left], skip_unreadable=True)
             if len(unread) > reads_left:
-                raise StateServiceError("too many jobs further up")
+                raise StateServiceError("too many ancestors to read")
             reads_left -= len(unread)
         return True
 
-    def _known_ancestors(self, names: Iterable[str], seen: set[str]) -> set[str]:
-        """Return the names and all ancestors of theirs that were read before, without ``seen``."""
-        found: set[str] = set()
-        to_visit = list(names)
+    def _known_ancestors(self, job_ids: Iterable[str], seen: set[str]) -> set[str]:
+        """Return the jobs and their ancestors known from earlier reads, without ``seen``."""
+        ancestors: set[str] = set()
+        to_visit = list(job_ids)
         while to_visit:
-            name = to_visit.pop()
-            if name not in found and name not in seen:
-                found.add(name)
-                to_visit += self._reader.prerequisites(name)
-        return found
+            job_id = to_visit.pop()
+            if job_id not in ancestors and job_id not in seen:
+                ancestors.add(job_id)
+                to_visit += self._reader.prerequisites(job_id)
+        return ancestors
 
 
 def _any_cancelled(jobs: RecordedJobs) -> bool:
@@ -104,4 +106,4 @@
 
 
 def _prerequisites(jobs: RecordedJobs) -> set[str]:
-    return {name for job in jobs.values() if job is not None for name in job.prerequisites}
+    return {job_id for job in jobs.values() if job is not None for job_id in job.prerequisites}
--- a/micadeal/controller/api/end_records.py
+++ b/micadeal/controller/api/end_records.py
@@ -1,4 +1,4 @@
-"""Records of how jobs ended, as users' requests read and write them."""
+"""Reads and writes the records of how jobs ended, for users' requests."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-#: Of a transaction that a user waits for.
+#: Timeout of a transaction that a user waits for.
 USER_WRITE_TIMEOUT: timedelta = seconds(2)
 
 
 class UnreadableRecordError(StateServiceError):
-    """A record can't be read, now or later."""
+    """A record can't be decoded, and a retry will not help."""
 
     def __init__(self, key: str, reason: Exception) -> None:
         super().__init__(f"unreadable record: key={key} reason={reason}")
@@ -30,9 +30,9 @@
 
 
 def decode_end(item: Item) -> EndRecord:
-    """Decode the end of a job; raise ``UnreadableRecordError`` if not even the status can be read.
+    """Decode the end of a job; raise ``UnreadableRecordError`` if not even its status is readable.
 
-    Guards ``forgotten``: as long as the record says how the job ended, users are answered that.
+    Guards ``forgotten``: if only the status of a damaged record is readable, users still get it.
     """
     record = decode_item(item, EndRecord)
     if record is not None:
@@ -44,7 +44,7 @@
 
 
 async def write_cancellation(state: StateService, job_id: str, item: Item) -> None:
-    """Turn the record of a job, ``item``, into its end.
+    """Replace the record of a job, ``item``, by the record of its end as cancelled.
 
     Raises ``ConflictError`` if the job has ended meanwhile, ``StateServiceError`` if the outcome
     is unknown.
--- a/micadeal/controller/api/endpoints.py
+++ b/micadeal/controller/api/endpoints.py
@@ -1,4 +1,4 @@
-"""Handlers of HTTP requests by method, for the servers of one controller."""
+"""Dispatch of HTTP requests to handlers by method, for the servers of one controller."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from micadeal.clock import seconds
 from micadeal.http.message import Answer, Request, error
 
-#: After how long a client that got a 503 should ask again.
+#: Sent with a 503: when the client should retry.
 RETRY_AFTER = seconds(1)
 
 Handler = Callable[[Request], Awaitable[Answer]]
@@ -17,12 +17,12 @@
 
 
 async def dispatch(endpoint: Endpoint | None, request: Request) -> Answer:
-    """Let the endpoint answer a request; None: there is no such path."""
+    """Answer a request by the endpoint's handler; ``endpoint`` is None for an unknown path."""
     if endpoint is None:
         return error(404, "no such path")
     handler = endpoint.get(request.method)
     if handler is None:
-        # Names the method that changes something, where there are two.
+        # The last method is named: if there are two, it is the one that makes changes.
         *_, method = endpoint
         return error(405, f"only {method} here")
     return await handler(request)
--- a/micadeal/controller/api/heartbeats.py
+++ b/micadeal/controller/api/heartbeats.py
@@ -1,4 +1,4 @@
-"""Answers workers' heartbeats: as leader, by redirect or relay, or in place of a lost leader."""
+"""Answers heartbeats: as leader, by redirect or relay, or as a follower that renews leases."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 #: How long the leader's actor may take to answer a heartbeat.
 LEADER_TIMEOUT = seconds(3)
-#: How long a heartbeat is held at most while the next leader is being elected: so long, or for
-#: this share of a worker's lease if that is less.  Workers give an answer up after 4 s and must
-#: have time to try other controllers.
+#: A heartbeat is held during an election for at most this time, or for this share of a worker's
+#: lease if that is shorter.  Workers time out after 4 s and need time to try other controllers.
 MAX_HOLD_TIME = seconds(2)
 MAX_HOLD_LEASE_SHARE = 1 / 7
 HOLD_POLL_INTERVAL = seconds(0.2)
-#: Heartbeats held at once; more are refused, as all are where no election can succeed.
+#: Heartbeats held concurrently; further ones are refused immediately, as all heartbeats are when
+#: the state service is unreachable, so that no election can succeed.
 MAX_HELD_HEARTBEATS = 1000
 
 _OK = HTTPStatus.OK.value
@@ -40,7 +40,7 @@
 
 
 class HeartbeatApi:
-    """Serves ``POST /checkin``, and heartbeats that another controller relays."""
+    """Serves ``POST /checkin``, and heartbeats that other controllers relay."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         feature_levels: FeatureLevels,
         state_contact: StateContact,
     ) -> None:
-        """``follower_leases``: None where followers never renew leases."""
+        """``follower_leases`` is None if followers never renew leases."""
         self._leader = leader
         self._peer_links = peer_links
         self._follower_leases = follower_leases
@@ -59,7 +59,7 @@
         self._state_contact = state_contact
         self._router = HeartbeatRouter()
         self._hold_timeout = min(MAX_HOLD_TIME, worker_lease * MAX_HOLD_LEASE_SHARE)
-        self._held = 0
+        self._held_count = 0
 
     async def receive(self, request: Request) -> Answer:
         """Answer a worker's heartbeat."""
@@ -67,18 +67,18 @@
             heartbeat = decode(Heartbeat, request.body)
         except MessageFormatError as problem:
             return error(400, str(problem))
-        tried = self._leader.name
-        answered = await self._answer(heartbeat)
+        tried_leader = self._leader.name
+        response = await self._answer(heartbeat)
         if (
-            answered.status != _UNAVAILABLE
+            response.status != _UNAVAILABLE
             or not self._state_contact.reachable()
             or (self._leader.actor is not None and not self._leader.loading)
         ):
-            return answered
-        return await self._hold(heartbeat, tried, answered)
+            return response
+        return await self._hold(heartbeat, tried_leader, response)
 
     async def submit(self, heartbeat: Heartbeat) -> HeartbeatReply:
-        """Let our own leader's actor answer a heartbeat."""
+        """Answer a heartbeat by this controller's leader actor, if it leads."""
         actor = self._leader.actor
         if actor is None:
             return UNAVAILABLE
@@ -131,40 +131,44 @@
         return answer(relayed.status, relayed.body)
 
     def _renew_as_follower(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Answer in place of a leader that can't be reached; None: we must not."""
+        """Answer in place of an unreachable leader; return None if that is not allowed."""
         if self._follower_leases is None or self._leader.actor is not None:
             return None
         if self._feature_levels.effective_level < FeatureLevel.FENCED:
-            # Some controllers may not know yet that leases are renewed by followers, or may be
-            # about to return to a version that does not.
+            # Some controllers may run a version without lease renewal by followers, or may be
+            # about to be downgraded to one.
             return None
         return self._follower_leases.renew(heartbeat, self._state_contact.reachable(), monotonic())
 
-    async def _hold(self, heartbeat: Heartbeat, tried: str | None, refused: Answer) -> Answer:
-        """Hold a heartbeat for a short time until somebody can answer it.
+    async def _hold(
+        self, heartbeat: Heartbeat, tried_leader: str | None, refusal: Answer
+    ) -> Answer:
+        """Hold a heartbeat for a short time until a controller can answer it.
 
-        That is another leader than the one that was ``tried``, or we once we lead and have read the
-        records.  If nobody can in that time, the answer is ``refused``.
+        That is a new leader other than ``tried_leader``, this controller once it leads and has read
+        the records, or this controller as a follower that may renew leases.  If there is none in
+        time, the answer is ``refusal``.
 
         Guards against seconds without capacity after a leader's crash: a worker that is refused
-        while the election goes on tries the next controller, and if it can't reach that one, it
-        waits for its timeout before it comes to the new leader.  The answer comes later after the
-        sending than usual, so a lease is at most thought to last longer than it does.
+        during the election tries the next controller, and if it can't reach that one, it waits for
+        its timeout before it gets to the new leader.  Holding is safe for leases: a worker
+        counts its lease from the sending, so a late answer at most makes a controller assume that
+        the lease lasts longer than it does.
         """
-        if self._held >= MAX_HELD_HEARTBEATS:
-            return refused
+        if self._held_count >= MAX_HELD_HEARTBEATS:
+            return refusal
         deadline = monotonic() + self._hold_timeout
-        self._held += 1
+        self._held_count += 1
         try:
             while monotonic() < deadline:
                 await sleep(HOLD_POLL_INTERVAL)
                 if self._leader.loading:
                     continue
-                if self._leader.actor is not None or self._leader.name not in (None, tried):
+                if self._leader.actor is not None or self._leader.name not in (None, tried_leader):
                     return await self._answer(heartbeat)
                 commands = self._renew_as_follower(heartbeat)
                 if commands is not None:
                     return answer(200, commands)
         finally:
-            self._held -= 1
-        return refused
+            self._held_count -= 1
+        return refusal
--- a/micadeal/controller/api/job_explanations.py
+++ b/micadeal/controller/api/job_explanations.py
@@ -1,4 +1,4 @@
-"""Why a job waits, as the leader's controller knows it."""
+"""Explains why a job waits, on the controller that leads."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class UnansweredError(Exception):
-    """A question can't be answered now; the text is for the user, who may ask again."""
+    """A request can't be answered now; the text is shown to the user, who may retry."""
 
 
 class JobExplainer:
-    """Asks the leader's actor, and tells "nothing to explain" from "not heard of yet"."""
+    """Asks the leader's actor, and distinguishes "nothing to explain" from "not known yet"."""
 
     def __init__(self, state: StateService) -> None:
         self._state = state
@@ -29,8 +29,8 @@
 
         Raises ``UnansweredError`` if that is not known, and what ``Actor.ask`` raises.
 
-        Guards against 404 of a job that waits: a leader that has not read its records, or whose
-        watch is behind, does not know of it yet.
+        Guards against a 404 for a waiting job: a leader that has not read its records, or whose
+        watch lags behind, does not know the job yet.
         """
         explanation: WhyAnswer | None = await leader.ask(GetExplanation(job_id), QUERY_TIMEOUT)
         if explanation is None and await self._is_recorded_live(job_id):
--- a/micadeal/controller/api/job_reader.py
+++ b/micadeal/controller/api/job_reader.py
@@ -1,4 +1,4 @@
-"""What the state service holds of jobs, by reads that begin with the call."""
+"""Reads what the state service stores about jobs; every read begins with the call."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 from micadeal.wire.state import Item
 from micadeal.wire.users import JobAnswer, Shape, Status
 
-#: Reads in flight at once for one request.
+#: Concurrent reads for one request.
 MAX_CONCURRENT_READS = 6
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedJob:
-    """What is recorded of an accepted job."""
+    """What the state service stores about an accepted job."""
 
-    #: Its final status; None: it is neither done nor cancelled.
+    #: None if the job is neither done nor cancelled.
     final_status: Status | None
     is_service: bool = False
     prerequisites: tuple[str, ...] = ()
 
     @property
     def is_cancelled(self) -> bool:
-        """Whether the job's end is recorded as cancelled."""
+        """Whether the job is recorded as cancelled."""
         return self.final_status is Status.CANCELLED
 
 
 @dataclass(frozen=True, slots=True)
 class NeverAccepted:
-    """Proof that a job was not accepted when a question about it came.
+    """Proof that a job had not been accepted when a request about it was received.
 
-    Only ``JobStatus.look_up`` gives it: the job's record and then its end were read, both reads
-    began after the question came, and there was neither.  Nothing else allows to answer 404, or to
-    refuse a submission with 400 or 422 whose job may be known.
+    Only ``JobStatus.look_up`` returns it: the job's record and then its end were read, both reads
+    began after the request was received, and neither record existed.  Only this proof permits a
+    404, or a 400 or 422 to a submission that names a valid job id.
     """
 
     job_id: str
@@ -51,13 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _LiveRecord:
-    """The record of a job that was neither done nor cancelled; it is never rewritten."""
+    """The record of a job that was live, neither done nor cancelled; it is never rewritten."""
 
     version: int
     job: RecordedJob
 
 
-#: Recorded jobs by id; None: never accepted.
+#: Recorded jobs by id; None for a job that was never accepted.
 RecordedJobs = dict[str, RecordedJob | None]
 
 
@@ -70,23 +70,25 @@
         self._state = state
         self._answers = answers
         self._confirmer = confirmer
-        #: Shared by all questions, so that they share requests.
+        #: Shared by all users' requests, so that their checks are sent together.
         self.version_checks = VersionCheckCoalescer(state)
         self._live_records: RecentJobs[_LiveRecord] = RecentJobs()
 
     def prerequisites(self, job_id: str) -> tuple[str, ...]:
-        """Return the prerequisites of a job that was read alive before; none if it was not."""
+        """Return the prerequisites of a job that was read as live before; none if it was not."""
         record = self._live_records.get(job_id)
         return () if record is None else record.job.prerequisites
 
-    async def still_live(self, names: Iterable[str]) -> set[str]:
-        """Return those of the jobs read alive before that still are, by reads that begin now.
+    async def still_live(self, job_ids: Iterable[str]) -> set[str]:
+        """Return the jobs that were read as live before and still are, by reads that begin now.
 
         One request compares the versions of many records.
         """
-        records = {name: self._live_records.get(name) for name in names}
+        records = {job_id: self._live_records.get(job_id) for job_id in job_ids}
         versions = {
-            JOBS + name: record.version for name, record in records.items() if record is not None
+            JOBS + job_id: record.version
+            for job_id, record in records.items()
+            if record is not None
         }
         unchanged = await self.version_checks.unchanged_keys(versions)
         for key in versions.keys() - unchanged:
@@ -94,10 +96,11 @@
         return {key.removeprefix(JOBS) for key in unchanged}
 
     async def read_job(self, job_id: str) -> RecordedJob | None:
-        """Read what is recorded of a job; None: it was never accepted.
+        """Read what is recorded of a job; return None if it was never accepted.
 
-        The job's record is read before its end, since it only ever turns from the one into the
-        other.  Raises ``StateServiceError``; ``UnreadableRecordError`` where that will not change.
+        The job's record is read before its end, since the end replaces the record and never the
+        other way round.  Raises ``StateServiceError``; its subclass ``UnreadableRecordError`` if a
+        retry will not help.
         """
         final = self._answers.final.get(job_id)
         if final is None:
@@ -107,31 +110,31 @@
             final = await self.read_end(job_id)
         return None if final is None else RecordedJob(final.status)
 
-    async def read_jobs(self, names: list[str], skip_unreadable: bool = False) -> RecordedJobs:
-        """Read several jobs at once.
+    async def read_jobs(self, job_ids: list[str], skip_unreadable: bool = False) -> RecordedJobs:
+        """Read several jobs concurrently.
 
-        ``skip_unreadable``: jobs whose records can't be read count as unknown.  Otherwise no
-        request about a job that depends on them would ever be answered.
+        ``skip_unreadable``: treat jobs whose records can't be decoded as unknown, so that requests
+        about jobs that depend on them can still be answered.
         """
         jobs: RecordedJobs = {}
         problems: list[StateServiceError] = []
-        waiting = list(names)
+        unread = list(job_ids)
 
-        async def read_waiting() -> None:
-            while waiting and not problems:
-                name = waiting.pop()
+        async def read_unread() -> None:
+            while unread and not problems:
+                job_id = unread.pop()
                 try:
-                    jobs[name] = await self.read_job(name)
+                    jobs[job_id] = await self.read_job(job_id)
                 except UnreadableRecordError as problem:
-                    jobs[name] = None
+                    jobs[job_id] = None
                     if not skip_unreadable:
                         problems.append(problem)
                 except StateServiceError as problem:
                     problems.append(problem)
 
         async with curio.TaskGroup() as group:
-            for _ in range(min(len(names), MAX_CONCURRENT_READS)):
-                await group.spawn(read_waiting)
+            for _ in range(min(len(job_ids), MAX_CONCURRENT_READS)):
+                await group.spawn(read_unread)
         if problems:
             raise problems[0]
         return jobs
@@ -147,9 +150,9 @@
         return job
 
     async def read_end(self, job_id: str, cannot_start: bool = False) -> JobAnswer | None:
-        """Read the end of a job; None: there is none.
+        """Read how a job ended; return None if no end is recorded.
 
-        A cancellation is confirmed, unless its record says that another controller has done that.
+        A cancellation is confirmed first, unless the record says that it is confirmed already.
 
         ``cannot_start``: it is certain that no task of the job can start.
         """
--- a/micadeal/controller/api/jobs.py
+++ b/micadeal/controller/api/jobs.py
@@ -1,9 +1,10 @@
-"""Answers users on any controller, from the state service alone.
+"""Answers users' requests on any controller, based on the state service alone.
 
-An answer must never be taken back by another controller.  So a job is called accepted, cancelled or
-done only once the state service holds that; and "pending", "running" or "unknown" rest on a read
-that began after the question came, since another controller may have answered something newer a
-moment ago.  Final answers never change and are remembered.
+No controller may contradict what another has answered.  So a job is reported as accepted,
+cancelled or done only once that is recorded in the state service.  The answers "pending",
+"running" and "unknown" are based on a read that begins after the request was received, since
+another controller may have answered a newer status just before.  Final answers never change and
+are cached.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class JobApi:
-    """Submission, status and cancellation, and what other controllers report of jobs."""
+    """Submission, status and cancellation of jobs, and reports about jobs from controllers."""
 
     def __init__(
         self,
@@ -37,18 +38,18 @@
         teams: dict[str, Team],
         broadcast: Callable[[str], Awaitable[CancellationConfirmation]],
         cancel_timeout: timedelta,
-        ask_others: Callable[[str], None],
+        request_confirmation: Callable[[str], None],
     ) -> None:
         """Serve the users of one controller.
 
-        ``broadcast`` makes a cancellation known to the other controllers; ``cancel_timeout`` after
-        a cancellation was confirmed no task of the job is left; ``ask_others`` asks controllers
-        that can't be told directly to confirm a cancellation in our place.
+        ``broadcast`` announces a cancellation to the other controllers.  No task of a job is left
+        ``cancel_timeout`` after its cancellation was confirmed.  ``request_confirmation`` asks
+        other controllers through the state service to confirm a cancellation.
         """
         self._answers = KnownAnswers()
         self._cancellation_ages = CancellationAges()
         confirmer = CancellationConfirmer(
-            self._answers, broadcast, cancel_timeout, self._cancellation_ages, ask_others
+            self._answers, broadcast, cancel_timeout, self._cancellation_ages, request_confirmation
         )
         reader = JobReader(state, self._answers, confirmer)
         self._dependencies = DependencyReader(reader, self._answers, cancel_timeout)
@@ -73,50 +74,52 @@
         return await self._cancellation.cancel(job_id)
 
     async def look_up(self, job_id: str) -> JobAnswer | NeverAccepted:
-        """Return what a user may be told of a job now; raise ``StateServiceError`` if nothing."""
+        """Return what a user may be answered about a job; ``StateServiceError`` if nothing."""
         return await self._status.look_up(job_id)
 
     # -- reports of leaders and other controllers ------------------------------------------
 
     @property
     def types(self) -> list[MachineType]:
-        """The cloud's machine types; empty as long as they are not known."""
+        """The cloud's machine types; empty until they are known."""
         return list(self._submission.instance_offers.types.values())
 
     def set_catalog(self, types: list[MachineType]) -> None:
-        """Take over the cloud's machine types."""
-        self._submission.instance_offers.types = {kind.name: kind for kind in types}
+        """Store the cloud's machine types."""
+        self._submission.instance_offers.types = {
+            machine_type.name: machine_type for machine_type in types
+        }
 
     def set_counts(self, counts: list[Counts], all_started: list[str]) -> None:
-        """Take over what a leader reports of jobs in progress."""
+        """Store a leader's report of the jobs in progress."""
         self._answers.set_counts(counts, all_started)
 
     @property
     def counts(self) -> list[Counts]:
-        """Counts of jobs in progress, as a leader reported them last."""
+        """Task counts of the jobs in progress, from a leader's last report."""
         return self._answers.counts
 
     def all_started(self) -> frozenset[str]:
-        """Return the jobs all of whose tasks run, by a leader's last report if it is not old."""
+        """Return the jobs whose tasks all run, by a leader's last report if that is recent."""
         return self._answers.all_started()
 
     def set_cascaded(self, until: timedelta | None) -> None:
-        """Take over up to when cancellations have reached all jobs after them."""
+        """Store the instant up to which cancellations are recorded for all dependent jobs."""
         self._dependencies.propagated_until = until
 
     def over(self, job_id: str) -> None:
-        """Note that a job's end is recorded, as another controller or the leader reports."""
+        """Note that a job's end is recorded, by a report of the leader or another controller."""
         self._answers.note_ended(job_id)
 
     def cancellation_ages(self) -> dict[str, float]:
-        """Return for how many milliseconds enough controllers have known of cancellations."""
+        """Return the age of each unconfirmed cancellation, in milliseconds."""
         return self._cancellation_ages.to_wire(monotonic())
 
     def merge_cancellation_ages(self, ages_ms: Mapping[str, float]) -> None:
-        """Take over what a peer says on how long enough controllers have known."""
+        """Adopt the ages of cancellations that a peer has sent."""
         self._cancellation_ages.merge(ages_ms, monotonic())
 
     @property
     def last_cancel(self) -> timedelta:
-        """When a user was last answered "cancelled" here, or when this process was started."""
+        """When a user was last answered "cancelled" here; initially the start of this process."""
         return self._answers.last_cancel
--- a/micadeal/controller/api/operators.py
+++ b/micadeal/controller/api/operators.py
@@ -1,4 +1,4 @@
-"""Answers operators' questions on any controller; a follower passes them on to the leader."""
+"""Answers operators' requests on any controller; a follower forwards them to the leader."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 log = logging.getLogger(__name__)
 
-#: How long the leader may take to answer another controller: more than its actor may, so that its
-#: reason arrives if that does not answer.
+#: How long the leader may take to answer another controller.  Above the timeout of its actor, so
+#: that its error arrives if the actor does not answer.
 PEER_QUERY_TIMEOUT = QUERY_TIMEOUT + seconds(0.5)
 
 
@@ -42,7 +42,7 @@
         self._answer_log = answer_log
 
     async def explain(self, request: Request) -> Answer:
-        """Answer why a job waits, or what it is doing."""
+        """Answer with why a job waits, or what it is doing."""
         job_id = request.path.split("/")[2]
         if not JOB_ID.match(job_id):
             return error(400, "not a job id")
@@ -73,9 +73,9 @@
     async def _ask_leader(
         self, ask: Callable[[Leader], Awaitable[Any]], path: str, body: Any, answer_type: Any
     ) -> Any:
-        """Ask our own actor with ``ask``, or the leader over HTTP with ``body``.
+        """Ask this controller's actor with ``ask`` if it leads, else the leader over HTTP.
 
-        Returns the answer's content; ``UnansweredError`` if there is none.
+        Returns the content of the answer; raises ``UnansweredError`` if there is none.
         """
         leader = self._leader.name
         try:
