--- a/micadeal/controller/api/job_reader.py
+++ b/micadeal/controller/api/job_reader.py
@@ -98,9 +98,9 @@
     async def read_job(self, job_id: str) -> RecordedJob | None:
         """Read what is recorded of a job; return None if it was never accepted.
 
-        The job's record is read before its end, since the end replaces the record and never the
-        other way round.  Raises ``StateServiceError``; its subclass ``UnreadableRecordError`` if a
-        retry will not help.
+        The job's record is read before its end: the end replaces the record, so reads in the other
+        order could miss both.  Raises ``StateServiceError``; its subclass ``UnreadableRecordError``
+        if a retry will not help.
         """
         final = self._answers.final.get(job_id)
         if final is None:
--- a/micadeal/controller/api/peers.py
+++ b/micadeal/controller/api/peers.py
@@ -36,8 +36,8 @@
 
 log = logging.getLogger(__name__)
 
-#: How long the leader's actor may take to say how far the jobs have come: well within the time
-#: that a ping has.
+#: How long the leader's actor may take to report the jobs' progress: well below the timeout of a
+#: ping.
 PROGRESS_TIMEOUT = seconds(0.5)
 #: Error text of a 503 for a full mailbox, the same in all versions.
 MAILBOX_FULL = "Overloaded"
@@ -45,25 +45,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerApiConfig:
-    """The parts of a controller that answer its peers."""
+    """The components of a controller that the interface to its peers uses."""
 
     leader: KnownLeader
     state_contact: StateContact
     peer_links: PeerLinks
     feature_levels: FeatureLevels
-    #: None: followers never renew leases.
+    #: None if followers never renew leases.
     follower_leases: FollowerLeases | None
     heartbeats: HeartbeatApi
     jobs: JobApi
     explainer: JobExplainer
     cancellations: CancellationBroadcaster
-    #: Called with the name and token of a peer that says that it leads.
+    #: Called with the name and token of a peer whose ping says that it leads.
     on_leader_announced: Callable[[str, int], None]
 
 
 @dataclass(frozen=True, slots=True)
 class _Progress:
-    """What the answer to a ping says about the jobs."""
+    """What the answer to a ping reports about jobs."""
 
     counts: list[Counts]
     all_started: list[str]
@@ -133,14 +133,14 @@
         )
 
     async def _progress(self, ping: Ping) -> _Progress:
-        """Return how far the jobs have come, if the peer asks for it and we lead."""
+        """Return the jobs' progress if the peer asks for it and this controller leads."""
         actor = self._leader.actor
         if not ping.wants_counts or actor is None:
             return _Progress([], [], None)
         progress = await actor.ask(GetProgress(), PROGRESS_TIMEOUT)
         counts, all_started = progress.counts, progress.all_started
         if actor.loading:
-            # Not counted yet: what the previous leader reported last.
+            # Nothing counted yet: repeats the last report of the previous leader.
             counts, all_started = self._jobs.counts, list(self._jobs.all_started())
         cascade_age_ms = None
         if progress.cascaded_until is not None:
@@ -184,7 +184,7 @@
             explanation = await self._explainer.explain(self._leader.actor, job_id)
         except UnansweredError as problem:
             return error(503, str(problem))
-        # Nil if there is none: all versions decode that, and none decodes an empty body.
+        # None is sent as nil, which all versions decode; no version decodes an empty body.
         return Answer(200, encode(explanation))
 
     async def _overview(self, _request: Request) -> Answer:
--- a/micadeal/controller/api/public.py
+++ b/micadeal/controller/api/public.py
@@ -1,4 +1,4 @@
-"""The HTTP interface to users, workers and operators: which handler serves which path."""
+"""The HTTP interface to users, workers and operators: routes requests to handlers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PublicApi:
-    """Routes requests; users' requests are refused as long as this controller is not fit."""
+    """Routes requests; refuses users' requests while this controller must not serve them."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
             "/overview": {"GET": operators.overview},
             "/settings": {"GET": settings.show, "POST": settings.apply},
         }
-        # Paths that hold a job's id.
+        # Endpoints of paths that contain a job id.
         self._job_status: Endpoint = {"GET": self._status}
         self._job_cancellation: Endpoint = {"POST": self._cancel}
         self._job_explanation: Endpoint = {"GET": operators.explain}
--- a/micadeal/controller/api/readiness.py
+++ b/micadeal/controller/api/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a controller should serve users at the moment."""
+"""Decides whether a controller should serve users now."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from micadeal.controller.state_contact import StateContact
 from micadeal.http.message import Answer, Request, answer, error
 
-#: Without an answer of the state service for this long, a controller whose peers have one is of no
-#: use to users.
+#: A controller without an answer from the state service for this long is not ready, if a peer still
+#: gets answers.
 MAX_STATE_CONTACT_AGE = seconds(5)
 #: A peer's last contact with the state service counts if it is no older than this.  Controllers
-#: notice an outage that all share up to two seconds apart, since an idle watch is held that long.
-#: With a larger value the first would drop out, and the load balancer would keep it out after the
-#: outage.
+#: notice a shared outage up to two seconds apart, since an idle watch is held for that long.  With
+#: a larger value the first one would report not ready, and the load balancer would keep it out of
+#: service beyond the end of the outage.
 MAX_PEER_STATE_CONTACT_AGE = seconds(2.5)
 
 SHUTTING_DOWN = "this process ends"
 
 
 class Readiness:
-    """Serves ``GET /ready``, and refuses users while this controller must not serve them."""
+    """Serves ``GET /ready``, and refuses users' requests while they must not be served."""
 
     def __init__(
         self,
@@ -39,19 +39,19 @@
         self._peer_links = peer_links
         self._has_peers = has_peers
         self._catalog_known = catalog_known
-        #: This process is about to end.
+        #: Whether this process is about to end.
         self.shutting_down = False
 
     def refusal(self) -> Answer | None:
-        """Return the answer to users if records can't be read, or must not be written, here."""
+        """Return the answer to users while they must not be served here; None if they may be."""
         reason = SHUTTING_DOWN if self.shutting_down else self._feature_levels.refusal
         return None if reason is None else error(503, reason, RETRY_AFTER)
 
     async def check(self, _request: Request) -> Answer:
-        """Answer whether users are better served here than elsewhere.
+        """Answer whether the load balancer should send users to this controller.
 
-        In an outage that all controllers share, dropping out would only add the load balancer's
-        pause to it.
+        In an outage that all controllers share, each stays ready: otherwise the load balancer would
+        add its own delay to the outage.
         """
         reason = self._reason_not_ready()
         return answer(200, {"ready": True}) if reason is None else error(503, reason)
@@ -68,7 +68,7 @@
         if peer_contact is not None and monotonic() - peer_contact < MAX_PEER_STATE_CONTACT_AGE:
             return "no touch with the state service"
         if self._has_peers and not self._peer_links.reaches():
-            # Cut off from the state service and from all peers, we can't serve anybody while
-            # others may: an outage counts as shared only if a peer confirms it.
+            # This controller is cut off from the state service and all peers, while others may be
+            # able to serve users: an outage counts as shared only if a peer confirms it.
             return "no touch with the state service and the other controllers"
         return None
--- a/micadeal/controller/api/responses.py
+++ b/micadeal/controller/api/responses.py
@@ -1,4 +1,4 @@
-"""Answers that several requests of users share."""
+"""Answers that several kinds of users' requests share."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from micadeal.controller.api.job_reader import NeverAccepted
 from micadeal.http.message import Answer, error
 
-#: When users who could not be served are to ask again.
+#: Sent with a 503: when the user should retry.
 RETRY_AFTER = timedelta(seconds=1)
 
 
@@ -17,12 +17,12 @@
 
 
 def not_a_job_id() -> Answer:
-    """Answer that no job can have such an id."""
+    """Answer that no job can have this id."""
     return error(404, "no such job", reason="not a job id")
 
 
 def state_service_unreachable(problem: Exception) -> Answer:
-    """Answer that nothing can be said or done without the state service."""
+    """Answer that the request can't be served without the state service."""
     return error(503, "the state service does not answer", RETRY_AFTER, str(problem))
 
 
--- a/micadeal/controller/api/settings.py
+++ b/micadeal/controller/api/settings.py
@@ -1,4 +1,4 @@
-"""Serves the operators' settings, which are kept in the state service."""
+"""Serves the operators' settings, which are stored in the state service."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self._state = state
 
     async def show(self, _request: Request) -> Answer:
-        """Answer with the stored settings, empty ones if there are none."""
+        """Answer with the stored settings; with empty ones if there are none."""
         try:
             item = await self._state.get(SETTINGS)
         except StateServiceError:
@@ -41,30 +41,33 @@
     async def apply(self, request: Request) -> Answer:
         """Store settings.
 
-        The client has evaluated the script; its values are checked again before they are stored.
+        The client has evaluated the script; the resulting values are validated again before they
+        are stored.
         """
         try:
-            sent = decode(SettingsRecord, request.body)
-            policy_from_values(sent.values)
-            check_highest_level(sent.highest_level)
+            received = decode(SettingsRecord, request.body)
+            policy_from_values(received.values)
+            check_highest_level(received.highest_level)
         except ValueError as problem:
             return error(400, str(problem))
-        record = SettingsRecord(sent.script, utc_now().timestamp(), sent.values, sent.highest_level)
+        record = SettingsRecord(
+            received.script, utc_now().timestamp(), received.values, received.highest_level
+        )
         if not self._state.present.fits(record):
             return _too_large()
         return await self._store(record)
 
     async def _store(self, record: SettingsRecord) -> Answer:
         try:
-            # On condition of the version read: a transaction without an answer that is applied
-            # after a newer one would bring an old script back.
+            # Compare-and-swap: otherwise a transaction whose answer was lost could be applied after
+            # a newer one, and restore an old script.
             item = await self._state.get(SETTINGS)
             unchanged = Condition(SETTINGS, 0 if item is None else item.version)
             await self._state.commit([unchanged], [Put(SETTINGS, record)], Urgency.USER)
         except ConflictError:
             return error(409, "the settings were changed meanwhile: look at them and apply again")
         except RequestRejectedError:
-            # The service's limits are lower by now than when this controller was started.
+            # The service's limits have been lowered since this controller was started.
             return _too_large()
         except StateServiceError:
             return _unavailable()
--- a/micadeal/controller/api/status.py
+++ b/micadeal/controller/api/status.py
@@ -1,4 +1,4 @@
-"""Status of jobs, by reads that begin after the request came."""
+"""Looks up the status of jobs, by reads that begin after the request was received."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class AcceptedJobMissingError(StateServiceError):
-    """The state service holds nothing of a job that was accepted here."""
+    """The state service has no record of a job that was accepted here."""
 
     def __init__(self, job_id: str) -> None:
         super().__init__(f"accepted, and neither record nor end is there: job={job_id}")
@@ -36,7 +36,7 @@
 
 
 class JobStatus:
-    """Answers what has become of a job."""
+    """Answers requests for the status of a job."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
         self._answers = answers
         self._reader = reader
         self._dependencies = dependencies
-        #: Jobs that wait for no others, and the version of their records: as long as that holds
-        #: they are neither done nor cancelled.
+        #: Versions of the records of jobs without prerequisites: while the version is unchanged,
+        #: the job is neither done nor cancelled.
         self._independent_versions: RecentJobs[int] = RecentJobs()
 
     async def status(self, job_id: str) -> Answer:
@@ -58,48 +58,48 @@
         if not JOB_ID.match(job_id):
             return not_a_job_id()
         try:
-            found = await self.look_up(job_id)
+            current = await self.look_up(job_id)
         except StateServiceError as problem:
             return state_service_unreachable(problem)
-        return no_such_job(found) if isinstance(found, NeverAccepted) else answer(200, found)
+        return no_such_job(current) if isinstance(current, NeverAccepted) else answer(200, current)
 
     async def look_up(self, job_id: str) -> JobAnswer | NeverAccepted:
-        """Return the state of a job by reads that begin now.
+        """Return the status of a job by reads that begin now.
 
-        Raises ``StateServiceError`` if it can't be told.
+        Raises ``StateServiceError`` if it can't be determined.
 
-        Guards ``went_back``: if something newer became known here during the reads, a user may have
-        been answered that already, so the job is read once more.
+        Guards ``went_back``: if a newer status became known here during the reads, a user may have
+        been answered with it already, so the job is read once more.
         """
-        found = await self._read(job_id)
-        if self._answers.is_outdated(job_id, found):
-            found = await self._read(job_id)
-        if found is not None:
-            return found
+        current = await self._read(job_id)
+        if self._answers.is_outdated(job_id, current):
+            current = await self._read(job_id)
+        if current is not None:
+            return current
         if job_id in self._answers.accepted:
-            # Guards ``forgotten``: whatever the reads say, a user was told that it is accepted.
+            # Guards ``forgotten``: a user was answered that it is accepted, so no 404 may follow.
             report_violation(Invariant.FORGOTTEN, job_id, "accepted, and neither record nor end")
             raise AcceptedJobMissingError(job_id)
         return NeverAccepted(job_id)
 
     async def _read(self, job_id: str) -> JobAnswer | None:
-        """Read the job's record before its end: it only ever turns from one into the other."""
+        """Read the job's record and then its end, since the end replaces the record."""
         if (final := self._answers.final.get(job_id)) is not None:
             return final
-        asked = monotonic()
-        if await self._version_holds(job_id):
+        asked_at = monotonic()
+        if await self._is_unchanged(job_id):
             return self._answers.in_progress(job_id)
         item = await self._state.get(JOBS + job_id)
         if item is None:
             return await self._reader.read_end(job_id)
         if not has_dependencies(item.value):
             self._independent_versions.add(job_id, item.version)
-        elif await self._cancel_orphan(job_id, item, asked):
-            # As long as it waited nothing of it could start.
+        elif await self._cancel_orphan(job_id, item, asked_at):
+            # No task can start: the job waited for its prerequisites until now.
             return await self._reader.read_end(job_id, cannot_start=True)
         return self._answers.in_progress(job_id)
 
-    async def _version_holds(self, job_id: str) -> bool:
+    async def _is_unchanged(self, job_id: str) -> bool:
         """Return whether an independent job's record still has the version last read."""
         version = self._independent_versions.get(job_id)
         if version is None:
@@ -109,21 +109,21 @@
         self._independent_versions.discard(job_id)
         return False
 
-    async def _cancel_orphan(self, job_id: str, item: Item, asked: timedelta) -> bool:
-        """Return whether the job turns out to be cancelled, since one of its ancestors is.
+    async def _cancel_orphan(self, job_id: str, item: Item, asked_at: timedelta) -> bool:
+        """Cancel the job if one of its ancestors is cancelled; return whether that is so.
 
-        Then that is recorded here, in place of a leader that has not recorded it yet.
+        The cancellation is recorded here, since the leader has not recorded it yet.
         """
-        if self._dependencies.cancellations_propagated(asked):
+        if self._dependencies.cancellations_propagated(asked_at):
             return False
         try:
             job = await self._reader.read_live_job(item)
         except UnreadableRecordError as problem:
-            # Guards ``forgotten``: the job is known, and whoever leads can't run it either.  With
-            # an error here no question about it would ever be answered.
+            # Guards ``forgotten``: the job is known, but no leader can run it.  If this raised,
+            # requests about the job would always fail.
             _log_unreadable(problem)
             return False
-        if not await self._dependencies.has_cancelled_ancestor({job_id: job}, asked):
+        if not await self._dependencies.has_cancelled_ancestor({job_id: job}, asked_at):
             return False
         try:
             await write_cancellation(self._state, job_id, item)
--- a/micadeal/controller/api/submission.py
+++ b/micadeal/controller/api/submission.py
@@ -43,7 +43,7 @@
 
 
 class JobTooLargeError(Exception):
-    """The state service does not take a job's description, in one value or in several."""
+    """A job's description exceeds the state service's limits, even if split over several values."""
 
     def __init__(self, job_id: str) -> None:
         super().__init__(job_id)
@@ -69,48 +69,49 @@
         self.instance_offers = InstanceOffers()
 
     async def submit(self, body: bytes) -> Answer:
-        """Answer a submission: 201 if the job is accepted by it, 200 if it is known already."""
+        """Answer a submission: 201 if it is accepted, 200 if the job is known already."""
         try:
             spec = parse(body)
         except MalformedJobError as problem:
-            return await self._known_or(job_id_of(body), error(400, str(problem)))
+            return await self._status_or(job_id_of(body), error(400, str(problem)))
         if not self.instance_offers.types:
             no_catalog = error(503, "the machine types are not known yet", RETRY_AFTER)
-            return await self._known_or(spec.job_id, no_catalog)
+            return await self._status_or(spec.job_id, no_catalog)
         try:
             check_possible(spec, self._teams, self.instance_offers)
             cancelled = await self._has_cancelled_prerequisite(spec)
         except UnschedulableJobError as problem:
-            return await self._known_or(spec.job_id, error(422, str(problem)))
+            return await self._status_or(spec.job_id, error(422, str(problem)))
         except (StateServiceError, TimeoutError) as problem:
             log.debug("prerequisites not read: job=%s reason=%s", spec.job_id, problem)
             not_read = error(503, "the jobs named can't be looked up now", RETRY_AFTER)
-            return await self._known_or(spec.job_id, not_read)
+            return await self._status_or(spec.job_id, not_read)
         return await self._accept(spec, cancelled)
 
-    async def _known_or(self, job_id: str | None, otherwise: Answer) -> Answer:
-        """Answer a submission with the state of the job if it is known, else with ``otherwise``.
+    async def _status_or(self, job_id: str | None, fallback: Answer) -> Answer:
+        """Answer a submission with the job's status if the job is known, else with ``fallback``.
 
-        A repeat of a known job is answered with its state, whatever else it holds.
+        A repeated submission of a known job is answered with its status, even if the rest of the
+        request is invalid.
         """
         if job_id is None:
-            return otherwise
+            return fallback
         try:
-            found = await self._status.look_up(job_id)
+            current = await self._status.look_up(job_id)
         except StateServiceError as problem:
             return state_service_unreachable(problem)
-        return otherwise if isinstance(found, NeverAccepted) else answer(200, found)
+        return fallback if isinstance(current, NeverAccepted) else answer(200, current)
 
     async def _has_cancelled_prerequisite(self, spec: Submission) -> bool:
         if not spec.prerequisites:
             return False
-        found: bool = await with_timeout(
+        cancelled: bool = await with_timeout(
             USER_WRITE_TIMEOUT, self._dependencies.has_cancelled_prerequisite(spec)
         )
-        return found
+        return cancelled
 
     async def _accept(self, spec: Submission, cancelled: bool) -> Answer:
-        """Record the job and answer; as cancelled if it needs a job that is."""
+        """Record the job and answer; record it as cancelled if ``cancelled`` is true."""
         job_id = spec.job_id
         if (final := self._answers.final.get(job_id)) is not None:
             return answer(200, final)
@@ -118,43 +119,43 @@
             await self._record(spec, cancelled)
         except JobTooLargeError:
             too_large = error(400, "the job's description is too large for the state service")
-            return await self._known_or(job_id, too_large)
+            return await self._status_or(job_id, too_large)
         except UnavailableError as problem:
             return state_service_unreachable(problem)
         except (ConflictError, StateServiceError) as problem:
-            # Known already, or perhaps just accepted by a transaction whose answer was lost.
+            # The job is known already, or this transaction was applied and its answer lost.
             return await self._answer_recorded(job_id, str(problem))
         return await self._answer_accepted(job_id, cancelled)
 
     async def _answer_accepted(self, job_id: str, cancelled: bool) -> Answer:
-        """Answer a submission that was just recorded, unless something newer is known by now."""
+        """Answer a submission that was just recorded; read its status if a newer one is known."""
         self._answers.accepted.add(job_id, None)
         if cancelled:
             final = self._answers.remember_final(JobAnswer(job_id, Status.CANCELLED))
             return answer(201, final)
         accepted = JobAnswer(job_id, Status.PENDING)
         if self._answers.is_outdated(job_id, accepted):
-            return await self._answer_recorded(job_id, "something newer is known")
+            return await self._answer_recorded(job_id, "a newer status is known")
         return answer(201, accepted)
 
     async def _answer_recorded(self, job_id: str, reason: str) -> Answer:
-        """Answer with what is recorded of the job by now, also if another controller wrote it.
+        """Answer with the recorded status of the job, which another controller may have written.
 
-        ``reason`` says for the log why that has to be read.
+        ``reason`` says for the log why the status is read.
         """
         try:
-            found = await self._status.look_up(job_id)
+            current = await self._status.look_up(job_id)
         except StateServiceError as problem:
             return not_recorded_yet(f"{reason}; then {problem}")
-        if isinstance(found, NeverAccepted):
-            return not_recorded_yet(f"{reason}; not there yet")
-        return answer(200, found)
+        if isinstance(current, NeverAccepted):
+            return not_recorded_yet(f"{reason}; no record found")
+        return answer(200, current)
 
     async def _record(self, spec: Submission, cancelled: bool) -> None:
-        """Write the job's record, or its end if it is cancelled.
+        """Write the job's record, or the record of its end if ``cancelled``.
 
         Raises ``JobTooLargeError``, ``ConflictError`` if the job is known, ``UnavailableError`` if
-        nothing was written, and other ``StateServiceError`` if the outcome is unknown.
+        nothing was written, and another ``StateServiceError`` if the outcome is unknown.
         """
         job_id = spec.job_id
         now = utc_now().timestamp()
@@ -168,10 +169,10 @@
             await self._put_new(job_id, [put])
         except RequestRejectedError:
             if cancelled:
-                # Guards ``went_back``: only a live job is split.  The record of an end is small
-                # and has no other form.
+                # Guards ``went_back``: only the record of a live job can be split.  The record of
+                # an end is small and is never split.
                 raise JobTooLargeError(job_id) from None
-            # The service's limits are lower by now than when this controller was started.
+            # The service's limits have been lowered since this controller was started.
             parts = split(record, self._state.limits)
             if parts is None:
                 raise JobTooLargeError(job_id) from None
