--- a/micadeal/controller/persistence/__init__.py
+++ b/micadeal/controller/persistence/__init__.py
@@ -1,6 +1,6 @@
-"""What the leader writes to the key-value store, and in which order.
+"""Prepares the leader's writes to the state service, in batches and in order of priority.
 
-``record_writer`` chooses the next batches and takes their outcomes.  Each other module prepares
-one kind of record; ``writer_context`` holds what these modules share.  Nothing here does any input
-or output: batches are committed by the leader's outbound calls.
+``record_writer`` chooses the next batches and processes their outcomes.  Each other module prepares
+one kind of record; ``writer_context`` holds the state that these modules share.  Nothing here does
+any I/O: the leader's outbound calls commit the batches.
 """
--- a/micadeal/controller/persistence/batches.py
+++ b/micadeal/controller/persistence/batches.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementWrite:
-    """A record of placements that a batch writes, and the attempts that it names."""
+    """A placement record that a batch writes, and the attempts in it."""
 
     key: str
     attempts: tuple[Attempt, ...]
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedTasksWrite:
-    """Finished tasks of one job that a batch writes."""
+    """Finished tasks of a job that a batch writes."""
 
     job_id: str
     tasks: frozenset[int]
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobEndWrite:
-    """The end of one job that a batch writes."""
+    """The end of a job that a batch writes."""
 
     job_id: str
     record: EndRecord
@@ -38,16 +38,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteBatch:
-    """Operations that are committed together, under the versions last known of their keys."""
+    """Operations committed together, on condition of the last known versions of their keys."""
 
     operations: tuple[Operation, ...]
     conditions: tuple[Condition, ...]
     urgency: Urgency
     placed: tuple[PlacementWrite, ...] = ()
     finished: tuple[FinishedTasksWrite, ...] = ()
-    #: The job that this batch ends; such a batch holds nothing else.
+    #: The end that this batch writes; such a batch writes nothing for other jobs.
     job_end: JobEndWrite | None = None
-    #: A value fits the service's present limits, but not the guaranteed ones.
+    #: Whether a value fits the service's present limits, but not the guaranteed ones.
     needs_present_limits: bool = False
 
 
@@ -63,24 +63,24 @@
 
     @property
     def remaining(self) -> int:
-        """How many more operations the batch may hold."""
+        """How many more operations fit into the batch."""
         return self.max_operations - len(self.operations)
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing was added yet."""
+        """Whether the batch has no operations yet."""
         return not self.operations
 
     def put(self, key: str, record: Any) -> None:
-        """Add a record to be written under ``key``."""
+        """Add a put of ``record`` under ``key``."""
         self.operations.append(Put(key, record))
 
-    def drop(self, key: str) -> None:
-        """Add a key to be dropped."""
+    def delete(self, key: str) -> None:
+        """Add a delete of ``key``."""
         self.operations.append(Delete(key))
 
     def build(self, conditions: tuple[Condition, ...], urgency: Urgency) -> WriteBatch:
-        """Return the batch of all that was added."""
+        """Return the batch with all operations that were added."""
         return WriteBatch(
             tuple(self.operations),
             conditions,
--- a/micadeal/controller/persistence/finished_chunks.py
+++ b/micadeal/controller/persistence/finished_chunks.py
@@ -1,4 +1,4 @@
-"""Chunks in which the finished tasks of a job are stored, in either layout."""
+"""Chunks that store the finished tasks of a job, in both layouts."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedChunk:
-    """The finished tasks of one chunk, and the record that holds them."""
+    """The finished tasks of one chunk, and their record."""
 
     job: Job
     key: str
@@ -25,7 +25,7 @@
     record: FinishedRecord
 
     def add_to(self, draft: BatchDraft, limits: WriteLimits) -> None:
-        """Have the chunk written by a batch."""
+        """Add the chunk to a batch."""
         draft.put(self.key, self.record)
         draft.finished.append(FinishedTasksWrite(self.job.id, self.tasks))
         if not limits.guaranteed.fits(self.record):
@@ -35,13 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkLayout:
-    """Where chunks of one size are stored."""
+    """The key prefix and the size of the chunks in one layout."""
 
     prefix: str
     tasks_per_chunk: int
 
     def numbers(self, tasks: Iterable[int]) -> list[int]:
-        """Return the numbers of the chunks that hold any of the tasks, in ascending order."""
+        """Return the numbers of the chunks that contain any of the tasks, in ascending order."""
         return sorted({index // self.tasks_per_chunk for index in tasks})
 
     def tasks(self, job: Job, number: int) -> frozenset[int]:
@@ -49,13 +49,13 @@
         return job.finished_in_chunk(number * self.tasks_per_chunk, self.tasks_per_chunk)
 
     def chunk(self, job: Job, number: int) -> FinishedChunk:
-        """Return a chunk with all tasks of it that are finished by now."""
+        """Return a chunk with all of its tasks that are finished now."""
         tasks = self.tasks(job, number)
         record = FinishedRecord(to_bits(tasks, number * self.tasks_per_chunk))
         return FinishedChunk(job, f"{self.prefix}{job.id}/{number}", tasks, record)
 
 
-#: Read by all versions; too large for state services with lower limits than at first.
+#: Readable by all versions, but too large for a state service whose limits have been lowered.
 LARGE_CHUNKS = ChunkLayout(DONE, TASKS_PER_CHUNK)
-#: Written where a large chunk does not fit, and from level ``FENCED`` on always.
+#: Written if a large chunk does not fit, and always from level ``FENCED`` on.
 SMALL_CHUNKS = ChunkLayout(FINISHED, TASKS_PER_SMALL_CHUNK)
--- a/micadeal/controller/persistence/finished_tasks.py
+++ b/micadeal/controller/persistence/finished_tasks.py
@@ -1,4 +1,4 @@
-"""Records of finished tasks, written in chunks."""
+"""Writes the records of finished tasks, in chunks."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from micadeal.schema.keys import job_id_of_key
 from micadeal.wire.state import Delete
 
-#: Finished tasks of a job are collected for this long before they are written.
+#: How long finished tasks of a job are collected before they are written.
 COLLECT_TIME = seconds(1)
-#: Bytes of finished tasks in one transaction, which may hold 64 KiB: a larger one is refused for
-#: ever.
+#: Bytes of finished tasks in one transaction.  The service's limit is 64 KiB, and it would reject a
+#: larger transaction on every retry.
 MAX_CHUNK_BYTES = 32_000
 
 
 class FinishedTasksWriter:
-    """Writes finished tasks of jobs that are not complete yet."""
+    """Writes the finished tasks of jobs that are not complete yet."""
 
     def __init__(self, context: WriterContext) -> None:
         self._context = context
         self._cluster = context.cluster
         self._keys = context.keys
-        #: Since when finished tasks of a job are collected.
+        #: Since when the finished tasks of each job are collected.
         self._collecting_since: dict[str, timedelta] = {}
 
     def add_chunks(self, draft: BatchDraft, now: timedelta) -> None:
-        """Add chunks of finished tasks that have been collected for long enough."""
+        """Add chunks of finished tasks whose collection time is over."""
         size = 0
         for job_id in list(self._cluster.jobs_with_unwritten_results):
             job = self._due_job(job_id, now)
@@ -63,19 +63,19 @@
         return job
 
     def _unwritten_chunks(self, job: Job) -> Iterator[FinishedChunk]:
-        """Yield the chunks to be written: large ones that all versions read, as far as they fit."""
+        """Yield the chunks to write: large ones, which all versions read, where they fit."""
         limits = self._context.limits
-        fresh = job.finished - job.durable
-        for number in LARGE_CHUNKS.numbers(fresh):
+        unwritten = job.finished - job.durable
+        for number in LARGE_CHUNKS.numbers(unwritten):
             large = LARGE_CHUNKS.chunk(job, number)
             if not self._context.writes_fenced_layouts and limits.present.fits(large.record):
                 yield large
                 continue
-            for small_number in SMALL_CHUNKS.numbers(fresh & large.tasks):
+            for small_number in SMALL_CHUNKS.numbers(unwritten & large.tasks):
                 yield SMALL_CHUNKS.chunk(job, small_number)
 
     def committed(self, batch: WriteBatch) -> None:
-        """Take over which tasks are durable, and which chunks are gone."""
+        """Mark the written tasks as durable, and forget the deleted chunks."""
         for operation in batch.operations:
             if isinstance(operation, Delete) and operation.key.startswith(FINISHED_PREFIXES):
                 job = self._cluster.jobs.get(job_id_of_key(operation.key))
@@ -86,10 +86,10 @@
             if job is not None and not job.over:
                 job.durable |= write.tasks
             else:
-                self._drop_written(batch, write)
+                self._delete_written(batch, write)
 
-    def _drop_written(self, batch: WriteBatch, write: FinishedTasksWrite) -> None:
-        """Drop chunks of a job that ended while they were written: nothing else would."""
+    def _delete_written(self, batch: WriteBatch, write: FinishedTasksWrite) -> None:
+        """Delete chunks of a job that ended while they were written: nothing else deletes them."""
         for operation in batch.operations:
             if job_id_of_key(operation.key) == write.job_id:
-                self._keys.schedule_drop(operation.key)
+                self._keys.schedule_delete(operation.key)
--- a/micadeal/controller/persistence/key_tracker.py
+++ b/micadeal/controller/persistence/key_tracker.py
@@ -1,4 +1,4 @@
-"""What one term's leader knows of the keys that the state service holds."""
+"""Tracks, for one term, the versions of the keys in the state service."""
 
 from __future__ import annotations
 
@@ -13,61 +13,63 @@
 
 @dataclass(slots=True)
 class KeyTracker:
-    """Owns the versions of all keys, and which keys are to be dropped or may change late.
+    """Owns the known versions of all keys, the pending deletes and the keys in doubt.
 
-    Every write depends on the version that is kept here.  A transaction whose answer was lost may
-    be applied minutes later: it then finds a newer version and changes nothing.
+    Every write has the condition that the key still has the version tracked here.  So a transaction
+    whose answer was lost, and which may be applied minutes later, finds a newer version and changes
+    nothing.
     """
 
-    #: Version last known of each key that exists.
+    #: Last known version of each key that exists.
     versions: dict[str, int] = field(default_factory=dict)
     pending_drops: MutableSet[str] = field(default_factory=OrderedSet)
-    #: Keys of placement records that a lost transaction may still create: to be used again first.
+    #: Keys of placement records that a transaction without an answer may still create.  New
+    #: records use these keys first.
     unconfirmed: list[str] = field(default_factory=list)
     #: All keys that were ever unconfirmed in this term.
     late_write_possible: set[str] = field(default_factory=set)
 
     def conditions(self, operations: Iterable[Operation]) -> tuple[Condition, ...]:
-        """Return the conditions under which the operations may be applied."""
+        """Return the conditions that the keys of the operations have their last known versions."""
         return tuple(
             Condition(operation.key, self.versions.get(operation.key, 0))
             for operation in operations
         )
 
-    def schedule_drop(self, key: str) -> None:
-        """Have ``key`` dropped by a later batch."""
+    def schedule_delete(self, key: str) -> None:
+        """Schedule the deletion of ``key`` in a later batch."""
         self.pending_drops.add(key)
 
-    def schedule_job_drops(self, job: Job | None) -> None:
-        """Have the rest of a job's records dropped: finished tasks and parts of its description."""
+    def schedule_job_deletes(self, job: Job | None) -> None:
+        """Schedule the deletion of a job's finished tasks and parts of its description."""
         if job is not None:
             for key in sorted(job.record_keys):
-                self.schedule_drop(key)
+                self.schedule_delete(key)
 
     def mark_unconfirmed(self, key: str) -> None:
-        """Note that ``key`` does not exist, but may be created by a transaction under way."""
+        """Note that ``key`` does not exist, but a transaction in flight may still create it."""
         self.unconfirmed.append(key)
         self.late_write_possible.add(key)
 
     def record_puts(self, operations: Iterable[Operation], revision: int) -> None:
-        """Note the versions of keys that were written."""
+        """Store the new versions of the keys that were put."""
         for operation in operations:
             if isinstance(operation, Put):
                 self.versions[operation.key] = revision
 
-    def record_drops(self, operations: Iterable[Operation]) -> None:
-        """Forget the keys that were dropped."""
+    def record_deletes(self, operations: Iterable[Operation]) -> None:
+        """Forget the keys that were deleted."""
         for operation in operations:
             if not isinstance(operation, Put):
                 self.forget(operation.key)
 
     def forget(self, key: str) -> None:
-        """Note that ``key`` exists no more, or never changes again."""
+        """Remove ``key``, which does not exist any more or will never change again."""
         self.versions.pop(key, None)
         self.pending_drops.discard(key)
 
-    def read_back(self, items: Mapping[str, Item | None]) -> None:
-        """Take over the versions that were read after a transaction failed."""
+    def record_read(self, items: Mapping[str, Item | None]) -> None:
+        """Store the versions that were read after a transaction failed."""
         for key, item in items.items():
             if item is not None:
                 self.versions[key] = item.version
--- a/micadeal/controller/persistence/layout_migration.py
+++ b/micadeal/controller/persistence/layout_migration.py
@@ -1,7 +1,8 @@
-"""Rewrites records of other layouts than the one that the feature level in force demands.
+"""Rewrites records that are not in the layout of the feature level in force.
 
-All that a record holds is written in the present layout first, and the record is dropped after.  A
-leader that reads in between finds both, which agree, and goes on from there.
+The content of a record is written in the current layout first, and the old record is deleted
+afterwards.  A new leader that reads in between finds both, which are consistent, and continues the
+migration.
 """
 
 from __future__ import annotations
@@ -21,29 +22,29 @@
 from micadeal.schema.keys import DONE, FINISHED, MACHINE_PLACEMENTS
 from micadeal.wire.state import LevelRecord, Put
 
-#: Minimum time between two records that are rewritten.
+#: Minimum time between two rewrites.
 REWRITE_INTERVAL = seconds(0.5)
 
 
 class LayoutMigration:
-    """Rewrites one record at a time, when nothing else is to be written."""
+    """Rewrites one record at a time, if nothing else is to be written."""
 
     def __init__(self, context: WriterContext) -> None:
         self._context = context
         self._cluster = context.cluster
         self._keys = context.keys
-        #: Chunks of finished tasks that this term has written since the level last changed.
+        #: Keys of the chunks of finished tasks written by this term since the last level change.
         self._written_chunks: set[str] = set()
         self._next_rewrite = timedelta(0)
 
     def level_changed(self, level: LevelRecord) -> None:
-        """Write in the layouts of another level from now on."""
+        """Write in the layouts of ``level`` from now on."""
         if level.writes != self._context.level.writes:
             self._written_chunks.clear()
         self._context.level = level
 
     def backlog(self) -> MigrationBacklog:
-        """Return how many records the next step of the level has to wait for."""
+        """Return the number of records to rewrite before the next step of the level."""
         level = self._context.level
         if level.level == level.oldest:
             return MigrationBacklog()
@@ -59,7 +60,7 @@
         return MigrationBacklog(newer=small, stuck=stuck)
 
     def add_rewrite(self, draft: BatchDraft, now: timedelta) -> None:
-        """Add operations that rewrite one record of another layout, if there is any.
+        """Add operations that rewrite one record of another layout, if there is one.
 
         ``draft`` must be empty.
         """
@@ -69,7 +70,7 @@
         if self._context.writes_fenced_layouts:
             self._merge_old_placements(now)
         elif self._context.level.level == self._context.level.writes:
-            # Small chunks are there where a value of the first layout was too large.
+            # No rewrite: small chunks exist where a value in the first layout was too large.
             return
         other_layout = DONE if self._context.writes_fenced_layouts else FINISHED
         for key in [key for key in self._keys.versions if key.startswith(other_layout)]:
@@ -78,30 +79,30 @@
                 return
 
     def committed(self, batch: WriteBatch) -> None:
-        """Take over which chunks of finished tasks are written in the present layout."""
+        """Note which chunks of finished tasks have been written since the level change."""
         for operation in batch.operations:
             if isinstance(operation, Put) and operation.key.startswith(FINISHED_PREFIXES):
                 self._written_chunks.add(operation.key)
 
     def _merge_old_placements(self, now: timedelta) -> None:
-        """Have placements of the old layout merged, as if something of them were gone."""
+        """Schedule merges of old placement records, as if some of their attempts were gone."""
         for key in self._cluster.records:
             if key.startswith(MACHINE_PLACEMENTS):
                 self._cluster.stale_records.setdefault(key, now)
 
     def _rewrite_chunk(self, draft: BatchDraft, key: str) -> None:
-        """Write what a chunk becomes in the present layout, or drop it once that is written."""
+        """Write a chunk's content in the other layout, or delete the chunk once that is done."""
         converted = self._converted(key)
         missing = [chunk for chunk in converted if chunk.key not in self._written_chunks]
         for chunk in missing[: draft.remaining - 1]:
             chunk.add_to(draft, self._context.limits)
         if converted and not missing:
-            draft.drop(key)
+            draft.delete(key)
 
     def _converted(self, key: str) -> list[FinishedChunk]:
-        """Return what a chunk of finished tasks becomes in the other layout.
+        """Return the chunks that replace a chunk of finished tasks in the other layout.
 
-        Nothing, if its job is over or a chunk would not fit into a value.
+        Returns none if the job has ended, or if a chunk would not fit into a value.
         """
         prefix, job_id, number = key.split("/")
         job = self._cluster.jobs.get(job_id)
--- a/micadeal/controller/persistence/machine_images.py
+++ b/micadeal/controller/persistence/machine_images.py
@@ -1,4 +1,7 @@
-"""Pages of the images that machines hold: a hint for placing under the next leader."""
+"""Records which images machines hold, as a hint for placement by the next leader.
+
+The machines are spread over a fixed number of records, the pages.
+"""
 
 from __future__ import annotations
 
@@ -18,19 +21,19 @@
 #: Minimum time between two writes of one page.
 PAGE_INTERVAL = seconds(20)
 MAX_IMAGES_PER_MACHINE = 12
-#: Bytes of a page without its entries.
+#: Bytes of a page excluding its entries, and of an entry excluding its texts.
 PAGE_OVERHEAD = 32
 ENTRY_OVERHEAD = 4
 
-#: Images by machine, the last used first.
+#: Images by machine name, the most recently used first.
 ImagesByMachine = dict[str, list[str]]
 
 
 @dataclass(frozen=True, slots=True)
 class _Page:
     record: ImagesRecord
-    #: When it was last compared with what the machines hold.
-    checked: timedelta
+    #: When it was last compared with the images on the machines.
+    checked_at: timedelta
 
 
 class MachineImagesWriter:
@@ -43,22 +46,22 @@
         self._pages: dict[str, _Page] = {}
 
     def load(self, key: str, record: ImagesRecord, now: timedelta) -> None:
-        """Take over a page that an earlier leader has written."""
+        """Adopt a page that an earlier leader has written."""
         self._pages[key] = _Page(record, now)
 
     def add_changed_page(self, draft: BatchDraft, now: timedelta) -> None:
-        """Add one page that is due and has changed, if there is any."""
+        """Add one page that is due and has changed, if there is one."""
         images_of_pages: list[ImagesByMachine] | None = None
         for number in range(IMAGE_PAGES):
             key = f"{IMAGES}{number}"
             last = self._pages.get(key)
-            if last is not None and now - last.checked < PAGE_INTERVAL:
+            if last is not None and now - last.checked_at < PAGE_INTERVAL:
                 continue
             if images_of_pages is None:
                 images_of_pages = self._images_of_pages()
             record = self._fitting_record(images_of_pages[number])
             self._pages[key] = _Page(record, now)
-            # The order of use changes all the time and is not worth a write of its own.
+            # The order of use changes constantly, and a change of it alone is not written.
             if last is not None and _unordered(last.record) == _unordered(record):
                 continue
             if record.machines or self._keys.versions.get(key, 0):
@@ -74,7 +77,7 @@
         return pages
 
     def _fitting_record(self, images_by_machine: ImagesByMachine) -> ImagesRecord:
-        """Return a record of as many machines as fit into a value."""
+        """Return a record of the machines that fit into a value; the rest is left out."""
         size, fitting = PAGE_OVERHEAD, ImagesByMachine()
         for name, images in images_by_machine.items():
             size += max_json_size(name) + sum(map(max_json_size, images)) + ENTRY_OVERHEAD
--- a/micadeal/controller/persistence/placement_chunks.py
+++ b/micadeal/controller/persistence/placement_chunks.py
@@ -1,4 +1,4 @@
-"""Attempts that share one placement record, within the size limit of a value."""
+"""Groups attempts into placement records within the size limit of a value."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.wire.state import PlacedMachine, PlacedRecord
 
-#: Bytes of one attempt beside its job id, and of one machine beside its texts, at most.
+#: Upper bounds in bytes: of an attempt excluding its job id, and of a machine excluding its texts.
 ATTEMPT_BYTES = 36
 MACHINE_BYTES = 70
 
 
 @dataclass(slots=True)
 class PlacementChunk:
-    """Attempts that fit into one value; sizes are estimated from above."""
+    """Attempts that fit into one value; sizes are upper bounds."""
 
     cluster: ClusterState
     max_bytes: int
@@ -39,7 +39,7 @@
         return True
 
     def add_all(self, attempts: Iterable[Attempt]) -> bool:
-        """Add all of the attempts or none."""
+        """Add all of the attempts, or none and return False."""
         count, names, size = len(self.attempts), set(self._machine_names), self._size
         for attempt in attempts:
             if not self.add(attempt):
@@ -49,7 +49,7 @@
         return True
 
     def record(self) -> PlacedRecord:
-        """Return the record that names the attempts, grouped by machine."""
+        """Return the placement record of the attempts, grouped by machine."""
         entries: dict[str, PlacedMachine] = {}
         for attempt in self.attempts:
             entry = entries.get(attempt.machine)
--- a/micadeal/controller/persistence/placements.py
+++ b/micadeal/controller/persistence/placements.py
@@ -1,8 +1,9 @@
-"""Records of placements: which attempts may be on which machines.
+"""Writes placement records: which attempts may be on which machines.
 
-The state service limits keys written, not bytes.  So what a scheduling cycle places goes into one
-record under a new key, however many machines it is on.  A record is never changed: it is dropped
-when nothing that it names is left, or in the transaction that names the rest of it elsewhere.
+The state service limits the rate of keys written, not of bytes.  So the placements of a scheduling
+cycle go into one record under a new key, regardless of the number of machines.  A record is never
+changed.  It is deleted when all of its attempts are gone, or in the transaction that moves the
+remaining ones to another record.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 from micadeal.state.service import Urgency
 from micadeal.wire.state import Delete, Item, PlacedRecord
 
-#: A record that names attempts which are gone is merged after this time.
+#: A stale record, some of whose attempts are gone, is merged after this time.
 MERGE_DELAY = seconds(4)
-#: One that still names more attempts than this is merged after ``LARGE_MERGE_DELAY``: that costs
-#: as much and frees less.
+#: A stale record with more remaining attempts than this is merged after ``LARGE_MERGE_DELAY``: its
+#: merge costs as many operations and removes less.
 SMALL_RECORD_ATTEMPTS = 8
 LARGE_MERGE_DELAY = MERGE_DELAY * 3
-#: Placement records in one transaction: it may hold 64 KiB, and each value some of that.
+#: Placement records in one transaction, whose total size is limited to 64 KiB.
 MAX_RECORDS = 4
-#: Merging takes one operation for a record that ends, and one for what is left of it.
+#: A merge takes one operation to remove a record, and one to write its remaining attempts.
 MERGE_OPERATIONS = 2
 
 
 class PlacementWriter:
-    """Writes placement records, and merges those that name attempts which are gone."""
+    """Writes placement records, and merges those some of whose attempts are gone."""
 
     def __init__(self, context: WriterContext) -> None:
         self._context = context
@@ -42,7 +43,7 @@
         self._keys_created = 0
 
     def next_batch(self) -> WriteBatch:
-        """Return a batch that names attempts which no record names yet; there must be some."""
+        """Return a batch that records unwritten attempts; there must be at least one."""
         draft = BatchDraft(min(MAX_RECORDS, self._context.limits.guaranteed.operations))
         for chunk in self._unwritten_chunks():
             self._put(draft, chunk)
@@ -51,7 +52,7 @@
         return draft.build(self._keys.conditions(draft.operations), Urgency.PLACEMENT)
 
     def add_merges(self, draft: BatchDraft, now: timedelta) -> None:
-        """Drop records of which nothing is left, and merge what is left of others into one.
+        """Delete records whose attempts are all gone, and merge what remains of others into one.
 
         Otherwise a new leader would have to look for attempts that are long gone.
         """
@@ -59,13 +60,13 @@
         for key, since in list(self._cluster.stale_records.items()):
             if draft.remaining < MERGE_OPERATIONS:
                 break
-            left = self._cluster.records[key]
-            small = len(left) <= SMALL_RECORD_ATTEMPTS
-            if now - since < (MERGE_DELAY if small else LARGE_MERGE_DELAY):
+            remaining = self._cluster.records[key]
+            is_small = len(remaining) <= SMALL_RECORD_ATTEMPTS
+            if now - since < (MERGE_DELAY if is_small else LARGE_MERGE_DELAY):
                 continue
-            if not merged.add_all(left):
+            if not merged.add_all(remaining):
                 if not merged.attempts:
-                    # It fills a value by itself: writing it again would not make it shorter.
+                    # It fills a value by itself, so that rewriting it would save nothing.
                     continue
                 break
             self._remove(draft, key)
@@ -73,8 +74,8 @@
             self._put(draft, merged)
 
     def committed(self, batch: WriteBatch, now: timedelta) -> None:
-        """Take over what a batch has written, dropped or emptied."""
-        # New records first, then those that named the same attempts before.
+        """Apply what a batch has written, deleted or emptied."""
+        # New records first, then those that listed the same attempts before.
         for write in batch.placed:
             self._cluster.placements_written(write.key, write.attempts, now)
         written = {write.key for write in batch.placed}
@@ -84,33 +85,33 @@
                 self._cluster.record_gone(operation.key)
 
     def failed(self, batch: WriteBatch, items: Mapping[str, Item | None], now: timedelta) -> None:
-        """Take over what the service holds after a batch failed, or had an unknown outcome."""
+        """Adopt what the service holds after a batch failed or had an unknown outcome."""
         for write in batch.placed:
             item = items.get(write.key)
             if item is None:
                 self._keys.mark_unconfirmed(write.key)
             else:
-                self._take_existing(write, item, now)
+                self._adopt_existing(write, item, now)
         for key, item in items.items():
             if item is None and key in self._cluster.records:
                 self._cluster.record_gone(key)
 
-    def _take_existing(self, write: PlacementWrite, item: Item, now: timedelta) -> None:
-        """Take over a record that exists, perhaps by an earlier transaction under its key.
+    def _adopt_existing(self, write: PlacementWrite, item: Item, now: timedelta) -> None:
+        """Adopt a record that exists, perhaps written by an earlier transaction on the same key.
 
-        A damaged one is left where it is, and its attempts are written under another key.
+        A damaged record is left as it is, and its attempts are written under another key.
         """
         record = decode_item(item, PlacedRecord)
         if record is None:
             return
         existing = {(entry.name, task) for entry in record.machines for task in entry.tasks}
-        named = [
+        recorded = [
             attempt
             for attempt in write.attempts
             if (attempt.machine, attempt.placed_task) in existing
         ]
-        self._cluster.placements_written(write.key, named, now)
-        if len(named) < len(existing):
+        self._cluster.placements_written(write.key, recorded, now)
+        if len(recorded) < len(existing):
             self._cluster.stale_records.setdefault(write.key, now)
 
     def _put(self, draft: BatchDraft, chunk: PlacementChunk) -> None:
@@ -119,22 +120,23 @@
         draft.placed.append(PlacementWrite(key, tuple(chunk.attempts)))
 
     def _remove(self, draft: BatchDraft, key: str) -> None:
-        """Drop or empty a record of placements.
+        """Delete a placement record, or empty it if a delayed write to its key is possible.
 
-        Guards a team's limit, and the wait of a lease, under the next leader: a key that was used
-        twice is emptied instead of dropped, since the earlier transaction depends on its absence
-        and would leave a record that this leader does not know of.  The next leader drops it.
+        Guards a team's limit, and the wait for a lease, under the next leader: a key that was used
+        twice is emptied, not deleted.  The earlier transaction has the condition that the key is
+        absent; after a delete it could still be applied, and leave a record unknown to this leader.
+        The next leader deletes the empty record.
         """
         if key in self._keys.late_write_possible:
             draft.put(key, PlacedRecord([]))
         else:
-            draft.drop(key)
+            draft.delete(key)
 
     def _new_key(self) -> str:
         """Return a key for a new record.
 
-        One whose write had an unknown outcome is used again first, under the version it was read
-        with: otherwise a late transaction could leave a record that no leader knows of.
+        A key whose write had an unknown outcome is reused first, on condition of the version read
+        afterwards: otherwise a delayed transaction could leave a record that no leader knows of.
         """
         if self._keys.unconfirmed:
             return self._keys.unconfirmed.pop()
@@ -142,7 +144,7 @@
         return f"{PLACED}{self._cluster.token}/{self._keys_created}"
 
     def _unwritten_chunks(self) -> Iterator[PlacementChunk]:
-        """Yield the attempts that no record names, in chunks that fit into a value each."""
+        """Yield the unwritten attempts in chunks that each fit into a value."""
         chunk = self._new_chunk()
         for attempt in self._cluster.unwritten:
             if not chunk.add(attempt):
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -1,7 +1,8 @@
-"""Chooses what the leader writes next, in batches, and in which order.  No input or output.
+"""Chooses what the leader writes next, in batches and in order of priority.  No I/O.
 
-Every operation depends on the version last known of its key.  A transaction whose answer was lost
-may be applied minutes later: it then finds a newer version and changes nothing.
+Every operation has the condition that its key still has the last known version.  So a transaction
+whose answer was lost, and which may be applied minutes later, finds a newer version and changes
+nothing.
 """
 
 from __future__ import annotations
@@ -27,19 +28,19 @@
 from micadeal.state.service import Urgency
 from micadeal.wire.state import ImagesRecord, Item, LevelRecord, ReturnedMachinesRecord
 
-#: How often batches of what can wait are prepared.
+#: Interval between batches of writes that can be deferred.
 DEFERRED_INTERVAL = seconds(0.25)
-#: Such a batch holds what may be changed in a third of a second, since the budget of changes
-#: refills while it is under way; but at least so many operations.
-DEFERRED_SHARE_OF_SECOND = 3
+#: A deferred batch may use the changes that the rate limit allows in a third of a second, since the
+#: budget refills while the batch is in flight; but always ``MIN_DEFERRED_OPERATIONS``.
+DEFERRED_RATE_DIVISOR = 3
 MIN_DEFERRED_OPERATIONS = 4
 
 
 class RecordWriter:
-    """Chooses what to write next, and takes the outcomes.
+    """Chooses what to write next, and processes the outcomes.
 
-    Under way at once are one batch of placements, one of what can wait, and a few job ends: a
-    batch that waits for the rate limit must not hold up placements.
+    One batch of placements, one deferred batch and a few job ends may be in flight concurrently: a
+    batch that waits for the rate limit must not delay placements.
     """
 
     def __init__(
@@ -49,10 +50,11 @@
         present: Limits | None = None,
         level: LevelRecord | None = None,
     ) -> None:
-        """Write for one term.
+        """Create the writer of one term.
 
-        ``limits`` are those kept to, ``present`` those that the service has now (None: the same);
-        ``level`` says which layouts are written, and whether later ones are written back.
+        ``limits`` are guaranteed by the service, ``present`` are in force now (None: the same).
+        ``level`` says which layouts are written, and whether later ones are rewritten to earlier
+        ones.
         """
         self._cluster = cluster
         self._context = WriterContext(
@@ -65,78 +67,78 @@
         self._returned_machines = ReturnedMachinesWriter(self._context)
         self._migration = LayoutMigration(self._context)
         self._images = MachineImagesWriter(self._context)
-        self._placements_under_way = False
-        self._deferred_under_way = False
+        self._placements_in_flight = False
+        self._deferred_in_flight = False
         self._deferred_due = timedelta(0)
 
     # -- state -----------------------------------------------------------------------------
 
     @property
     def versions(self) -> dict[str, int]:
-        """Version last known of each key; ``RecordLoader`` adds those that it reads."""
+        """Last known version of each key; ``RecordLoader`` adds those that it reads."""
         return self._keys.versions
 
     @property
     def busy(self) -> bool:
-        """Whether anything of what has happened is not written yet."""
+        """Whether any placement, finished task or job end is not written yet."""
         return bool(
             self._cluster.unwritten
             or self._cluster.jobs_with_unwritten_results
-            or self._placements_under_way
-            or self._deferred_under_way
+            or self._placements_in_flight
+            or self._deferred_in_flight
             or self._job_ends.busy
         )
 
     def feature_level_changed(self, level: LevelRecord) -> None:
-        """Write in the layouts of another level from now on."""
+        """Write in the layouts of ``level`` from now on."""
         self._migration.level_changed(level)
 
     def migration_backlog(self) -> MigrationBacklog:
-        """Return how many records in other layouts the next step of the level has to wait for."""
+        """Return the number of records to rewrite before the next step of the level."""
         return self._migration.backlog()
 
     def drop_record_of(self, _job: JobOver, key: str, version: int) -> None:
-        """Have a record of a job dropped that is certainly over."""
+        """Schedule the deletion of a record whose job has certainly ended."""
         self._keys.versions[key] = version
-        self._keys.schedule_drop(key)
+        self._keys.schedule_delete(key)
 
     def drop_job_records(self, job: Job | None) -> None:
-        """Have what is left of a job's finished tasks and of its description dropped."""
-        self._keys.schedule_job_drops(job)
+        """Schedule the deletion of a job's finished tasks and parts of its description."""
+        self._keys.schedule_job_deletes(job)
 
     def load_images(self, key: str, record: ImagesRecord, now: timedelta) -> None:
-        """Take over a page of images that an earlier leader has written."""
+        """Adopt a page of images that an earlier leader has written."""
         self._images.load(key, record, now)
 
     def load_returned_machines(
         self, loaded: VersionedRecord[ReturnedMachinesRecord], now: timedelta
     ) -> list[str]:
-        """Return the machines that an earlier leader was returning until a moment ago."""
+        """Adopt a record; return the machines that an earlier leader returned a short time ago."""
         return self._returned_machines.load(loaded, now)
 
     # -- batches ---------------------------------------------------------------------------
 
     def next(self, now: timedelta) -> list[WriteBatch]:
-        """Return the batches to be committed now; the outcome of each must be reported."""
+        """Return the batches to commit now; the caller must report the outcome of each."""
         batches = self._job_ends.next_batches()
-        if not self._placements_under_way and self._cluster.unwritten:
-            self._placements_under_way = True
+        if not self._placements_in_flight and self._cluster.unwritten:
+            self._placements_in_flight = True
             batches.append(self._placements.next_batch())
-        if not self._deferred_under_way and now >= self._deferred_due:
+        if not self._deferred_in_flight and now >= self._deferred_due:
             self._deferred_due = now + DEFERRED_INTERVAL
             batch = self._next_deferred_batch(now)
             if batch is not None:
-                self._deferred_under_way = True
+                self._deferred_in_flight = True
                 batches.append(batch)
         return batches
 
     def _next_deferred_batch(self, now: timedelta) -> WriteBatch | None:
-        """Return a batch of what can wait; rewrites and images only if there is nothing else."""
+        """Return a deferred batch; it has rewrites or images only if there is nothing else."""
         draft = BatchDraft(self._max_deferred_operations())
         self._returned_machines.add_record(draft, now)
         self._finished_tasks.add_chunks(draft, now)
         self._placements.add_merges(draft, now)
-        self._add_drops(draft)
+        self._add_deletes(draft)
         if draft.is_empty:
             self._migration.add_rewrite(draft, now)
         if draft.is_empty:
@@ -147,53 +149,53 @@
 
     def _max_deferred_operations(self) -> int:
         limits = self._context.limits.guaranteed
-        share = int(limits.changes_per_s / DEFERRED_SHARE_OF_SECOND)
+        share = int(limits.changes_per_s / DEFERRED_RATE_DIVISOR)
         return min(limits.operations, max(MIN_DEFERRED_OPERATIONS, share))
 
-    def _add_drops(self, draft: BatchDraft) -> None:
+    def _add_deletes(self, draft: BatchDraft) -> None:
         for key in list(self._keys.pending_drops):
             if draft.remaining <= 0:
                 break
             if self._keys.versions.get(key, 0):
-                draft.drop(key)
+                draft.delete(key)
             else:
                 self._keys.pending_drops.discard(key)
 
     # -- outcomes --------------------------------------------------------------------------
 
     def committed(self, batch: WriteBatch, revision: int, now: timedelta) -> None:
-        """Take over a batch that was committed at ``revision``."""
+        """Process a batch that was committed at ``revision``."""
         self._keys.record_puts(batch.operations, revision)
         if batch.job_end is not None:
             self._job_ends.committed(batch, batch.job_end, now)
             return
-        self._no_longer_under_way(batch)
+        self._mark_completed(batch)
         self._placements.committed(batch, now)
-        self._keys.record_drops(batch.operations)
+        self._keys.record_deletes(batch.operations)
         self._migration.committed(batch)
         self._finished_tasks.committed(batch)
 
     def failed(self, batch: WriteBatch, items: Mapping[str, Item | None], now: timedelta) -> None:
-        """Take over that a batch was not applied, or that its outcome is unknown.
+        """Process a batch that was not applied, or whose outcome is unknown.
 
         ``items`` is what the service holds now under the keys of the batch's conditions.
         """
         if batch.job_end is not None:
             self._job_ends.failed(batch.job_end, items, now)
             return
-        self._no_longer_under_way(batch)
-        self._keys.read_back(items)
+        self._mark_completed(batch)
+        self._keys.record_read(items)
         self._placements.failed(batch, items, now)
 
     def rejected(self, batch: WriteBatch) -> None:
-        """Write smaller batches after the service has called one too large.
+        """Lower the limits after the service has rejected a batch as too large.
 
-        The same batch is never tried again.  ``failed`` must be called as well.
+        The same batch is never retried.  ``failed`` must be called as well.
         """
         self._context.limits.rejected(batch)
 
-    def _no_longer_under_way(self, batch: WriteBatch) -> None:
+    def _mark_completed(self, batch: WriteBatch) -> None:
         if batch.urgency is Urgency.PLACEMENT:
-            self._placements_under_way = False
+            self._placements_in_flight = False
         else:
-            self._deferred_under_way = False
+            self._deferred_in_flight = False
--- a/micadeal/controller/persistence/returned_machines.py
+++ b/micadeal/controller/persistence/returned_machines.py
@@ -1,7 +1,8 @@
-"""Records of machines that are returned to the cloud while tasks are still on them.
+"""Records machines that are returned to the cloud while attempts are still on them.
 
-Without them the next leader, if this one ends before the placement records of these tasks are
-merged, waits a lease for machines that no longer exist.
+If this leader's term ends before the placement records of these attempts are merged, the next
+leader reads these records.  Without them it would wait for a lease to expire on machines that no
+longer exist.
 """
 
 from __future__ import annotations
@@ -16,26 +17,26 @@
 from micadeal.schema.keys import LEAVING
 from micadeal.wire.state import ReturnedMachinesRecord
 
-#: So many machines returned at once are worth a record.
+#: Minimum number of machines being returned for which a record is written.
 MIN_MACHINES = 3
-#: How long a record is kept: after this time placement records name these tasks no more.
+#: How long a record is kept: by then no placement record contains these attempts any more.
 RETENTION = seconds(40)
 
 
 class ReturnedMachinesWriter:
-    """Names machines that are being returned for the next leader, and drops old records."""
+    """Records machines that are being returned, for the next leader, and deletes old records."""
 
     def __init__(self, context: WriterContext) -> None:
         self._context = context
         self._cluster = context.cluster
         self._keys = context.keys
-        #: Keys of the records, and when each was written or read.
+        #: When each record was written or read, by key.
         self._recorded_at: dict[str, timedelta] = {}
-        #: All machines that this term has named.
-        self._named: set[str] = set()
+        #: All machines that this term has recorded.
+        self._recorded: set[str] = set()
 
     def load(self, loaded: VersionedRecord[ReturnedMachinesRecord], now: timedelta) -> list[str]:
-        """Return the machines that an earlier leader was returning less than 40 s ago."""
+        """Adopt a record; return its machines if it is younger than ``RETENTION``."""
         self._keys.versions[loaded.key] = loaded.version
         self._recorded_at[loaded.key] = now
         record = loaded.record
@@ -44,26 +45,26 @@
         return record.machines
 
     def add_record(self, draft: BatchDraft, now: timedelta) -> None:
-        """Add a record of machines that are returned, if there are many; drop old ones."""
-        names = self._unnamed_machines()
+        """Add a record of machines being returned if there are enough; delete old records."""
+        names = self._unrecorded_machines()
         if len(names) >= MIN_MACHINES:
             capacity = self._context.limits.guaranteed.value_bytes - VALUE_OVERHEAD
             while names and sum(map(max_json_size, names)) > capacity:
                 names.pop()
-            self._named.update(names)
-            key = f"{LEAVING}{self._cluster.token}/{len(self._named)}"
+            self._recorded.update(names)
+            key = f"{LEAVING}{self._cluster.token}/{len(self._recorded)}"
             self._recorded_at[key] = now
             draft.put(key, ReturnedMachinesRecord(utc_now().timestamp(), names))
         for key, since in list(self._recorded_at.items()):
             if now - since > RETENTION:
                 del self._recorded_at[key]
-                self._keys.schedule_drop(key)
+                self._keys.schedule_delete(key)
 
-    def _unnamed_machines(self) -> list[str]:
+    def _unrecorded_machines(self) -> list[str]:
         return [
             name
             for name, machine in self._cluster.machines.items()
             if machine.release_requested is not None
             and machine.attempts
-            and name not in self._named
+            and name not in self._recorded
         ]
--- a/micadeal/controller/persistence/writer_context.py
+++ b/micadeal/controller/persistence/writer_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the record writer share."""
+"""State that the parts of the record writer share."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @dataclass(slots=True)
 class WriteLimits:
-    """Limits of the state service, as far as they are known to this term.
+    """Limits of the state service, as known to this term.
 
-    ``guaranteed`` hold now and after an announced change; all writes keep to them.  What earlier
-    versions can read only as a value that is larger is written so as long as the service takes it,
-    that is within ``present``.
+    ``guaranteed`` limits hold now and after an announced change; writes normally keep within them.
+    Exception: a layout that earlier versions need may exceed them, and is written while the value
+    still fits into ``present``, the limits in force now.
     """
 
     guaranteed: Limits
     present: Limits
 
     def rejected(self, batch: WriteBatch) -> None:
-        """Lower the limits after the service has called a batch too large."""
+        """Lower the limits after the service has rejected a batch as too large."""
         if batch.needs_present_limits:
             self.present = self.guaranteed
         else:
@@ -46,7 +46,7 @@
 
     cluster: ClusterState
     limits: WriteLimits
-    #: Says in which layouts records are written, and whether later ones are written back.
+    #: Says which layouts are written, and whether later ones are rewritten to earlier ones.
     level: LevelRecord
     keys: KeyTracker = field(default_factory=KeyTracker)
 
