--- a/micadeal/controller/api/jobs.py
+++ b/micadeal/controller/api/jobs.py
@@ -103,11 +103,11 @@
         """Return the jobs whose tasks all run, by a leader's last report if that is recent."""
         return self._answers.all_started()
 
-    def set_cascaded(self, until: timedelta | None) -> None:
+    def set_cancellations_propagated_until(self, until: timedelta | None) -> None:
         """Store the instant up to which cancellations are recorded for all dependent jobs."""
         self._dependencies.propagated_until = until
 
-    def over(self, job_id: str) -> None:
+    def note_ended(self, job_id: str) -> None:
         """Note that a job's end is recorded, by a report of the leader or another controller."""
         self._answers.note_ended(job_id)
 
--- a/micadeal/controller/api/peers.py
+++ b/micadeal/controller/api/peers.py
@@ -170,7 +170,7 @@
         job_id = decode(CancellationNotice, request.body).job_id
         if self._follower_leases is not None:
             self._follower_leases.add_cancellation(job_id, monotonic())
-        self._jobs.over(job_id)
+        self._jobs.note_ended(job_id)
         if self._leader.actor is None:
             return answer(200, True)
         await self._cancellations.tell_leader([job_id])
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -291,7 +291,7 @@
             feature_levels=self._feature_levels,
             renewal_timing=self._renewal_timing,
             resign=self._election.resign,
-            on_job_ended=self._job_api.over,
+            on_job_ended=self._job_api.note_ended,
         )
         known = InitialKnowledge(
             machine_types=self._job_api.types,
@@ -346,7 +346,7 @@
     async def _on_pong(self, name: str, pong: Pong, cancelled: list[str]) -> None:
         """Take in a peer's answer to a ping, with ``cancelled`` jobs that are new to us."""
         for job_id in cancelled:
-            self._job_api.over(job_id)
+            self._job_api.note_ended(job_id)
         self._job_api.merge_cancellation_ages(pong.cancellation_ages or {})
         # The term may end during the awaits below.
         actor = self._leader.actor
@@ -357,10 +357,10 @@
             progress = await actor.ask(GetProgress(), QUERY_TIMEOUT)
             if not actor.loading:
                 self._job_api.set_counts(progress.counts, progress.all_started)
-            self._job_api.set_cascaded(progress.cascaded_until)
+            self._job_api.set_cancellations_propagated_until(progress.cascaded_until)
         elif pong.leading and name == self._leader.name:
             self._job_api.set_counts(pong.counts, pong.all_started)
-            self._job_api.set_cascaded(self._peer_links.cascaded(name))
+            self._job_api.set_cancellations_propagated_until(self._peer_links.cascaded(name))
 
     def _peer_status(self) -> PeerStatus:
         if self._follower_leases is None:
--- a/micadeal/controller/persistence/key_tracker.py
+++ b/micadeal/controller/persistence/key_tracker.py
@@ -22,7 +22,7 @@
 
     #: Last known version of each key that exists.
     versions: dict[str, int] = field(default_factory=dict)
-    pending_drops: MutableSet[str] = field(default_factory=OrderedSet)
+    pending_deletes: MutableSet[str] = field(default_factory=OrderedSet)
     #: Keys of placement records that a transaction without an answer may still create.  New
     #: records use these keys first.
     unconfirmed: list[str] = field(default_factory=list)
@@ -38,7 +38,7 @@
 
     def schedule_delete(self, key: str) -> None:
         """Schedule the deletion of ``key`` in a later batch."""
-        self.pending_drops.add(key)
+        self.pending_deletes.add(key)
 
     def schedule_job_deletes(self, job: Job | None) -> None:
         """Schedule the deletion of a job's finished tasks and parts of its description."""
@@ -66,7 +66,7 @@
     def forget(self, key: str) -> None:
         """Remove ``key``, which does not exist any more or will never change again."""
         self.versions.pop(key, None)
-        self.pending_drops.discard(key)
+        self.pending_deletes.discard(key)
 
     def record_read(self, items: Mapping[str, Item | None]) -> None:
         """Store the versions that were read after a transaction failed."""
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -97,12 +97,12 @@
         """Return the number of records to rewrite before the next step of the level."""
         return self._migration.backlog()
 
-    def drop_record_of(self, _job: JobOver, key: str, version: int) -> None:
+    def delete_record_of(self, _job: JobOver, key: str, version: int) -> None:
         """Schedule the deletion of a record whose job has certainly ended."""
         self._keys.versions[key] = version
         self._keys.schedule_delete(key)
 
-    def drop_job_records(self, job: Job | None) -> None:
+    def delete_job_records(self, job: Job | None) -> None:
         """Schedule the deletion of a job's finished tasks and parts of its description."""
         self._keys.schedule_job_deletes(job)
 
@@ -153,13 +153,13 @@
         return min(limits.operations, max(MIN_DEFERRED_OPERATIONS, share))
 
     def _add_deletes(self, draft: BatchDraft) -> None:
-        for key in list(self._keys.pending_drops):
+        for key in list(self._keys.pending_deletes):
             if draft.remaining <= 0:
                 break
             if self._keys.versions.get(key, 0):
                 draft.delete(key)
             else:
-                self._keys.pending_drops.discard(key)
+                self._keys.pending_deletes.discard(key)
 
     # -- outcomes --------------------------------------------------------------------------
 
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -159,7 +159,7 @@
         """Drop a record that belongs to a job if the job is certainly over."""
         proof = self._listing.proof_of_end(job_id_of_key(key), version)
         if proof is not None:
-            self._record_writer.drop_record_of(proof, key, version)
+            self._record_writer.delete_record_of(proof, key, version)
 
     def _load_finished(self, chunk: VersionedRecord[FinishedRecord]) -> None:
         small = chunk.key.startswith(FINISHED)
@@ -233,7 +233,7 @@
     def job_over(self, job_id: str, now: timedelta) -> None:
         """Take in that a job's record is gone: it is done or cancelled."""
         self.unreadable.remove(job_id)
-        self._record_writer.drop_job_records(self._cluster.jobs.get(job_id))
+        self._record_writer.delete_job_records(self._cluster.jobs.get(job_id))
         self._cluster.job_gone(job_id, now)
 
     # -- settings --------------------------------------------------------------------------
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -122,7 +122,7 @@
         types = [convert(MachineType, kind) for kind in (BOX, SLAB)]
         self.scheduler.set_catalog(types)
         self.record_writer = RecordWriter(self.cluster, self.limits, None, self.level)
-        self.record_writer._keys.pending_drops = SortedSet()
+        self.record_writer._keys.pending_deletes = SortedSet()
         self.record_loader = RecordLoader(self.scheduler, self.record_writer)
 
     # -- what happens around the leader ----------------------------------------------------
