--- a/micadeal/controller/api/cancellation_ages.py
+++ b/micadeal/controller/api/cancellation_ages.py
@@ -27,7 +27,7 @@
         self._known_since: RecentJobs[timedelta] = RecentJobs(MAX_JOBS)
 
     def age(self, job_id: str, now: timedelta) -> timedelta | None:
-        """Return for how long at least enough controllers have known; None if that is unknown."""
+        """Return the time for which enough controllers have certainly known; None if unknown."""
         known_since = self._known_since.get(job_id)
         return None if known_since is None else now - known_since
 
--- a/micadeal/controller/api/confirmation.py
+++ b/micadeal/controller/api/confirmation.py
@@ -19,7 +19,8 @@
 class CancellationConfirmation(NamedTuple):
     """What is certain about a cancellation after the other controllers were notified."""
 
-    #: Enough controllers know of it.  That alone is not enough to confirm it to a user.
+    #: Enough controllers know of it, as ``CancellationBroadcaster.broadcast`` decides.  That alone
+    #: does not permit confirming it to a user.
     majority_notified: bool
     #: A leader has reported that no task of the job can start any more.
     no_task_can_start: bool
@@ -67,7 +68,7 @@
         reported that, or enough controllers have known for so long that no task can be left.
 
         ``cannot_start``: it is certain that no task can start.  Raises
-        ``UnconfirmedCancellationError`` if the user has to ask again.
+        ``UnconfirmedCancellationError`` if the user must retry.
         """
         job_id = answer.job_id
         confirmation = await self._broadcast(job_id)
@@ -82,7 +83,7 @@
     def _check_tasks_are_gone(self, job_id: str) -> None:
         now = monotonic()
         if self._ages.note(job_id, now):
-            self._answers.last_cancel = now
+            self._answers.last_cancel_answered_at = now
         age = self._ages.age(job_id, now)
         if age is None or age <= self._cancel_timeout * (1 + 2 * DRIFT):
             raise _unconfirmed(job_id, "a task may still start")
--- a/micadeal/controller/api/jobs.py
+++ b/micadeal/controller/api/jobs.py
@@ -120,6 +120,6 @@
         self._cancellation_ages.merge(ages_ms, monotonic())
 
     @property
-    def last_cancel(self) -> timedelta:
+    def last_cancel_answered_at(self) -> timedelta:
         """When a user was last answered "cancelled" here; initially the start of this process."""
-        return self._answers.last_cancel
+        return self._answers.last_cancel_answered_at
--- a/micadeal/controller/api/known_answers.py
+++ b/micadeal/controller/api/known_answers.py
@@ -64,7 +64,7 @@
         self.ended: RecentJobs[None] = RecentJobs()
         #: When a user was last answered "cancelled" here.  Initially the start of this process,
         #: since the answers of an earlier process are unknown.
-        self.last_cancel = monotonic()
+        self.last_cancel_answered_at = monotonic()
         self._counts: dict[str, Counts] = {}
         self._all_started: frozenset[str] = frozenset()
         self._reported_at: timedelta | None = None
@@ -77,7 +77,7 @@
     def remember_final(self, final: JobAnswer) -> JobAnswer:
         """Cache a final answer, and return it."""
         if final.status is Status.CANCELLED:
-            self.last_cancel = monotonic()
+            self.last_cancel_answered_at = monotonic()
         self.final.add(final.job_id, final)
         self.ended.discard(final.job_id)
         return final
--- a/micadeal/controller/api/peers.py
+++ b/micadeal/controller/api/peers.py
@@ -120,7 +120,7 @@
                 if state_contact_age is None
                 else _milliseconds(state_contact_age),
                 leading=self._leader.actor is not None,
-                cancel_age_ms=_milliseconds(monotonic() - self._jobs.last_cancel),
+                cancel_age_ms=_milliseconds(monotonic() - self._jobs.last_cancel_answered_at),
                 leader=self._leader.name,
                 counts=progress.counts,
                 reaches=self._peer_links.reaches(),
