--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -302,7 +302,7 @@
             feature_levels=self._feature_levels,
             renewal_timing=self._renewal_timing,
             resign=self._election.resign,
-            on_job_ended=self._job_api.over,
+            on_job_ended=self._job_api.note_ended,
         )
         initial_knowledge = InitialKnowledge(
             machine_types=self._job_api.types,
@@ -361,7 +361,7 @@
         ``cancelled`` lists the jobs whose cancellation this controller did not know before.
         """
         for job_id in cancelled:
-            self._job_api.over(job_id)
+            self._job_api.note_ended(job_id)
         self._job_api.merge_cancellation_ages(pong.cancellation_ages or {})
         # The term may end during the awaits below.
         actor = self._leader.actor
@@ -372,10 +372,12 @@
             progress = await actor.ask(GetProgress(), QUERY_TIMEOUT)
             if not actor.loading:
                 self._job_api.set_counts(progress.counts, progress.all_started)
-            self._job_api.set_cascaded(progress.cascaded_until)
+            self._job_api.set_cancellations_propagated_until(progress.cascaded_until)
         elif pong.leading and name == self._leader.name:
             self._job_api.set_counts(pong.counts, pong.all_started)
-            self._job_api.set_cascaded(self._peer_links.reported_cascaded_until(name))
+            self._job_api.set_cancellations_propagated_until(
+                self._peer_links.reported_cascaded_until(name)
+            )
 
     def _peer_status(self) -> PeerStatus:
         if self._follower_leases is None:
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -159,7 +159,7 @@
         """Drop a record that belongs to a job if there is proof that the job is over."""
         proof = self._listing.proof_of_end(job_id_of_key(key), version)
         if proof is not None:
-            self._record_writer.drop_record_of(proof, key, version)
+            self._record_writer.delete_record_of(proof, key, version)
 
     def _load_finished(self, chunk: VersionedRecord[FinishedRecord]) -> None:
         is_small_chunk = chunk.key.startswith(FINISHED)
@@ -235,7 +235,7 @@
     def job_over(self, job_id: str, now: timedelta) -> None:
         """Apply the removal of a job's record: the job is done or cancelled."""
         self.unreadable.remove(job_id)
-        self._record_writer.drop_job_records(self._cluster.jobs.get(job_id))
+        self._record_writer.delete_job_records(self._cluster.jobs.get(job_id))
         self._cluster.job_record_removed(job_id, now)
 
     # -- settings --------------------------------------------------------------------------
