--- a/micadeal/actor.py
+++ b/micadeal/actor.py
@@ -42,10 +42,10 @@
     A subclass handles the messages in ``receive``.
     """
 
-    def __init__(self, bound: int = DEFAULT_CAPACITY) -> None:
-        """``bound``: messages that may wait before senders get ``MailboxFullError``."""
+    def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
+        """``capacity``: messages that may wait before senders get ``MailboxFullError``."""
         self._mailbox: curio.Queue = curio.Queue()
-        self._capacity = bound
+        self._capacity = capacity
 
     async def receive(self, message: Any) -> Any:
         """Handle one message; the result goes to whoever asked."""
--- a/micadeal/controller/api/end_records.py
+++ b/micadeal/controller/api/end_records.py
@@ -51,7 +51,7 @@
     """
     try:
         spec = (await read_job_record(state, item, Urgency.USER)).submission
-        end = EndRecord.of(Status.CANCELLED, spec, utc_now().timestamp())
+        end = EndRecord.for_job(Status.CANCELLED, spec, utc_now().timestamp())
     except MessageFormatError:
         end = EndRecord(Status.CANCELLED, 0, utc_now().timestamp())
     await state.commit(
--- a/micadeal/controller/api/settings.py
+++ b/micadeal/controller/api/settings.py
@@ -50,7 +50,7 @@
         except ValueError as problem:
             return error(400, str(problem))
         record = SettingsRecord(sent.script, utc_now().timestamp(), sent.values, sent.highest_level)
-        if not self._state.present.fits(record):
+        if not self._state.current_limits.fits(record):
             return _too_large()
         return await self._store(record)
 
--- a/micadeal/controller/api/status.py
+++ b/micadeal/controller/api/status.py
@@ -18,7 +18,7 @@
 from micadeal.http.message import Answer, answer
 from micadeal.invariants import Invariant, report_violation
 from micadeal.jobs.validate import JOB_ID
-from micadeal.schema.job_records import has_dependencies
+from micadeal.schema.job_records import may_have_dependencies
 from micadeal.schema.keys import JOBS
 from micadeal.state.service import ConflictError, StateService, StateServiceError
 from micadeal.wire.state import Item
@@ -92,7 +92,7 @@
         item = await self._state.get(JOBS + job_id)
         if item is None:
             return await self._reader.read_end(job_id)
-        if not has_dependencies(item.value):
+        if not may_have_dependencies(item.value):
             self._independent_versions.add(job_id, item.version)
         elif await self._cancel_orphan(job_id, item, asked):
             # As long as it waited nothing of it could start.
@@ -104,7 +104,7 @@
         version = self._independent_versions.get(job_id)
         if version is None:
             return False
-        if await self._reader.version_checks.holds(JOBS + job_id, version):
+        if await self._reader.version_checks.is_unchanged(JOBS + job_id, version):
             return True
         self._independent_versions.discard(job_id)
         return False
--- a/micadeal/controller/api/submission.py
+++ b/micadeal/controller/api/submission.py
@@ -25,7 +25,7 @@
     parse,
 )
 from micadeal.operator.platform import Team
-from micadeal.schema.job_records import split
+from micadeal.schema.job_records import split_record
 from micadeal.schema.keys import ENDS, JOBS
 from micadeal.state.service import (
     ConflictError,
@@ -159,11 +159,11 @@
         job_id = spec.job_id
         now = utc_now().timestamp()
         record = JobRecord(spec, now)
-        if not self._state.present.fits(record):
+        if not self._state.current_limits.fits(record):
             raise JobTooLargeError(job_id)
         put = Put(JOBS + job_id, record)
         if cancelled:
-            put = Put(ENDS + job_id, EndRecord.of(Status.CANCELLED, spec, now))
+            put = Put(ENDS + job_id, EndRecord.for_job(Status.CANCELLED, spec, now))
         try:
             await self._put_new(job_id, [put])
         except RequestRejectedError:
@@ -172,7 +172,7 @@
                 # and has no other form.
                 raise JobTooLargeError(job_id) from None
             # The service's limits are lower by now than when this controller was started.
-            parts = split(record, self._state.limits)
+            parts = split_record(record, self._state.limits)
             if parts is None:
                 raise JobTooLargeError(job_id) from None
             await self._put_new(job_id, parts)
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -59,7 +59,7 @@
     """Leads for one term, on what the records, the workers and the cloud say."""
 
     def __init__(self, config: LeaderConfig, term: Term, known: InitialKnowledge) -> None:
-        super().__init__(bound=MAILBOX_LIMIT)
+        super().__init__(capacity=MAILBOX_LIMIT)
         now = monotonic()
         platform = config.platform
         #: The fencing token of the term.
@@ -78,7 +78,10 @@
         if known.machine_types:
             self._scheduler.set_catalog(known.machine_types)
         self._record_writer = RecordWriter(
-            self._cluster, config.state.limits, config.state.present, config.feature_levels.record
+            self._cluster,
+            config.state.limits,
+            config.state.current_limits,
+            config.feature_levels.record,
         )
         self._record_loader = RecordLoader(self._scheduler, self._record_writer)
         for job_id in known.cancelled_jobs:
--- a/micadeal/controller/persistence/job_ends.py
+++ b/micadeal/controller/persistence/job_ends.py
@@ -60,7 +60,7 @@
 
     def _end(self, job: Job, status: Status) -> WriteBatch:
         self._under_way.add(job.id)
-        record = EndRecord.of(status, job.spec, utc_now().timestamp())
+        record = EndRecord.for_job(status, job.spec, utc_now().timestamp())
         job_key, end_key = f"{JOBS}{job.id}", f"{ENDS}{job.id}"
         draft = BatchDraft(self._context.limits.guaranteed.operations)
         draft.put(end_key, record)
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -22,7 +22,7 @@
 from micadeal.rollout.migration import MigrationBacklog
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.schema.decoding import VersionedRecord
-from micadeal.schema.job_listing import JobOver
+from micadeal.schema.job_listing import JobEnded
 from micadeal.state.limits import Limits
 from micadeal.state.service import Urgency
 from micadeal.wire.state import ImagesRecord, Item, LevelRecord, ReturnedMachinesRecord
@@ -95,7 +95,7 @@
         """Return how many records in other layouts the next step of the level has to wait for."""
         return self._migration.backlog()
 
-    def drop_record_of(self, _job: JobOver, key: str, version: int) -> None:
+    def drop_record_of(self, _job: JobEnded, key: str, version: int) -> None:
         """Have a record of a job dropped that is certainly over."""
         self._keys.versions[key] = version
         self._keys.schedule_drop(key)
--- a/micadeal/controller/state_contact.py
+++ b/micadeal/controller/state_contact.py
@@ -17,7 +17,7 @@
 
     def age(self) -> timedelta | None:
         """Return the time since the last answer; None: there was none."""
-        answered = self._state.answered
+        answered = self._state.last_response_at
         return None if answered is None else monotonic() - answered
 
     def reachable(self) -> bool:
--- a/micadeal/controller/watchers.py
+++ b/micadeal/controller/watchers.py
@@ -111,7 +111,9 @@
         while True:
             requested_at = monotonic()
             try:
-                response = await self._state.changes(JOBS, revision, JOBS_WATCH_TIMEOUT, client)
+                response = await self._state.wait_for_changes(
+                    JOBS, revision, JOBS_WATCH_TIMEOUT, client
+                )
                 parts = await self._read_parts(response.events)
                 revision = max(revision, response.revision)
                 await self._tell(JobsChanged(response.events, requested_at, parts))
@@ -178,7 +180,7 @@
         client = self._state.watch_client()
         while True:
             try:
-                response = await self._state.changes(
+                response = await self._state.wait_for_changes(
                     SETTINGS, revision, SETTINGS_WATCH_TIMEOUT, client
                 )
                 revision = max(revision, response.revision)
--- a/micadeal/http/client.py
+++ b/micadeal/http/client.py
@@ -25,11 +25,11 @@
     caller says that a repetition does no harm.
     """
 
-    def __init__(self, address: str, keep: int = 4) -> None:
-        """Prepare requests to ``address``; at most ``keep`` idle connections are kept open."""
+    def __init__(self, address: str, max_idle: int = 4) -> None:
+        """Prepare requests to ``address``; at most ``max_idle`` idle connections are kept open."""
         self._address = parse_address(address)
         self._host = address
-        self._max_idle = keep
+        self._max_idle = max_idle
         self._idle: deque[_Connection] = deque()
 
     async def request(
@@ -143,5 +143,5 @@
     address: str, method: str, target: str, body: bytes = b"", *, timeout: timedelta
 ) -> ClientResponse:
     """Send one request on a connection of its own; ``HttpError`` if there is no response."""
-    client = Client(address, keep=0)
+    client = Client(address, max_idle=0)
     return await with_timeout(timeout, client.request(method, target, body, timeout=timeout))
--- a/micadeal/http/network.py
+++ b/micadeal/http/network.py
@@ -46,22 +46,22 @@
 class Network(Protocol):
     """Creates clients and servers."""
 
-    def client(self, address: str, keep: int) -> HttpClient:
-        """Return a client of ``address`` that keeps up to ``keep`` idle connections open."""
+    def client(self, address: str, max_idle: int) -> HttpClient:
+        """Return a client of ``address`` that keeps up to ``max_idle`` idle connections open."""
         ...
 
-    def server(self, address: SocketAddress, handler: Handler, most: int) -> HttpServer:
-        """Return a server of ``address`` that takes up to ``most`` connections at a time."""
+    def server(self, address: SocketAddress, handler: Handler, max_connections: int) -> HttpServer:
+        """Return a server of ``address`` that accepts at most ``max_connections`` at a time."""
         ...
 
 
 class TcpNetwork:
     """The real network."""
 
-    def client(self, address: str, keep: int) -> HttpClient:
-        """Return a client of ``address`` that keeps up to ``keep`` idle connections open."""
-        return Client(address, keep)
+    def client(self, address: str, max_idle: int) -> HttpClient:
+        """Return a client of ``address`` that keeps up to ``max_idle`` idle connections open."""
+        return Client(address, max_idle)
 
-    def server(self, address: SocketAddress, handler: Handler, most: int) -> HttpServer:
-        """Return a server of ``address`` that takes up to ``most`` connections at a time."""
-        return Server(address, handler, most)
+    def server(self, address: SocketAddress, handler: Handler, max_connections: int) -> HttpServer:
+        """Return a server of ``address`` that accepts at most ``max_connections`` at a time."""
+        return Server(address, handler, max_connections)
--- a/micadeal/http/server.py
+++ b/micadeal/http/server.py
@@ -35,15 +35,15 @@
 class Server:
     """Serves one address."""
 
-    def __init__(self, address: SocketAddress, handler: Handler, most: int) -> None:
+    def __init__(self, address: SocketAddress, handler: Handler, max_connections: int) -> None:
         """Prepare to serve ``address``; port 0 stands for any free one.
 
-        ``handler`` answers each request.  Of more than ``most`` connections at a time the surplus
-        is closed at once.
+        ``handler`` answers each request.  While ``max_connections`` are open, each further
+        connection is closed as soon as it is accepted.
         """
         self._address = address
         self._handler = handler
-        self._max_connections = most
+        self._max_connections = max_connections
         self._connections = 0
         self._listener: Any = None
 
--- a/micadeal/leadership/election.py
+++ b/micadeal/leadership/election.py
@@ -191,7 +191,9 @@
         after = leader_lock.revision
         while True:
             try:
-                changes = await self._state.changes(prefix, after, WATCH_TIMEOUT, self._watch)
+                changes = await self._state.wait_for_changes(
+                    prefix, after, WATCH_TIMEOUT, self._watch
+                )
             except RevisionCompactedError:
                 return
             if any(event.version > leader_lock.revision for event in changes.events):
--- a/micadeal/schema/job_listing.py
+++ b/micadeal/schema/job_listing.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobOver:
+class JobEnded:
     """Proof that a job is done or cancelled, so that nothing needs its other records any more.
 
     Only ``JobListing.proof_of_end`` gives it.
@@ -35,7 +35,7 @@
         job_ids = frozenset(item.key.removeprefix(JOBS) for item in self.items)
         object.__setattr__(self, "_job_ids", job_ids)
 
-    def proof_of_end(self, job_id: str, version: int) -> JobOver | None:
+    def proof_of_end(self, job_id: str, version: int) -> JobEnded | None:
         """Return the proof that a job is over by the version of a record of it, or None.
 
         Guards against the loss of an accepted job.  A record is written when its job exists, or
@@ -44,4 +44,4 @@
         """
         if job_id in self._job_ids or version > self.revision:
             return None
-        return JobOver(job_id)
+        return JobEnded(job_id)
--- a/micadeal/schema/job_records.py
+++ b/micadeal/schema/job_records.py
@@ -16,7 +16,7 @@
 from micadeal.state.limits import Limits
 from micadeal.state.service import StateService, Urgency
 from micadeal.wire.codec import MessageFormatError, convert, decode, encode
-from micadeal.wire.state import Item, JobNeeds, JobRecord, PartRecord, Put, SplitRecord
+from micadeal.wire.state import Item, JobPrerequisites, JobRecord, PartRecord, Put, SplitRecord
 
 #: Bytes that a stored value needs beside its text.
 TEXT_OVERHEAD_BYTES = 64
@@ -27,7 +27,7 @@
 BEST_COMPRESSION = 9
 
 
-def split(record: JobRecord, limits: Limits) -> list[Put] | None:
+def split_record(record: JobRecord, limits: Limits) -> list[Put] | None:
     """Return puts that store a large description; None if one transaction can't hold them."""
     text = base64.b64encode(zlib.compress(encode(record), BEST_COMPRESSION)).decode()
     size = limits.value_bytes - TEXT_OVERHEAD_BYTES
@@ -97,10 +97,10 @@
     return join_parts(item.value, parts)
 
 
-def has_dependencies(value: Any) -> bool:
+def may_have_dependencies(value: Any) -> bool:
     """Return whether the job may depend on others; a quick look, since every poll asks."""
     try:
-        return bool(convert(JobNeeds, value).submission.prerequisites)
+        return bool(convert(JobPrerequisites, value).submission.prerequisites)
     except MessageFormatError:
         # Split or damaged: to be looked at more closely.
         return True
--- a/micadeal/state/read_coalescing.py
+++ b/micadeal/state/read_coalescing.py
@@ -44,7 +44,7 @@
         self._waiting: list[_VersionCheck] = []
         self._batch_scheduled = False
 
-    async def holds(self, key: str, version: int) -> bool:
+    async def is_unchanged(self, key: str, version: int) -> bool:
         """Return whether ``key`` still has ``version``; the read begins after this call.
 
         False may also mean that the service did not compare it: read the key then.  Raises
@@ -53,7 +53,7 @@
         return key in await self.unchanged_keys({key: version})
 
     async def unchanged_keys(self, versions: Mapping[str, int]) -> set[str]:
-        """Return those of the keys that still have the version given, as ``holds`` does for one."""
+        """Return the keys that still have the given version; see ``is_unchanged``."""
         checks = [_VersionCheck(key, version) for key, version in versions.items()]
         self._waiting += checks
         if checks and not self._batch_scheduled:
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -81,24 +81,26 @@
     or may still be applied later.
     """
 
-    def __init__(self, address: str, present: Limits, limits: Limits, network: Network) -> None:
+    def __init__(
+        self, address: str, current_limits: Limits, limits: Limits, network: Network
+    ) -> None:
         """Prepare access; nothing is sent yet.
 
-        Writes keep within ``limits``.  ``present`` are the service's limits now, which may be
-        higher than those it has announced: what fits into these alone may be tried.
+        Writes keep within ``limits``, the lower of the service's current and announced limits.
+        ``current_limits`` may be higher: a value that fits only these may be tried.
         """
         self.limits = limits
-        self.present = present
+        self.current_limits = current_limits
         self._network = network
         self._client = network.client(address, MAX_IDLE_CONNECTIONS)
         self._address = address
         self._rate_limiter = RateLimiter(limits, monotonic())
-        self._answered: timedelta | None = None
+        self._last_response_at: timedelta | None = None
 
     @property
-    def answered(self) -> timedelta | None:
+    def last_response_at(self) -> timedelta | None:
         """When the service last answered anything, on the monotonic clock; None: never."""
-        return self._answered
+        return self._last_response_at
 
     async def get(self, key: str, urgency: Urgency = Urgency.USER) -> Item | None:
         """Read one key; None if it does not exist."""
@@ -187,7 +189,7 @@
         """Revoke a lease, which removes the keys attached to it; a lease that is gone is fine."""
         await self._request("DELETE", f"/leases/{lease}", urgency=Urgency.LEASE)
 
-    async def changes(
+    async def wait_for_changes(
         self, prefix: str, after: int, hold: timedelta, client: HttpClient
     ) -> WatchResponse:
         """Wait up to ``hold`` for changes under ``prefix`` after a revision, and return them.
@@ -245,7 +247,7 @@
             raise UnavailableError("503", status)
         if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             raise _unexpected(status)
-        self._answered = monotonic()
+        self._last_response_at = monotonic()
         return ClientResponse(status, answer)
 
     def _unreachable(self) -> bool:
@@ -253,7 +255,10 @@
 
         Not before the service has answered once: the first requests have to find out.
         """
-        return self._answered is not None and monotonic() - self._answered > UNREACHABLE_AFTER
+        return (
+            self._last_response_at is not None
+            and monotonic() - self._last_response_at > UNREACHABLE_AFTER
+        )
 
 
 def lease_valid_until(
--- a/micadeal/wire/state.py
+++ b/micadeal/wire/state.py
@@ -177,16 +177,16 @@
     submitted_at: float
 
 
-class _Needs(msgspec.Struct, rename={"prerequisites": "waits_on"}):
+class _SubmissionPrerequisites(msgspec.Struct, rename={"prerequisites": "waits_on"}):
     """Of a ``Submission`` only which jobs it depends on."""
 
     prerequisites: list[str] | None = None
 
 
-class JobNeeds(msgspec.Struct):
+class JobPrerequisites(msgspec.Struct):
     """Of a ``JobRecord`` only which jobs it depends on."""
 
-    submission: _Needs
+    submission: _SubmissionPrerequisites
 
 
 class SplitRecord(msgspec.Struct):
@@ -228,7 +228,7 @@
     confirmed: bool = False
 
     @classmethod
-    def of(cls, status: Status, spec: Submission, ended_at: float) -> EndRecord:
+    def for_job(cls, status: Status, spec: Submission, ended_at: float) -> EndRecord:
         """Return the record of a job that has ended at ``ended_at`` (Unix time)."""
         return cls(status, spec.tasks, ended_at, spec.team, spec.cpus, spec.gpus, spec.memory_gb)
 
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -197,11 +197,11 @@
         self._host = host
         self._process = process
 
-    def client(self, address: str, keep: int) -> FakeClient:
+    def client(self, address: str, max_idle: int) -> FakeClient:
         """Return a client for an address."""
         return FakeClient(self._network, self._host, self._process, address)
 
-    def server(self, address: SocketAddress, handler: Handler, most: int) -> FakeServer:
+    def server(self, address: SocketAddress, handler: Handler, max_connections: int) -> FakeServer:
         """Return a server for an address of the host."""
         return FakeServer(self._network, self._host, f"{address[0]}:{address[1]}", handler)
 
--- a/tests/fakes/previous_versions.py
+++ b/tests/fakes/previous_versions.py
@@ -62,7 +62,7 @@
     fields = ALL_FIELDS
     keys: tuple[str, ...] = UNKNOWN_KEYS
 
-    def client(self, address: str, keep: int) -> FakeClient:
+    def client(self, address: str, max_idle: int) -> FakeClient:
         """Return a client that drops unknown fields in both directions."""
         client = _Client(self._network, self._host, self._process, address)
         client.reader = self
@@ -72,7 +72,9 @@
         """Return a body without the fields that the version does not know."""
         return encode(forget(decode(Any, body), self.fields)) if body else body
 
-    def server(self, address: tuple[str, int], handler: Handler, most: int) -> FakeServer:
+    def server(
+        self, address: tuple[str, int], handler: Handler, max_connections: int
+    ) -> FakeServer:
         """Return a server that drops unknown fields in both directions."""
 
         async def read_as_before(request: Request) -> Answer:
@@ -80,7 +82,7 @@
             answer = await handler(Request(request.method, request.path, request.query, body))
             return Answer(answer.status, self.forget(answer.body), answer.retry_after)
 
-        return super().server(address, read_as_before, most)
+        return super().server(address, read_as_before, max_connections)
 
 
 class UnlevelledNetwork(EarlierNetwork):
@@ -160,7 +162,7 @@
     async def _await_change(self, version: int) -> None:
         after = version
         while True:
-            changes = await self._state.changes("leader", after, seconds(2), self._watch)
+            changes = await self._state.wait_for_changes("leader", after, seconds(2), self._watch)
             if not changes.events or any(event.version > version for event in changes.events):
                 return
             after = max(after, changes.revision)
--- a/tests/soak/controller_process.py
+++ b/tests/soak/controller_process.py
@@ -79,7 +79,7 @@
 
     async def wait_until_listening(self, address: str) -> None:
         """Wait until the process accepts connections, or has ended."""
-        client = Client(address, keep=0)
+        client = Client(address, max_idle=0)
         until = monotonic() + START_TIMEOUT
         while self.running and monotonic() < until:
             try:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         self.settings: dict[str, Any] = {"script": ""}
-        server = Server(("127.0.0.1", 0), self.handle, most=20)
+        server = Server(("127.0.0.1", 0), self.handle, max_connections=20)
         host, port = server.listen()
         self.address = f"{host}:{port}"
         threading.Thread(target=curio.run, args=(server.run,), daemon=True).start()
--- a/tests/test_cli_golden.py
+++ b/tests/test_cli_golden.py
@@ -149,7 +149,7 @@
     def __init__(self, kind: str) -> None:
         self._answers = ANSWERS[kind]
         self.received: list[bytes] = []
-        server = Server(("127.0.0.1", 0), self._handle, most=20)
+        server = Server(("127.0.0.1", 0), self._handle, max_connections=20)
         host, port = server.listen()
         self.address = f"{host}:{port}"
         threading.Thread(target=curio.run, args=(server.run,), daemon=True).start()
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -175,7 +175,7 @@
 
 @pytest.fixture(scope="module")
 def server_address() -> Iterator[tuple[str, int]]:
-    server = Server(("127.0.0.1", 0), _answer_for_bytes, most=20)
+    server = Server(("127.0.0.1", 0), _answer_for_bytes, max_connections=20)
     address = server.listen()
     threading.Thread(target=curio.run, args=(server.run,), daemon=True).start()
     yield address
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -23,7 +23,7 @@
         return answer(200, [request.method, request.path, len(request.body)])
 
     async def run() -> None:
-        server = Server(("127.0.0.1", 0), echo, most=MAX_CONNECTIONS)
+        server = Server(("127.0.0.1", 0), echo, max_connections=MAX_CONNECTIONS)
         host, port = server.listen()
         task = await curio.spawn(server.run, daemon=True)
         try:
@@ -88,7 +88,7 @@
             await curio.sleep(next(answers))
             return answer(200)
 
-        server = Server(("127.0.0.1", 0), slow_once, most=MAX_CONNECTIONS)
+        server = Server(("127.0.0.1", 0), slow_once, max_connections=MAX_CONNECTIONS)
         host, port = server.listen()
         task = await curio.spawn(server.run, daemon=True)
         client = Client(f"{host}:{port}")
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -130,7 +130,7 @@
             await state.commit([], [Delete("a")], Urgency.REST)
         assert type(failure.value) is kind
         assert failure.value.status == status
-        assert state.answered is None
+        assert state.last_response_at is None
 
     with_state_service(check, handler=answers(status))
 
@@ -138,7 +138,7 @@
 def test_watch_of_a_compacted_revision_says_which() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         with pytest.raises(RevisionCompactedError) as compacted:
-            await state.changes("job/", 7, seconds(1), state.watch_client())
+            await state.wait_for_changes("job/", 7, seconds(1), state.watch_client())
         assert (compacted.value.prefix, compacted.value.revision) == ("job/", 7)
 
     with_state_service(check, handler=answers(410))
@@ -150,7 +150,7 @@
         items, revision = await state.range("job/")
         assert [(item.key, item.value) for item in items] == [("job/1", "a")]
         await state.commit([], [Delete("job/1"), Put("job/2", "c")], Urgency.REST)
-        response = await state.changes("job/", revision, seconds(1), state.watch_client())
+        response = await state.wait_for_changes("job/", revision, seconds(1), state.watch_client())
         assert [(event.put, event.drop) for event in response.events] == [
             (None, "job/1"),
             ("job/2", None),
@@ -167,7 +167,7 @@
         results: dict[tuple[str, int], bool] = {}
 
         async def ask(key: str, version: int) -> None:
-            results[key, version] = await coalescer.holds(key, version)
+            results[key, version] = await coalescer.is_unchanged(key, version)
 
         async with curio.TaskGroup() as group:
             await group.spawn(ask, "a", version)
@@ -192,7 +192,7 @@
         host = HostNetwork(network, "c0", HostProcess())
         state = StateService(state_fake.ADDRESS, LIMITS, LIMITS, host)
         await state.get("key")
-        assert state.answered is not None
+        assert state.last_response_at is not None
         await curio.sleep(0.1)
         network.cut("c0", state_fake.HOST)
         began = monotonic()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 from micadeal.clock import ZERO, seconds
 from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, to_bits
-from micadeal.schema.job_records import join_parts, part_keys, split
+from micadeal.schema.job_records import join_parts, part_keys, split_record
 from micadeal.state.limits import Limits
 from micadeal.wire import peers
 from micadeal.wire import state as records
@@ -64,7 +64,7 @@
     read = decode(records.JobRecord, encode(forget(decode(Any, encode(record)))))
     assert read == job
     # Split records, which only lower limits make necessary, must not decode as anything else.
-    parts = split(record, Limits(150, 18, 5, 256))
+    parts = split_record(record, Limits(150, 18, 5, 256))
     assert parts is not None and len(parts) > 1
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert(decode(Any, encode(parts[0].value)), records.JobRecord)
