--- a/micadeal/schema/__init__.py
+++ b/micadeal/schema/__init__.py
@@ -1,1 +1,1 @@
-"""What we keep in the state service: the names of the keys, and decoding values into records."""
+"""Contents of the state service: the names of its keys, and decoding of values into records."""
--- a/micadeal/schema/decoding.py
+++ b/micadeal/schema/decoding.py
@@ -1,6 +1,6 @@
-"""Decodes values of the state service into records, once, where they come in.
+"""Decodes values of the state service into records, once, when they are received.
 
-A value that can't be decoded is logged and left where it is; everything else goes on without it.
+A value that can't be decoded is logged and left in the store; the controller continues without it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedRecord(Generic[T]):
-    """A record with the key and the version under which it was read."""
+    """A record with its key and the version at which it was read."""
 
     key: str
     version: int
@@ -30,12 +30,12 @@
 
 
 def read(items: Iterable[Item], kind: type[T]) -> list[VersionedRecord[T]]:
-    """Decode items that all hold records of one kind."""
+    """Decode items whose values are all records of type ``kind``."""
     return [VersionedRecord(item.key, item.version, decode_item(item, kind)) for item in items]
 
 
 def decode_item(item: Item, kind: type[T]) -> T | None:
-    """Decode one item; None if its value is not such a record."""
+    """Decode one item; None if its value is not a record of type ``kind``."""
     try:
         return convert(kind, item.value)
     except MessageFormatError as error:
@@ -45,17 +45,17 @@
 
 
 def decode_placements(items: Iterable[Item]) -> list[VersionedRecord[PlacedRecord]]:
-    """Decode records of placements in either layout, by their keys."""
+    """Decode placement records; the key shows which of the two layouts a record has."""
     records: list[VersionedRecord[PlacedRecord]] = []
     for item in items:
         if item.key.startswith(MACHINE_PLACEMENTS):
-            record = _read_old_placed(item)
+            record = _decode_machine_record(item)
         else:
             record = decode_item(item, PlacedRecord)
         records.append(VersionedRecord(item.key, item.version, record))
     return records
 
 
-def _read_old_placed(item: Item) -> PlacedRecord | None:
+def _decode_machine_record(item: Item) -> PlacedRecord | None:
     record = decode_item(item, MachineRecord)
-    return None if record is None else record.placed(item.key.removeprefix(MACHINE_PLACEMENTS))
+    return None if record is None else record.as_placed(item.key.removeprefix(MACHINE_PLACEMENTS))
--- a/micadeal/schema/job_listing.py
+++ b/micadeal/schema/job_listing.py
@@ -1,7 +1,7 @@
-"""What one read of all job records proves about records that belong to jobs.
+"""Proof that a job has ended, from one range read of all job records.
 
-Pure.  A job's record, ``job/<id>``, is created once, together with the parts of its description,
-and removed once, when the job ends.
+Does no I/O.  A job's record, ``job/<id>``, is created once, together with the parts of its
+description, and removed once, when the job ends.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobEnded:
-    """Proof that a job is done or cancelled, so that nothing needs its other records any more.
+    """Proof that a job is done or cancelled, so that its other records are no longer needed.
 
-    Only ``JobListing.proof_of_end`` gives it.
+    Only ``JobListing.proof_of_end`` creates it.
     """
 
     job_id: str
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True)
 class JobListing:
-    """All job records as one range read, perhaps of several pages, has listed them."""
+    """All job records, as listed by one range read of one or more pages."""
 
     items: list[Item]
-    #: Revision of the first page: the read began no earlier than that.
+    #: Revision of the first page; each page shows the store at this revision or a later one.
     revision: int
     _job_ids: frozenset[str] = field(init=False, repr=False, compare=False)
 
@@ -36,11 +36,12 @@
         object.__setattr__(self, "_job_ids", job_ids)
 
     def proof_of_end(self, job_id: str, version: int) -> JobEnded | None:
-        """Return the proof that a job is over by the version of a record of it, or None.
+        """Return a proof that a job has ended, or None; ``version`` is of another record of it.
 
-        Guards against the loss of an accepted job.  A record is written when its job exists, or
-        with it.  So a record no newer than the listing whose job is not listed belongs to a job
-        that has ended.  A newer one proves nothing: its job may have been accepted since.
+        Guards against the loss of an accepted job.  Other records of a job are written with its
+        job record or after it.  If such a record is no newer than the listing and the job is not
+        listed, the job has ended.  A newer record proves nothing: the job may have been accepted
+        after the listing.
         """
         if job_id in self._job_ids or version > self.revision:
             return None
--- a/micadeal/schema/job_records.py
+++ b/micadeal/schema/job_records.py
@@ -1,8 +1,8 @@
-"""Descriptions of jobs as the state service holds them: in one value, or split over several.
+"""Job descriptions in the state service: stored in one value, or split over several.
 
-A description that one value holds is stored in the layout that every version reads.  A larger one,
-which only a service with lower limits than at first makes necessary, goes into ``job/<id>`` and
-``part/<id>/<number>`` in one transaction, as compressed text.
+A description that fits into one value is stored in the layout that every version can read.  A
+larger one is stored as compressed text in ``job/<id>`` and ``part/<id>/<number>``, written in one
+transaction.  This is needed only if the service has lowered its limits.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from micadeal.wire.codec import MessageFormatError, convert, decode, encode
 from micadeal.wire.state import Item, JobPrerequisites, JobRecord, PartRecord, Put, SplitRecord
 
-#: Bytes that a stored value needs beside its text.
+#: Size of a stored part without its text.
 TEXT_OVERHEAD_BYTES = 64
-#: Larger than any submission: a bound on what a damaged record could decompress to.
+#: Limit on the decompressed size of a damaged record; larger than any submission.
 MAX_DECOMPRESSED_BYTES = 1 << 20
-#: A bound on how many keys a damaged record makes us read.
+#: Limit on the number of keys that a damaged record causes to be read.
 MAX_PARTS = 99
 BEST_COMPRESSION = 9
 
@@ -49,7 +49,7 @@
 
 
 def part_keys(value: Any, job_id: str) -> list[str]:
-    """Return the keys of the other parts of a description, none if ``value`` holds all of it.
+    """Return the keys of a description's other parts; empty if ``value`` holds all of it.
 
     Raises ``MessageFormatError`` if the value is damaged.
     """
@@ -62,7 +62,7 @@
 
 
 def join_parts(value: Any, parts: Sequence[Any]) -> JobRecord:
-    """Join a description from the values of its parts.
+    """Decode a description from ``value``, that of its job key, and the values of its other parts.
 
     Raises ``MessageFormatError`` if it is damaged.
     """
@@ -98,9 +98,12 @@
 
 
 def may_have_dependencies(value: Any) -> bool:
-    """Return whether the job may depend on others; a quick look, since every poll asks."""
+    """Return whether the job may depend on others.
+
+    Decodes nothing else, since every poll of a job calls this.
+    """
     try:
         return bool(convert(JobPrerequisites, value).submission.prerequisites)
     except MessageFormatError:
-        # Split or damaged: to be looked at more closely.
+        # Split or damaged: the caller has to read the whole description.
         return True
--- a/micadeal/schema/keys.py
+++ b/micadeal/schema/keys.py
@@ -1,43 +1,45 @@
-"""Names of all keys that we keep.  docs/safety.md says what each holds, and who writes it.
+"""Names of all keys in the state service; docs/safety.md lists their contents and writers.
 
 A name that ends in a slash is a prefix.
 """
 
 from __future__ import annotations
 
-#: Who leads now or led last (``LeaderRecord``).  Nothing else may begin with ``leader``: versions
-#: before feature levels watch that prefix from the version of the key, and would ask again and
-#: again, as fast as they are answered.
+#: The current or last leader (``LeaderRecord``).  No other key may begin with ``leader``: versions
+#: before feature levels watch that prefix from the version of this key, and would repeat the watch
+#: without a pause after a change of another key.
 LEADER = "leader"
-#: The leader lock (rollout/leader_lock.py): everything that an election reads at once.
+#: The leader lock (rollout/leader_lock.py): all keys that an election reads together.
 LEADER_LOCK_PREFIX = "seat/"
-#: Who holds the lock, attached to the holder's lease (``LockHolderRecord``).
+#: The holder of the lock (``LockHolderRecord``), attached to the holder's session lease.
 LOCK_HOLDER = "seat/held"
 #: The feature level in force (``LevelRecord``).
 LEVEL = "seat/level"
-#: The process that runs of each controller, by name (``MemberRecord``).
+#: The running process of each controller, by the controller's name (``MemberRecord``).
 MEMBER = "seat/member/"
-#: Cancellations that a controller can't confirm alone, by its name (``UnconfirmedRecord``).
+#: Cancellations that a controller can't confirm alone, by the controller's name
+#: (``UnconfirmedRecord``).
 UNCONFIRMED = "seat/unconfirmed/"
 
 #: Submitted jobs, by id (``JobRecord`` or ``SplitRecord``).
 JOBS = "job/"
-#: The rest of jobs that are too large for one value, by id and number (``PartRecord``).
+#: Further parts of jobs that are too large for one value, by id and number (``PartRecord``).
 PARTS = "part/"
 #: Jobs that are done or cancelled, by id (``EndRecord``).
 ENDS = "end/"
-#: Finished tasks by job and chunk, in the chunks that versions before ``finished/`` read.
+#: Finished tasks by job and chunk, in the larger chunks that versions before ``finished/`` read.
 DONE = "done/"
 #: Finished tasks by job and chunk, in smaller chunks (``FinishedRecord``).
 FINISHED = "finished/"
-#: Tasks that may be on machines, by token and number (``PlacedRecord``).
+#: Tasks that may be on machines, by fencing token and number (``PlacedRecord``).
 PLACED = "placed/"
-#: The same in the layout of the first versions, by machine (``MachineRecord``): read at feature
-#: level 0, and replaced as they change.
+#: Tasks that may be on machines in the layout of the first versions, by machine
+#: (``MachineRecord``): read at feature level 0, and replaced by ``PLACED`` when they change.
 MACHINE_PLACEMENTS = "machine/"
 #: Images that machines are likely to hold, by page (``ImagesRecord``).
 IMAGES = "images/"
-#: Machines that the cloud is asked to end, by token and number (``ReturnedMachinesRecord``).
+#: Machines that are being returned to the cloud, by fencing token and number
+#: (``ReturnedMachinesRecord``).
 LEAVING = "leaving/"
 #: The operators' script (``SettingsRecord``).
 SETTINGS = "settings"
--- a/micadeal/state/budget.py
+++ b/micadeal/state/budget.py
@@ -1,10 +1,10 @@
-"""A token bucket, so that our own requests stay below a service's rate limits."""
+"""A token bucket that keeps requests below a service's rate limits."""
 
 from __future__ import annotations
 
 from datetime import timedelta
 
-#: Added to every wait, so that rounding does not make the caller come back too early.
+#: Added to every wait, so that rounding does not make the caller retry too early.
 WAIT_MARGIN_S = 0.001
 
 
@@ -26,12 +26,12 @@
         self._refilled_at = now
 
     def take(self, units: float, now: timedelta, reserve: float = 0.0) -> timedelta:
-        """Take ``units`` if available; return zero, or how long to wait before asking again.
+        """Take ``units`` if available; return zero, or how long to wait before retrying.
 
-        ``reserve`` is what less urgent callers must leave for the urgent ones.
+        ``reserve``: units that a less urgent caller must leave for more urgent ones.
         """
         self._refill(now)
-        # A demand above the burst could never be met: it waits for a full bucket instead.
+        # A request above the burst could never be met; it waits for a full bucket instead.
         missing = min(units + reserve, self.burst) - self._level
         if missing <= 0:
             self._level -= units
@@ -41,7 +41,7 @@
     def drain(self, now: timedelta) -> None:
         """Empty the bucket after the service answered 429.
 
-        Other clients use the same limit, so there is less left than we have counted.
+        Other clients use the same limit, so less of it is left than this bucket has counted.
         """
         self._refill(now)
         self._level = min(self._level, 0.0)
--- a/micadeal/state/errors.py
+++ b/micadeal/state/errors.py
@@ -19,8 +19,8 @@
 class UnavailableError(StateServiceError):
     """The request was certainly not executed.
 
-    The service answered 503 or 429, or our own rate limiter held the request back (``status`` is
-    None then).
+    The service answered 503 or 429, or this controller's rate limiter did not send the request
+    (``status`` is then None).
     """
 
 
@@ -35,7 +35,7 @@
 class ConflictError(Exception):
     """A transaction's conditions did not hold, so none of its changes was made.
 
-    ``failed_keys`` are the keys that have another version, empty if the service did not say which.
+    ``failed_keys`` are the keys whose version differs; empty if the service did not name them.
     """
 
     def __init__(self, failed_keys: Sequence[str] = ()) -> None:
--- a/micadeal/state/limits.py
+++ b/micadeal/state/limits.py
@@ -7,10 +7,10 @@
 
 from micadeal.wire.codec import json_size
 
-#: However often the service rejects something as too large, ``Limits.shrunk`` stays above these.
+#: Lower bounds of the size limits that ``Limits.shrunk`` returns after repeated rejections.
 MIN_VALUE_BYTES = 768
 MIN_OPERATIONS = 2
-#: The service allows this many conditions per put or delete of a transaction's limit.
+#: The service allows this many conditions for each put or delete that it allows.
 CONDITIONS_PER_OPERATION = 4
 
 
@@ -46,10 +46,10 @@
         )
 
     def shrunk(self) -> Limits:
-        """Return smaller size limits, after the service rejected what was within these.
+        """Return smaller size limits, after the service rejected a write within these.
 
-        Guards against a write that is rejected for ever, should the service count sizes otherwise
-        than we do.
+        Guards against a write that is rejected permanently because the service counts sizes
+        differently.
         """
         return Limits(
             self.requests_per_s,
--- a/micadeal/state/rate_limiter.py
+++ b/micadeal/state/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Keeps one controller's requests to the state service below the rate limits all share."""
+"""Keeps one controller's requests to the state service below the shared rate limits."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from micadeal.state.limits import Limits
 from micadeal.timeouts import sleep
 
-#: One controller's share of the limits.  The shares of all controllers add up to more than the
-#: whole: mostly the leader alone needs much, and a 429 corrects the rest.
+#: Fractions of the limits that one controller may use.  Those of all controllers add up to more
+#: than 1, since usually only the leader needs much; a 429 corrects the other cases.
 REQUESTS_SHARE = 0.6
 CHANGES_SHARE = 0.8
-#: Part of a bucket that a request leaves for more urgent ones, for each step down in urgency.
+#: Fraction of a bucket reserved for more urgent requests, per step down in urgency.
 RESERVE_PER_STEP = 0.08
 
 
 class Urgency(IntEnum):
-    """Order in which requests are served when the rate limits are scarce, most urgent first.
+    """Urgency of a request when the rate limits are scarce, most urgent first.
 
-    What is less urgent leaves a larger reserve in the bucket.  ``LEASE`` is never delayed.
+    A less urgent request leaves a larger reserve in the bucket.  ``LEASE`` is never delayed.
     """
 
     LEASE = 0
@@ -36,9 +36,9 @@
 class RateLimiter:
     """One controller's share of the request and change limits of the state service.
 
-    The controllers can't see each other's use of the common limits.  Each takes what it needs up
-    to a large part of them, leaves a reserve for what is more urgent, and starts from an empty
-    bucket after a 429.
+    A controller can't see how much of the shared limits the others use.  Each uses up to a large
+    fraction of them, leaves a reserve for more urgent requests, and empties its buckets after a
+    429.
     """
 
     def __init__(self, limits: Limits, now: timedelta) -> None:
@@ -48,9 +48,10 @@
         self._changes = TokenBucket(changes, changes, now)
 
     async def acquire(self, changes: int, urgency: Urgency, deadline: timedelta) -> None:
-        """Wait until one request with so many changes may be sent.
+        """Wait until one request with ``changes`` puts and deletes may be sent.
 
-        Raises ``UnavailableError`` at once if that would be after ``deadline`` (``monotonic()``).
+        Raises ``UnavailableError`` as soon as it is clear that this would be after ``deadline``
+        (``monotonic()``).
         """
         if urgency is Urgency.LEASE:
             return
@@ -67,7 +68,7 @@
             await sleep(wait)
 
     def drain(self) -> None:
-        """Start again from empty buckets after the service answered 429."""
+        """Empty the buckets after the service answered 429."""
         now = monotonic()
         self._requests.drain(now)
         self._changes.drain(now)
--- a/micadeal/state/read_coalescing.py
+++ b/micadeal/state/read_coalescing.py
@@ -1,10 +1,10 @@
-"""Coalesces checks whether keys still have the version last read into few requests.
+"""Combines checks of whether keys still have the version last read into few requests.
 
-Users poll each job every few seconds.  With a read for each poll, some hundreds of jobs use up all
-requests that the state service takes, and the leader's own writes wait behind them: placements and
-ends of jobs are delayed by minutes, while those who poll are refused as well.  A transaction
-without changes compares many keys in one request, and its result rests on a read that began after
-each of the checks was asked for.
+Users poll each job every few seconds.  With one read per poll, a few hundred jobs would use up the
+request limit of the state service.  The leader's writes would wait behind these reads: placements
+and ends of jobs would be delayed by minutes, and polls would be refused as well.  A transaction
+without changes compares many keys in one request.  Its result rests on a read that began after
+each of the checks was requested.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from micadeal.timeouts import sleep
 from micadeal.wire.state import Condition
 
-#: Checks that are asked for within this time share a request.
+#: Checks that are requested within this time share a request.
 BATCH_INTERVAL = timedelta(milliseconds=60)
 
 
@@ -41,21 +41,21 @@
 
     def __init__(self, state: StateService) -> None:
         self._state = state
-        self._waiting: list[_VersionCheck] = []
+        self._pending: list[_VersionCheck] = []
         self._batch_scheduled = False
 
     async def is_unchanged(self, key: str, version: int) -> bool:
         """Return whether ``key`` still has ``version``; the read begins after this call.
 
-        False may also mean that the service did not compare it: read the key then.  Raises
-        ``StateServiceError`` if the service gave no usable answer.
+        False may also mean that the version was not compared; the caller then has to read the key.
+        Raises ``StateServiceError`` if the service gave no usable answer.
         """
         return key in await self.unchanged_keys({key: version})
 
     async def unchanged_keys(self, versions: Mapping[str, int]) -> set[str]:
         """Return the keys that still have the given version; see ``is_unchanged``."""
         checks = [_VersionCheck(key, version) for key, version in versions.items()]
-        self._waiting += checks
+        self._pending += checks
         if checks and not self._batch_scheduled:
             self._batch_scheduled = True
             await curio.spawn(self._send_batches, daemon=True)
@@ -68,21 +68,21 @@
     async def _send_batches(self) -> None:
         await sleep(BATCH_INTERVAL)
         self._batch_scheduled = False
-        waiting, self._waiting = self._waiting, []
+        pending, self._pending = self._pending, []
         batch_size = self._state.limits.conditions
-        for start in range(0, len(waiting), batch_size):
-            await curio.spawn(self._compare, waiting[start : start + batch_size], daemon=True)
+        for start in range(0, len(pending), batch_size):
+            await curio.spawn(self._compare, pending[start : start + batch_size], daemon=True)
 
     async def _compare(self, checks: list[_VersionCheck]) -> None:
-        # Callers that know different versions of one key: the last is compared, the others get
-        # False and read the key by themselves.
+        # If callers know different versions of one key, the last one is compared.  The other
+        # callers get False and read the key themselves.
         versions = {check.key: check.version for check in checks}
         conditions = [Condition(key, version) for key, version in versions.items()]
         try:
             changed = await self._state.changed_keys(conditions, Urgency.USER)
         except RequestRejectedError:
-            # Guards ``forgotten``: should the service take fewer conditions than it says, each key
-            # is read by itself.
+            # Guards ``forgotten``: if the service accepts fewer conditions than announced, every
+            # check stays False, so that each caller reads its key.
             pass
         except StateServiceError as error:
             for check in checks:
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -51,21 +51,21 @@
 T = TypeVar("T")
 
 REQUEST_TIMEOUT = timedelta(seconds=2)
-#: How long a user's request may wait for our share of the rate limits.
+#: How long a user's request may wait for this controller's share of the rate limits.
 USER_TIMEOUT = timedelta(milliseconds=300)
-#: Without an answer for this long the service is taken to be unreachable from here.  It is longer
-#: than the watches wait, so that an idle but reachable service always answers within it.
+#: The service counts as unreachable after this time without an answer.  It is longer than a watch
+#: waits, so that a reachable service answers within it even if there are no other requests.
 UNREACHABLE_AFTER = timedelta(seconds=2.5)
 #: Items per page of a range read.
 PAGE_SIZE = 500
 #: Idle connections kept open for ordinary requests.
 MAX_IDLE_CONNECTIONS = 6
-#: How much of a rejection's text goes into the error.
+#: Length to which a rejection's text is cut in the error.
 MAX_REASON_CHARACTERS = 200
-#: Of a lease's time, the part that has not passed by our clock when it has by the service's: twice
-#: the drift of one clock, rounded up.
+#: Fraction of a lease's time that its holder may rely on by its own clock.  The rest allows for
+#: drift against the service's clock: twice the drift of one clock, rounded up.
 LEASE_DRIFT_FACTOR = 0.999
-#: Subtracted from the end of a lease, for delays in our own process.
+#: Subtracted from the end of a lease, for delays in this process.
 LEASE_MARGIN = seconds(0.3)
 
 
@@ -99,7 +99,7 @@
 
     @property
     def last_response_at(self) -> timedelta | None:
-        """When the service last answered anything, on the monotonic clock; None: never."""
+        """Time of the last response except 429 and 5xx (``monotonic()``); None: none yet."""
         return self._last_response_at
 
     async def get(self, key: str, urgency: Urgency = Urgency.USER) -> Item | None:
@@ -113,7 +113,7 @@
         """Read all keys under ``prefix``, in order of keys, and a revision to watch from.
 
         A watch that begins after the returned revision misses no change.  It may repeat changes
-        that the returned items contain already.
+        that the returned items already reflect.
         """
         items: list[Item] = []
         revision: int | None = None
@@ -123,7 +123,7 @@
             if after:
                 target += f"&after={quote(after)}"
             page = _decode_ok(Page, await self._request("GET", target, urgency=urgency))
-            # The first page's revision: what changes while later pages are read is seen again.
+            # The first page's revision: a watch repeats changes made while later pages are read.
             revision = page.revision if revision is None else revision
             items += page.items
             if not page.more or not page.items:
@@ -140,8 +140,8 @@
         """Make all changes if all conditions hold, atomically, and return their revision.
 
         Raises ``ConflictError`` if a condition did not hold, ``LeaseExpiredError`` if a put names a
-        lease that is gone, ``RequestRejectedError`` if the transaction is too large; nothing was
-        changed in these cases.
+        lease that no longer exists, ``RequestRejectedError`` if the transaction is too large.
+        Nothing was changed in these cases.
         """
         body = encode(Transaction(list(conditions), list(changes)))
         response = await self._request(
@@ -149,14 +149,14 @@
         )
         if response.status == HTTPStatus.CONFLICT:
             raise ConflictError(_failed_keys(response.body))
-        # The same status for a lease that is gone and for what is too large.
+        # The service also answers 400 to a transaction that is too large.
         if response.status == HTTPStatus.BAD_REQUEST and b"no such lease" in response.body:
-            raise LeaseExpiredError(_only_lease(changes))
+            raise LeaseExpiredError(_common_lease(changes))
         _raise_if_rejected(response)
         return _decode_ok(Revision, response).revision
 
     async def changed_keys(self, conditions: Sequence[Condition], urgency: Urgency) -> set[str]:
-        """Return the keys that do not have the version given, by one read of all of them."""
+        """Return the keys whose version differs from their condition's, by one read of all keys."""
         body = encode(Transaction(list(conditions), []))
         response = await self._request("POST", "/txn", body, urgency=urgency)
         if response.status == HTTPStatus.CONFLICT:
@@ -172,10 +172,10 @@
         return _decode_ok(LeaseGrant, response).lease
 
     async def renew_lease(self, lease: int, timeout: timedelta) -> None:
-        """Give a lease its full time again; ``LeaseExpiredError`` if it is gone.
+        """Renew a lease for its full time; ``LeaseExpiredError`` if it no longer exists.
 
-        The time counts from when the service executes the request: count it from before this call
-        (``lease_valid_until``).
+        The service counts the time from when it executes the request.  The caller must count it
+        from before this call (``lease_valid_until``).
         """
         response = await self._request(
             "POST", f"/leases/{lease}/renew", urgency=Urgency.LEASE, timeout=timeout
@@ -186,22 +186,22 @@
             raise _unexpected(response.status)
 
     async def revoke_lease(self, lease: int) -> None:
-        """Revoke a lease, which removes the keys attached to it; a lease that is gone is fine."""
+        """Revoke a lease, which removes the keys attached to it; no error if it is gone."""
         await self._request("DELETE", f"/leases/{lease}", urgency=Urgency.LEASE)
 
     async def wait_for_changes(
-        self, prefix: str, after: int, hold: timedelta, client: HttpClient
+        self, prefix: str, after: int, max_wait: timedelta, client: HttpClient
     ) -> WatchResponse:
-        """Wait up to ``hold`` for changes under ``prefix`` after a revision, and return them.
+        """Wait up to ``max_wait`` for changes under ``prefix`` after a revision, and return them.
 
-        ``client`` is the watch's own (``watch_client``), since the request occupies a connection
-        for that long.  Raises ``RevisionCompactedError`` if the service no longer keeps the changes
-        after that revision.
+        ``client`` is used by this watch only (``watch_client``), since the request occupies a
+        connection for that long.  Raises ``RevisionCompactedError`` if the service no longer keeps
+        the changes after that revision.
         """
-        hold_ms = round(hold.total_seconds() * 1000)
+        hold_ms = round(max_wait.total_seconds() * 1000)
         target = f"/changes?starts={quote(prefix)}&after={after}&hold_ms={hold_ms}"
         response = await self._request(
-            "GET", target, urgency=Urgency.LEASE, timeout=REQUEST_TIMEOUT + hold, client=client
+            "GET", target, urgency=Urgency.LEASE, timeout=REQUEST_TIMEOUT + max_wait, client=client
         )
         if response.status == HTTPStatus.GONE:
             raise RevisionCompactedError(prefix, after)
@@ -229,7 +229,7 @@
         """
         rate_limit_timeout = timeout
         if urgency is Urgency.USER:
-            # A user gets an answer at once, with the time to ask again, instead of waiting.
+            # A user's request is refused soon, with a time to retry after, instead of waiting.
             rate_limit_timeout = USER_TIMEOUT
             if self._unreachable():
                 timeout = min(timeout, USER_TIMEOUT)
@@ -251,9 +251,9 @@
         return ClientResponse(status, answer)
 
     def _unreachable(self) -> bool:
-        """Return whether users had better ask another controller.
+        """Return whether the service is unreachable, so that users should ask another controller.
 
-        Not before the service has answered once: the first requests have to find out.
+        False until the service has answered once: only the first requests can tell.
         """
         return (
             self._last_response_at is not None
@@ -264,9 +264,9 @@
 def lease_valid_until(
     sent: timedelta, ttl: timedelta, margin: timedelta = LEASE_MARGIN
 ) -> timedelta:
-    """Return until when a lease certainly holds, by our own clock.
+    """Return the monotonic time until which a lease certainly holds.
 
-    ``sent`` is when the request that created or renewed it was sent.
+    ``sent`` is the time at which the request that created or renewed it was sent.
     """
     return sent + ttl * LEASE_DRIFT_FACTOR - margin
 
@@ -296,14 +296,14 @@
 
 
 def _failed_keys(body: bytes) -> Sequence[str]:
-    """Return the keys that a 409 names; none if it can't be read, since the conflict is certain."""
+    """Return the keys that a 409 names; empty if it can't be read, as a conflict is certain."""
     try:
         return decode(FailedConditions, body).failed
     except MessageFormatError:
         return ()
 
 
-def _only_lease(changes: Sequence[Put | Delete]) -> int | None:
-    """Return the lease that the puts are attached to, None if there are several."""
+def _common_lease(changes: Sequence[Put | Delete]) -> int | None:
+    """Return the lease to which the puts are attached; None if there are several."""
     leases = {change.lease for change in changes if isinstance(change, Put)} - {None}
     return leases.pop() if len(leases) == 1 else None
--- a/micadeal/timeouts.py
+++ b/micadeal/timeouts.py
@@ -10,7 +10,7 @@
 
 T = TypeVar("T")
 
-#: Shortest time limit, in seconds, in place of one that is zero or negative.
+#: Shortest time limit in seconds; replaces one that is zero or negative.
 MIN_TIMEOUT_S = 0.001
 
 
@@ -20,7 +20,7 @@
 
 
 async def with_timeout(limit: timedelta, work: Awaitable[T]) -> T:
-    """Await ``work``; raises ``TimeoutError`` past the limit."""
+    """Await ``work``; raises ``TimeoutError`` after ``limit``."""
     try:
         result: T = await curio.timeout_after(max(limit.total_seconds(), MIN_TIMEOUT_S), work)
     except curio.TaskTimeout:
--- a/micadeal/wire/state.py
+++ b/micadeal/wire/state.py
@@ -295,7 +295,7 @@
     incarnation: int
     tasks: list[PlacedTask]
 
-    def placed(self, name: str) -> PlacedRecord:
+    def as_placed(self, name: str) -> PlacedRecord:
         """Return the same in the present layout; ``name`` is the machine's, from the key."""
         machine = PlacedMachine(
             name,
