--- a/micadeal/wire/__init__.py
+++ b/micadeal/wire/__init__.py
@@ -1,9 +1,8 @@
-"""Every message that crosses a process boundary and every stored record, and nothing else.
+"""All messages between processes and all stored records.
 
-The platform's own words (``legs``, ``crew``, ``baton`` ...) appear in this package only, as
-``rename`` tables (field name: name on the wire); the rest of the program, and any client that
-imports this package, uses the field's ordinary terms.  Nothing here imports another package of the
-project.
+The platform's names on the wire (``legs``, ``crew``, ``baton`` ...) appear only in this package, in
+``rename`` tables (field name: name on the wire).  The rest of the program, and any client that
+imports this package, uses the usual terms.  This package imports no other package of the project.
 
 Messages are MessagePack maps unless a module says otherwise.  Unknown fields are ignored, and a
 field with a default may be missing.  Names that end in ``_s`` and ``_ms`` are durations in seconds
--- a/micadeal/wire/cloud.py
+++ b/micadeal/wire/cloud.py
@@ -19,9 +19,9 @@
         "zones": "depots",
     },
 ):
-    """A type of machine in the cloud's ``Catalog``, with its present prices.
+    """A type of machine in the cloud's ``Catalog``, with its current prices.
 
-    ``cpus``, ``gpus`` and ``memory_gb`` are what tasks can take of such a machine.
+    ``cpus``, ``gpus`` and ``memory_gb`` are the amounts that tasks can use on such a machine.
     """
 
     name: str
@@ -31,13 +31,13 @@
     #: Space for images.
     cache_gb: float
     fetch_gb_per_s: float
-    #: Per hour, as an ordinary machine.
+    #: Price per hour as an ordinary machine.
     price: float
-    #: Usual time from the rental request until the machine is up.
+    #: Usual time from the rental request until the machine has booted.
     boot_s: float
-    #: Where it is offered.
+    #: Zones that offer it.
     zones: list[str]
-    #: Per hour, as a spot machine; None: not offered as one.
+    #: Price per hour as a spot machine; None: not offered as one.
     spot_price: float | None = None
 
 
@@ -58,9 +58,9 @@
         "count": "how_many",
     },
 ):
-    """What a controller sends to ``POST /rentals`` to rent machines."""
+    """A controller's request for machines, sent to ``POST /rentals``."""
 
-    #: The request's unique name: repeated with the same one, it rents nothing more.
+    #: Unique name of the request; repeating it under the same name rents no more machines.
     request: str
     machine_type: str
     zone: str
@@ -72,8 +72,8 @@
 class MachineNames(msgspec.Struct, rename={"machines": "hosts"}):
     """Names of machines.
 
-    The cloud's answer to a ``RentalRequest`` (those rented), and what a controller sends to
-    ``POST /rentals/release`` (those to delete, at most 100).
+    The cloud's answer to a ``RentalRequest`` (the rented machines), and a controller's request to
+    ``POST /rentals/release`` (the machines to return, at most 100).
     """
 
     machines: list[str]
@@ -101,12 +101,12 @@
     spot: bool
     #: ``booting``, ``running`` or ``failed``.
     status: str
-    #: Since the rental request, at the time that the list describes.
+    #: Time from the rental request to the time that the list describes.
     age_s: float
 
 
 class MachineList(msgspec.Struct, rename={"machines": "hosts", "more": "has_next"}):
-    """One page of the cloud's answer to ``GET /rentals``, in order of names; it lags."""
+    """One page of the cloud's answer to ``GET /rentals``, sorted by name; it may be out of date."""
 
     machines: list[ListedMachine]
     #: Whether another page follows.
--- a/micadeal/wire/codec.py
+++ b/micadeal/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes MessagePack, with one error type for everything that does not decode."""
+"""Encodes and decodes MessagePack, with one error type for all decoding failures."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
 
 
 def json_size(value: Any) -> int:
-    """Return the bytes of a value as JSON, in which the platform counts its size limits.
+    """Return the size in bytes of a value as JSON, the unit of the platform's size limits.
 
-    It is an upper bound: with spaces between fields and escapes for all that is not ASCII.
+    This is an upper bound: it includes spaces between fields and escapes all non-ASCII characters.
     """
     return len(json.dumps(msgspec.to_builtins(value)))
--- a/micadeal/wire/peers.py
+++ b/micadeal/wire/peers.py
@@ -1,8 +1,8 @@
-"""Messages between controllers, and what the leader answers to operators.
+"""Messages between controllers, and the leader's answers to operators.
 
 Controllers send them to one another with ``POST`` to ``/ping``, ``/relay``, ``/notice``, ``/why``
-and ``/overview``.  Ages are durations before the answer was given, so that no clocks need to agree.
-A default stands for a sender of a version that does not know the field.
+and ``/overview``.  Ages are durations before the answer was sent, so that clocks need not agree.
+A default applies if the sender's version does not know the field.
 """
 
 from __future__ import annotations
@@ -17,58 +17,58 @@
 
 
 class Process(msgspec.Struct):
-    """The present process of the sender of a ``Ping`` or ``Pong``, and the levels it knows."""
+    """The current process of the sender of a ``Ping`` or ``Pong``, and its feature levels."""
 
-    #: Random: it tells one run of a controller from the next.
+    #: Random; distinguishes successive processes of a controller.
     id: str
     build: str
-    #: The feature levels that it can read and serve, from and to.
+    #: Lowest and highest feature level that it can read and serve.
     lowest: int
     highest: int
     age_ms: float
-    #: The feature level that it writes and acts by.
+    #: The feature level at which it writes and acts.
     level: int
 
 
 class Ping(msgspec.Struct, rename={"wants_cancellations": "wants_told"}):
-    """What every controller asks every other about once a second (``/ping``)."""
+    """Sent by every controller to every other about once a second (``/ping``)."""
 
     #: Name of the sender.
     controller: str
     #: Asks a leader for ``Pong.counts`` and ``Pong.all_started``.
     wants_counts: bool = False
-    #: Fencing token of the term that the sender leads; 0: it does not lead, or is of a version in
-    #: which no follower renews leases for a leader.
+    #: Fencing token of the term that the sender leads; 0: it does not lead, or its version has no
+    #: follower leases.
     leading_token: int = 0
-    #: Asks for consent to renew leases in place of the leader of this term; 0: no.
+    #: Asks for consent to renew leases in place of the leader of the term with this token; 0: no.
     wants_consent: int = 0
     #: Asks for the list of cancellations (``RenewalPromise.cancellations``).
     wants_cancellations: bool = False
-    #: None: the sender is of a version that knows of no feature levels.
+    #: None: the sender's version has no feature levels.
     process: Process | None = None
-    #: The sender leads, has not read its records yet, and answers few workers until then.
+    #: The sender leads but has not read the records yet; until then it answers few workers.
     reading: bool = False
 
 
 class RenewalPromise(msgspec.Struct, rename={"cancellations": "told"}):
-    """What a controller promises in a ``Pong`` on renewing leases (leadership/follower_leases.py).
+    """A controller's promise about renewing leases, in a ``Pong`` (leadership/follower_leases.py).
 
-    With it the receiver may count on a majority: to renew workers' leases in place of the leader,
-    or, as leader, to take a lease for expired.
+    With the promises of a majority, a follower may renew workers' leases in place of the leader,
+    and a leader may treat a lease as expired.
     """
 
-    #: Age of its process, which has forgotten everything before.
+    #: Age of its process, which remembers nothing from before its start.
     age_ms: float
     #: Whether its list of cancellations is known to be complete.
     synced: bool
     #: The token that it consents to with this answer; 0: none.
     consent: int = 0
-    #: The last token that it renewed leases under or consented to, and how long that still binds
-    #: it; negative: how long ago it ended.
+    #: The last token under which it renewed leases or to which it consented, and the remaining time
+    #: for which this binds it; negative: the time since this ended.
     bound_token: int = 0
     bound_ms: float = 0.0
-    #: Jobs of which users were told, or are about to be told, that they are cancelled, and how many
-    #: milliseconds ago it learned of that; None: not asked.
+    #: Jobs whose cancellation was confirmed to users, or is about to be, and how many milliseconds
+    #: ago it learned of each; None: not requested.
     cancellations: dict[str, float] | None = None
 
 
@@ -85,55 +85,55 @@
 
     #: Name of the answering controller.
     controller: str
-    #: How long ago it last had an answer of the state service; None: never.
+    #: Time since its last answer from the state service; None: never.
     state_age_ms: float | None
     leading: bool
-    #: How long ago it last told, or may have told, a user that a job is cancelled; counted from
-    #: its start, since it can't know what its earlier process told.
+    #: Time since it last confirmed, or may have confirmed, a cancellation to a user.  At most the
+    #: age of its process, since it can't know what its earlier process confirmed.
     cancel_age_ms: float = 0.0
-    #: The controller that it takes for the leader.
+    #: The controller that it believes to be the leader.
     leader: str | None = None
     #: From a leader: progress of its jobs.
     counts: list[Counts] = []
-    #: The controllers that it has heard lately (for relaying).
+    #: Controllers that answered it recently, to which it can relay heartbeats.
     reaches: list[str] = []
-    #: From a leader: all jobs that depend on one that was cancelled longer ago than this are
-    #: recorded cancelled.  None: it can't tell, or is of a version without dependencies.
+    #: From a leader: all jobs that depend on a job cancelled longer ago than this are recorded as
+    #: cancelled.  None: it does not know, or its version has no dependencies.
     cascade_age_ms: float | None = None
-    #: None: it is of a version in which no follower renews leases, or that is switched off.
+    #: None: its version has no follower leases, or they are switched off.
     renewal_promise: RenewalPromise | None = None
-    #: None: it is of a version that knows of no feature levels.
+    #: None: its version has no feature levels.
     process: Process | None = None
-    #: From a leader: jobs of which each task that is not done runs.
+    #: From a leader: jobs whose unfinished tasks are all running.
     all_started: list[str] = []
-    #: Cancelled jobs that could not be confirmed at once, and for how many milliseconds enough
-    #: controllers have certainly known of each.  Unset: there are none, or the sender is of a
-    #: version that does not say.
+    #: Cancelled jobs that could not be confirmed immediately, and for how many milliseconds enough
+    #: controllers have certainly known of each.  Unset: there are none, or the sender's version
+    #: does not report them.
     cancellation_ages: dict[str, float] | msgspec.UnsetType = msgspec.UNSET
 
 
-# -- cancellations, and heartbeats passed on ---------------------------------------------------
+# -- cancellations, and relayed heartbeats -----------------------------------------------------
 
 
 class CancellationNotice(msgspec.Struct):
-    """Tells another controller that a job is cancelled (``/notice``).
+    """Informs another controller that a job is cancelled (``/notice``).
 
-    The answer is a boolean, and promises that the receiver has put the job on its list of
-    cancellations.  False: it leads, and a task of the job may still start.
+    The answer is a boolean, and promises that the receiver has added the job to its list of
+    cancellations.  False: the receiver leads, and a task of the job may still start.
 
     Sent to the leader's ``/why``, the same message asks why the job waits.  The answer is a
-    ``WhyAnswer``, or nil if the leader knows of no such job that waits or runs.  Versions before
-    answer an empty body instead, which tells nothing.
+    ``WhyAnswer``, or nil if the leader knows no such job that waits or runs.  Earlier versions send
+    an empty body instead of nil, which says nothing about the job.
     """
 
     job_id: str
 
 
 class Relay(msgspec.Struct, rename={"heartbeat": "report"}):
-    """A worker's heartbeat on its way to the leader, over a third controller if need be."""
+    """A worker's heartbeat that is relayed to the leader, through a third controller if needed."""
 
     heartbeat: Heartbeat
-    #: How often it may still be passed on.
+    #: How many more times it may be relayed.
     hops: int
 
 
@@ -144,7 +144,7 @@
     body: Any = None
 
 
-# -- what operators ask of the leader ----------------------------------------------------------
+# -- the leader's answers to operators ---------------------------------------------------------
 
 
 class WhyLine(msgspec.Struct):
@@ -152,12 +152,15 @@
 
     #: Plain text.
     reason: str
-    #: Number of tasks that it holds for; 0: for the job.
+    #: Number of tasks to which it applies; 0: it applies to the job.
     tasks: int
 
 
 class WhyAnswer(msgspec.Struct, omit_defaults=True):
-    """The leader's answer to ``/why``: why a job waits.  Numbers are of its tasks."""
+    """The leader's answer to ``/why``: why a job waits.
+
+    ``done``, ``running``, ``starting`` and ``waiting`` are numbers of its tasks.
+    """
 
     job_id: str
     #: ``running`` or ``pending``.
@@ -167,7 +170,7 @@
     running: int = 0
     starting: int = 0
     waiting: int = 0
-    #: Since the job's submission.
+    #: Time since the job's submission.
     waiting_s: float = 0.0
     reasons: list[WhyLine] = []
 
@@ -190,7 +193,7 @@
 
 
 class StuckJob(msgspec.Struct):
-    """A job in an ``Overview`` that starts nothing or fails again and again."""
+    """A job in an ``Overview`` that starts no task or fails repeatedly."""
 
     job_id: str
     team: str
@@ -206,13 +209,13 @@
     machine_type: str
     zone: str
     spot: bool
-    #: Numbers of machines: in use or ready, not booted yet, up without a heartbeat lately, about
-    #: to be returned or taken.
+    #: Numbers of machines: in use or ready, not booted yet, up without a recent heartbeat, about
+    #: to be returned or reclaimed.
     up: int
     booting: int
     unresponsive: int
     draining: int
-    #: Accelerators that tasks take, and that there are, on all that have booted.
+    #: Accelerators in use by tasks, and in total, on all machines that have booted.
     gpus_used: float
     gpus: float
 
@@ -221,10 +224,10 @@
     """One controller as the leader sees it, in a ``LevelLine``."""
 
     name: str
-    #: Plain text: whether it is there, and why it serves nobody.
+    #: Plain text: whether it responds, and why it serves no requests if it does not.
     presence: str
     build: str
-    #: The feature levels that it knows, from and to.
+    #: Lowest and highest feature level that it knows.
     lowest: int
     highest: int
 
@@ -235,32 +238,32 @@
     level: int
     writes: int
     oldest: int
-    #: How long it has been in force, and who set it.
+    #: Time that the level has been in force, and the controller that set it.
     since_s: float
     by: str
     members: list[MemberLine]
-    #: What the next step waits for, in plain text.
+    #: Conditions for which the next level change waits, in plain text.
     waits: list[str]
 
 
 class Overview(msgspec.Struct):
     """The leader's answer to ``/overview``: the state of the cluster at a glance."""
 
-    #: Name of the leader, its fencing token, and for how long it has led.
+    #: Name of the leader, its fencing token, and the time that it has led.
     leader: str
     token: int
     leading_s: float
-    #: Whether the state service has answered it lately.
+    #: Whether the state service has answered it recently.
     state_contact: bool
     teams: list[TeamLine]
     #: Numbers of jobs by state.
     jobs: dict[str, int]
-    #: The longest stuck jobs.
+    #: The jobs that have been stuck for the longest time.
     stuck: list[StuckJob]
     machines: list[MachineLine]
-    #: What operators should know, in plain text.
+    #: Notes for operators, in plain text.
     notes: list[str]
     #: Number of all stuck jobs.
     stuck_in_all: int = 0
-    #: None: the leader is of a version that knows of no feature levels.
+    #: None: the leader's version has no feature levels.
     level: LevelLine | None = None
--- a/micadeal/wire/signals.py
+++ b/micadeal/wire/signals.py
@@ -1,8 +1,7 @@
 """Price and carbon series that a controller reads from a feed (JSON over HTTP; docs/timing.md).
 
-The format is this project's own, so that whoever has a tariff or a grid's forecast can write it
-out with a few lines: one document for a zone and a quantity, with points at equal intervals.
-Instants are ISO 8601 with an offset.
+The format is specific to this project and easy to generate from a tariff or a grid forecast: one
+document per zone and quantity, with points at equal intervals.  Times are ISO 8601 with an offset.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 
 
 class Point(msgspec.Struct):
-    """One value of a ``SeriesDocument``: it holds from ``start`` on, for ``interval_s``."""
+    """One value of a ``SeriesDocument``, valid from ``start`` for ``interval_s``."""
 
     start: datetime
     value: float
@@ -30,9 +29,9 @@
     #: Where the values come from, shown to operators.
     source: str
     issued: datetime
-    #: After this instant nothing in the series may be used.
+    #: No value of the series may be used after this time.
     valid_until: datetime
-    #: Points that begin before this instant were measured, the others are a forecast.
+    #: Points that start before this time were measured; the others are a forecast.
     measured_until: datetime
     interval_s: float
     points: list[Point]
--- a/micadeal/wire/state.py
+++ b/micadeal/wire/state.py
@@ -1,4 +1,4 @@
-"""Messages between a controller and the state service, and the records that we keep in it.
+"""Messages between a controller and the state service, and the records stored in it.
 
 The state service is a strongly consistent key-value store.  Its revision counts every change, and
 the version of a key is the revision of its last change.
@@ -86,9 +86,9 @@
 
 
 class LeaseRequest(msgspec.Struct):
-    """What is sent to ``POST /leases`` for a new lease."""
+    """A request for a new lease, sent to ``POST /leases``."""
 
-    #: It expires so long after its last renewal.
+    #: Time from the last renewal to the expiry.
     ttl_ms: int
 
 
@@ -116,41 +116,42 @@
 class WatchResponse(msgspec.Struct, rename={"revision": "ledger", "events": "news"}):
     """The answer to ``GET /changes``: all changes under a prefix after a revision."""
 
-    #: Watch from here next.
+    #: Revision from which to watch next.
     revision: int
     events: list[Event]
 
 
-# -- records of ours ---------------------------------------------------------------------------
+# -- stored records ----------------------------------------------------------------------------
 
 
 class LeaderRecord(msgspec.Struct, omit_defaults=True):
-    """Under ``leader``: who leads, or from level 1 on did so last (rollout/leader_lock.py)."""
+    """Under ``leader``: the leader, from level 1 on also the last one (rollout/leader_lock.py)."""
 
     controller: str
     lease: int
-    #: The term's fencing token where it is not the record's version: the level has changed since.
+    #: The term's fencing token if the record was rewritten for a new level during the term, so that
+    #: its version is no longer the token; else 0.
     term: int = 0
 
 
 class LockHolderRecord(msgspec.Struct):
-    """Under ``seat/held``, attached to the lease it names: the leader lock is taken."""
+    """Under ``seat/held``, attached to ``lease``: the holder of the leader lock."""
 
     controller: str
     lease: int
 
 
 class LevelRecord(msgspec.Struct, frozen=True):
-    """Under ``seat/level``: what the controllers write and do (rollout/feature_level.py)."""
+    """Under ``seat/level``: the feature level in force (rollout/feature_level.py)."""
 
-    #: Whoever leads or serves users must know this level.
+    #: A controller must know this level to lead or to serve users.
     level: int = 0
-    #: What is written and done; below ``level`` while the level is lowered.
+    #: The level at which controllers write and act; below ``level`` while the level is lowered.
     writes: int = 0
-    #: The oldest layout of which records may still be stored.
+    #: The oldest level whose record layouts may still be stored.
     oldest: int = 0
-    #: When (Unix time) and by which controller the level was set, in which term, and the process
-    #: of every other controller that had shown by then that it knows the level.
+    #: When (Unix time), by which controller and in which term the level was set, and the process of
+    #: every other controller that had shown by then that it knows the level.
     since: float = 0.0
     by: str = ""
     term: int = 0
@@ -158,11 +159,11 @@
 
 
 class MemberRecord(msgspec.Struct):
-    """Under ``seat/member/<name>``: the controller's present process, written once by it."""
+    """Under ``seat/member/<name>``: the controller's current process, which writes it once."""
 
     process: str
     build: str
-    #: The levels that it knows, from and to.
+    #: Lowest and highest level that it knows.
     lowest: int
     highest: int
     #: Unix time.
@@ -170,7 +171,7 @@
 
 
 class JobRecord(msgspec.Struct):
-    """Under ``job/<id>`` as long as the job is neither done nor cancelled."""
+    """Under ``job/<id>`` until the job is done or cancelled."""
 
     submission: Submission
     #: Unix time.
@@ -178,13 +179,13 @@
 
 
 class _SubmissionPrerequisites(msgspec.Struct, rename={"prerequisites": "waits_on"}):
-    """Of a ``Submission`` only which jobs it depends on."""
+    """The prerequisites of a ``Submission``; its other fields are not decoded."""
 
     prerequisites: list[str] | None = None
 
 
 class JobPrerequisites(msgspec.Struct):
-    """Of a ``JobRecord`` only which jobs it depends on."""
+    """The prerequisites in a ``JobRecord``; its other fields are not decoded."""
 
     submission: _SubmissionPrerequisites
 
@@ -192,8 +193,8 @@
 class SplitRecord(msgspec.Struct):
     """Under ``job/<id>`` in the place of a ``JobRecord`` that is too large for one value.
 
-    The rest of the text is under ``part/<id>/<number>``, written in the same transaction.  The
-    versions before this layout can't read it and leave such a job alone.
+    The rest of the text is under ``part/<id>/<number>``, written in the same transaction.  Versions
+    before this layout can't read the record and ignore such a job.
     """
 
     #: Number of the other parts.
@@ -203,16 +204,16 @@
 
 
 class PartRecord(msgspec.Struct):
-    """Under ``part/<id>/<number>``, from 1: more text of a ``SplitRecord``."""
+    """Under ``part/<id>/<number>``, numbered from 1: further text of a ``SplitRecord``."""
 
     text: str
 
 
 class EndRecord(msgspec.Struct, omit_defaults=True):
-    """Under ``end/<id>`` for ever: how the job ended.
+    """Under ``end/<id>``, kept permanently: how the job ended.
 
-    It also holds what one task takes of its machine, since tasks of a cancelled job count for its
-    team until they are gone.
+    It also holds the resources of one task, since tasks of a cancelled job count toward its team's
+    usage until they are gone.
     """
 
     status: Status
@@ -223,13 +224,13 @@
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
-    #: A controller was entitled to tell a user that the job is cancelled; so is every other since.
-    #: Set only where one has asked for it (``UnconfirmedRecord``).
+    #: A controller was allowed to confirm the cancellation to a user; since then, every controller
+    #: is.  Set only if a controller has requested it (``UnconfirmedRecord``).
     confirmed: bool = False
 
     @classmethod
     def for_job(cls, status: Status, spec: Submission, ended_at: float) -> EndRecord:
-        """Return the record of a job that has ended at ``ended_at`` (Unix time)."""
+        """Return the record of a job that ended at ``ended_at`` (Unix time)."""
         return cls(status, spec.tasks, ended_at, spec.team, spec.cpus, spec.gpus, spec.memory_gb)
 
 
@@ -240,7 +241,7 @@
 
 
 class EndStatus(msgspec.Struct):
-    """Of an ``EndRecord`` only the status: users must be told it though the rest is damaged."""
+    """The status of an ``EndRecord``, which users must learn even if the rest is damaged."""
 
     status: Status
 
@@ -248,10 +249,10 @@
 class FinishedRecord(msgspec.Struct):
     """Under ``finished/<id>/<chunk>``, or ``done/<id>/<chunk>`` with larger chunks.
 
-    Tells which tasks of one chunk are finished.
+    Lists the finished tasks of one chunk.
     """
 
-    #: A bitmap as base64, the lowest task in the lowest bit of the first byte.
+    #: A bitmap as base64; the lowest bit of the first byte stands for the lowest task.
     bits: str
 
 
@@ -276,10 +277,10 @@
 
 
 class PlacedRecord(msgspec.Struct):
-    """Under ``placed/<token>/<number>``: tasks that may be on machines; written before any start.
+    """Under ``placed/<token>/<number>``: tasks that may be on machines.
 
-    One record holds all that a step placed, on however many machines: the state service counts
-    keys, not bytes.
+    Written before any of the tasks is started.  One record holds all placements of a step, on all
+    machines, because the state service limits the number of keys written, not their bytes.
     """
 
     machines: list[PlacedMachine]
@@ -296,7 +297,7 @@
     tasks: list[PlacedTask]
 
     def as_placed(self, name: str) -> PlacedRecord:
-        """Return the same in the present layout; ``name`` is the machine's, from the key."""
+        """Return it in the current layout; ``name`` is the name of the machine, from the key."""
         machine = PlacedMachine(
             name,
             self.address,
@@ -312,7 +313,7 @@
 class ImagesRecord(msgspec.Struct):
     """Under ``images/<page>``: images that machines are likely to hold.
 
-    Only a hint for placing; nothing depends on its being right.
+    A hint for placement only; correctness does not depend on it.
     """
 
     #: By machine, the image last used first.
@@ -320,10 +321,10 @@
 
 
 class ReturnedMachinesRecord(msgspec.Struct):
-    """Under ``leaving/<token>/<number>``: machines with tasks that the cloud is asked to end.
+    """Under ``leaving/<token>/<number>``: machines with tasks that are being returned to the cloud.
 
-    Only a hint for the next leader, which asks again at once instead of waiting until it hears of
-    them.
+    A hint for the next leader only, which repeats the request immediately instead of waiting for
+    news of these machines.
     """
 
     #: Unix time of the request.
@@ -338,6 +339,6 @@
     #: Unix time.
     applied_at: float = 0.0
     values: dict[str, Any] = {}
-    #: The highest level that the operators allow (docs/rollout.md); not among the values, of which
-    #: versions before levels refuse what they do not know.
+    #: The highest level that the operators allow (docs/rollout.md).  Not in ``values``, since
+    #: versions before feature levels reject unknown values.
     highest_level: int | None = None
--- a/micadeal/wire/users.py
+++ b/micadeal/wire/users.py
@@ -8,11 +8,11 @@
 
 
 class Shape(Enum):
-    """How the tasks of a job belong together."""
+    """How the tasks of a job run together."""
 
     #: Independent tasks; each runs to completion.
     ARRAY = "array"
-    #: All tasks run at the same time or none does.
+    #: All tasks run at the same time, or none of them.
     GANG = "gang"
     #: Replicas that run until the job is cancelled.
     SERVICE = "daemon"
@@ -28,7 +28,7 @@
 
 
 class Status(Enum):
-    """State of a job as its user is told; the last two are final."""
+    """State of a job as reported to its user; the last two are final."""
 
     #: No task runs.
     PENDING = "pending"
@@ -62,9 +62,9 @@
         "prerequisites": "waits_on",
     },
 ):
-    """A job's description: what a user sends to ``POST /work``, and part of a ``JobRecord``."""
+    """A job's description, sent by a user to ``POST /work``; also part of a ``JobRecord``."""
 
-    #: Chosen by the user; a retry uses the same.
+    #: Chosen by the user; a retry uses the same id.
     job_id: str
     #: Name of an objective in the platform's settings.
     job_class: str
@@ -73,7 +73,7 @@
     priority: Priority
     #: Number of tasks, numbered from 0.
     tasks: int
-    #: What each task takes of its machine.
+    #: Resources that each task uses on its machine.
     cpus: float
     gpus: float
     memory_gb: float
@@ -87,7 +87,7 @@
     spot_allowed: bool
     #: The owner's estimate of a task's run time without the image fetch; 0 for services.
     estimate_s: float
-    #: Interval of progress after which a running task saves a checkpoint; 0: it never saves.
+    #: Interval of progress after which a running task saves a checkpoint; 0: it saves none.
     checkpoint_s: float
     #: Time that a task needs to save when it is stopped.
     save_s: float
@@ -95,14 +95,14 @@
     machine_types: list[str] | None = None
     #: The only allowed zone; None: any.
     zone: str | None = None
-    #: When the job should be complete, from its submission; None: no deadline.
+    #: Time from the submission by which the job should be complete; None: no deadline.
     deadline_s: float | None = None
     #: Ids of jobs that must be done before any task of this one starts.
     prerequisites: list[str] | None = None
 
 
 class JobName(msgspec.Struct, rename={"job_id": "name_id"}):
-    """Only the id of a ``Submission``: read where the rest is malformed."""
+    """The id of a ``Submission``, read on its own if the rest is malformed."""
 
     job_id: str
 
@@ -112,6 +112,6 @@
 
     job_id: str
     status: Status
-    #: Tasks that are done and that run, for display; None: not known.
+    #: Numbers of finished and of running tasks, for display; None: not known.
     done: int | None = None
     running: int | None = None
--- a/micadeal/wire/workers.py
+++ b/micadeal/wire/workers.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-#: Incarnations, sequence numbers, tokens and attempts: integers from zero on.
+#: Incarnations, sequence numbers, tokens and attempts: non-negative integers.
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
@@ -17,10 +17,10 @@
 
     #: Waits for its image.
     FETCHING = "pulling"
-    #: A task of a gang that waits for the others of its attempt.
+    #: A task of a gang that waits for the other tasks of its attempt.
     WAITING = "waiting"
     RUNNING = "running"
-    #: Was told to stop and saves its progress.
+    #: Has received a stop command and saves its progress.
     SAVING = "flushing"
     EXITED = "exited"
 
@@ -34,8 +34,8 @@
     #: ``<job id>/<index>``.
     task: str
     attempt: Count
-    #: A ``TaskState``'s value, and why an exited task has ended.  Plain text, so that a state or
-    #: cause unknown to us does not make the whole heartbeat unreadable.
+    #: A ``TaskState``'s value, and why an exited task has ended.  Plain text, so that an unknown
+    #: state or cause does not make the whole heartbeat unreadable.
     state: str
     why: str | None = None
     #: Whether a task that was stopped has saved its progress.
@@ -80,10 +80,10 @@
     tasks: list[TaskStatus] = []
 
     def __post_init__(self) -> None:
-        """Check what the types do not, whichever way a heartbeat comes in.
+        """Check what the types can't express, however a heartbeat is received.
 
-        msgspec turns the error into its own, so that such a heartbeat is refused as a whole and
-        nothing follows from it.
+        msgspec converts the error into its own, so that such a heartbeat is refused as a whole and
+        has no effect.
         """
         if not self.machine:
             raise ValueError("a report of no machine")
@@ -92,11 +92,11 @@
 
 
 class CommandKind(Enum):
-    """What a worker is told to do with one attempt of a task; each may be repeated."""
+    """What a command asks a worker to do with one attempt of a task; it may be repeated."""
 
     START = "run"
     STOP = "halt"
-    #: Leave an exited task out of the heartbeats; a repeated start then starts it anew.
+    #: Leave an exited task out of the heartbeats; a repeated start then starts it again.
     FORGET = "reap"
 
 
@@ -111,14 +111,14 @@
     #: ``<job id>/<index>``.
     task: str
     attempt: int
-    #: With ``STOP``: time to save; with less than the job needs the task exits at once.
+    #: With ``STOP``: time to save; if the job needs more, the task exits immediately.
     grace_s: float | None = None
 
 
 class HeartbeatResponse(msgspec.Struct, rename={"token": "baton", "commands": "orders"}):
     """A controller's answer to a heartbeat, status 200; it renews the worker's lease.
 
-    A worker drops it, commands and all, if ``token`` is lower than the highest that it has seen.
+    A worker drops it with all its commands if ``token`` is below the highest that it has seen.
     """
 
     token: int
@@ -129,10 +129,10 @@
 class DirectCommands(
     msgspec.Struct, rename={"token": "baton", "incarnation": "shift", "commands": "orders"}
 ):
-    """What the leader sends to a worker's ``POST /commands``; it renews no lease.
+    """Commands that the leader sends to a worker's ``POST /commands``; they renew no lease.
 
     The worker answers with a ``Heartbeat``: 200 after the commands, or 409, with nothing executed,
-    if the token is lower than the highest that it has seen or the incarnation is another one.
+    if the token is below the highest that it has seen or the incarnation differs from its own.
     """
 
     token: int
