--- a/micadeal/cli/main.py
+++ b/micadeal/cli/main.py
@@ -32,7 +32,7 @@
 
 
 class _DefaultToServe(click.Group):
-    """Runs ``serve`` if the arguments begin with an option of it instead of a command.
+    """Runs ``serve`` if no command is named and its options come first.
 
     The platform starts a controller with ``--config FILE``, or with ``--options FILE --config
     FILE`` if a file under ``deploy/`` says so.
--- a/micadeal/state/budget.py
+++ b/micadeal/state/budget.py
@@ -11,7 +11,7 @@
 class TokenBucket:
     """A token bucket that refills at ``rate`` units per second and holds at most ``burst`` units.
 
-    It reads no clock and never sleeps: the caller passes the present time.
+    It reads no clock and never sleeps: the caller passes the current time.
     """
 
     def __init__(self, rate: float, burst: float, now: timedelta) -> None:
--- a/micadeal/state/errors.py
+++ b/micadeal/state/errors.py
@@ -27,7 +27,7 @@
 class RequestRejectedError(StateServiceError):
     """The service answered 400; the request was certainly not executed.
 
-    A value or the transaction is too large for the service's present limits, which may be lower
+    A value or the transaction is too large for the service's current limits, which may be lower
     than at the last write.
     """
 
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -224,8 +224,8 @@
     ) -> ClientResponse:
         """Send one request within the rate limits.
 
-        Raises ``UnavailableError`` or ``StateServiceError`` for every status that says nothing
-        about the keys; all others are returned.
+        Raises ``UnavailableError`` or ``StateServiceError`` for 429 and 5xx, which say nothing
+        about the keys; returns all other responses.
         """
         rate_limit_timeout = timeout
         if urgency is Urgency.USER:
--- a/micadeal/wire/peers.py
+++ b/micadeal/wire/peers.py
@@ -185,7 +185,7 @@
     guarantee: float
     #: 0: none.
     limit: float
-    #: The fair share at present.
+    #: The current fair share.
     share: float
     demand: float
     waiting_jobs: int
@@ -224,7 +224,7 @@
     """One controller as the leader sees it, in a ``LevelLine``."""
 
     name: str
-    #: Plain text: whether it responds, and why it serves no requests if it does not.
+    #: Plain text: whether it responds, and the reason if it serves no requests.
     presence: str
     build: str
     #: Lowest and highest feature level that it knows.
--- a/micadeal/wire/state.py
+++ b/micadeal/wire/state.py
@@ -125,7 +125,7 @@
 
 
 class LeaderRecord(msgspec.Struct, omit_defaults=True):
-    """Under ``leader``: the leader, from level 1 on also the last one (rollout/leader_lock.py)."""
+    """Under ``leader``: the leader or, from level 1 on, the last one (rollout/leader_lock.py)."""
 
     controller: str
     lease: int
@@ -313,7 +313,7 @@
 class ImagesRecord(msgspec.Struct):
     """Under ``images/<page>``: images that machines are likely to hold.
 
-    A hint for placement only; correctness does not depend on it.
+    Only a hint for placement; correctness does not depend on it.
     """
 
     #: By machine, the image last used first.
@@ -323,7 +323,7 @@
 class ReturnedMachinesRecord(msgspec.Struct):
     """Under ``leaving/<token>/<number>``: machines with tasks that are being returned to the cloud.
 
-    A hint for the next leader only, which repeats the request immediately instead of waiting for
+    Only a hint for the next leader, which repeats the request immediately instead of waiting for
     news of these machines.
     """
 
