--- a/micadeal/fleet/__init__.py
+++ b/micadeal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Machines: what is known of them, the cloud that rents them, how many are wanted."""
+"""Machines: their state, the client of the cloud's API, boot times and instance offers."""
--- a/micadeal/fleet/boot_times.py
+++ b/micadeal/fleet/boot_times.py
@@ -1,10 +1,10 @@
-"""When a booting machine is late, and when it is given up, judged by what other boots took.  Pure.
+"""Decides whether a booting machine is late or has timed out, by the boots of others.  No I/O.
 
-A fixed time limit is wrong either way: some machines take several times as long as their type's
-boot time, some never come up, and at times all of them are slow, or up within a second or two
-(PROTOCOL, "GET /catalog").  What tells these cases apart are similar machines that were rented
-together with it or later and are up already: they have *overtaken* it.  Where no machine has, all
-boots are slow, and renting more would only add slow ones.
+A fixed time limit is wrong in both directions.  Some machines take several times their type's boot
+time, and some never boot.  At times all machines boot slowly, or within a second or two (PROTOCOL,
+"GET /catalog").  These cases are told apart by similar machines that were rented together with the
+booting one or later and are already up: they have *overtaken* it.  If none has, all boots are slow,
+and renting more machines would only add slow ones.
 """
 
 from __future__ import annotations
@@ -22,66 +22,63 @@
 
 #: Boots remembered for each offer.
 MAX_REMEMBERED_BOOTS = 64
-#: Machines rented longer ago than this say nothing about boots of today.
+#: Boots of machines rented longer ago than this are ignored: they don't predict current boots.
 MAX_BOOT_AGE = seconds(300)
-#: A machine rented no longer than this before another counts as rented together with it.
+#: A machine rented at most this long before another counts as rented together with it.
 SAME_RENTAL_WINDOW = seconds(3)
-#: So many machines must have overtaken one that is late.
+#: A machine is late only if at least this many others have overtaken it.
 MIN_OVERTAKERS = 3
-#: A machine is late at this multiple of the overtakers' median boot time...
+#: A machine is late at this multiple of the overtakers' median boot time.
 LATE_FACTOR = 1.6
-#: ... which counts for at least this share of its type's boot time.
+#: Lower bound of that median, as a share of the type's boot time.
 MIN_BOOT_TIME_SHARE = 1 / 2
-#: Multiples of the type's boot time after which an overtaken machine is given up, and any other.
-GIVE_UP_FACTOR_OVERTAKEN = 3.0
-GIVE_UP_FACTOR = 8.0
+#: Boot timeout of a machine that was overtaken, as a multiple of its type's boot time.
+OVERTAKEN_TIMEOUT_FACTOR = 3.0
+#: Boot timeout of any other machine, as a multiple of its type's boot time.
+TIMEOUT_FACTOR = 8.0
 
 
 class Boot(NamedTuple):
-    """A boot that was observed from its beginning."""
+    """A completed boot whose rental time is known."""
 
     rented: timedelta
-    #: Time from the rental to the first message.
+    #: Time from the rental to the worker's first message.
     duration: timedelta
 
 
 @dataclass(slots=True)
 class BootTimes:
-    """The boots lately observed for each offer."""
+    """Recent boots of each offer."""
 
     _boots: dict[InstanceOffer, deque[Boot]] = field(default_factory=dict)
 
     def record_boot(self, machine: Machine, now: timedelta) -> None:
-        """Remember that a machine whose rental time is known has come up."""
+        """Record that a machine whose rental time is known is up."""
         offer = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
         boots = self._boots.setdefault(offer, deque(maxlen=MAX_REMEMBERED_BOOTS))
         boots.append(Boot(machine.rented, max(now - machine.rented, ZERO)))
 
-    def late(self, machine: Machine, usual: timedelta, now: timedelta) -> bool:
-        """Tell whether a booting machine is late, so that others are rented in its place.
-
-        ``usual``: the boot time of its type.
-        """
+    def late(self, machine: Machine, type_boot_time: timedelta, now: timedelta) -> bool:
+        """Tell whether a booting machine is late, so that another may be rented in its place."""
         durations = self._overtakers(machine, now)
         if len(durations) < MIN_OVERTAKERS:
             return False
         typical = seconds(median(duration.total_seconds() for duration in durations))
-        limit = max(min(typical, usual), usual * MIN_BOOT_TIME_SHARE) * LATE_FACTOR
+        limit = (
+            max(min(typical, type_boot_time), type_boot_time * MIN_BOOT_TIME_SHARE) * LATE_FACTOR
+        )
         return machine.age(now) > limit
 
-    def given_up(self, machine: Machine, usual: timedelta, now: timedelta) -> bool:
-        """Tell whether a booting machine is to be returned.
-
-        ``usual``: the boot time of its type.
-        """
+    def given_up(self, machine: Machine, type_boot_time: timedelta, now: timedelta) -> bool:
+        """Tell whether a booting machine has exceeded its boot timeout and is to be returned."""
         overtaken = len(self._overtakers(machine, now)) >= MIN_OVERTAKERS
-        factor = GIVE_UP_FACTOR_OVERTAKEN if overtaken else GIVE_UP_FACTOR
-        return machine.age(now) > usual * factor
+        factor = OVERTAKEN_TIMEOUT_FACTOR if overtaken else TIMEOUT_FACTOR
+        return machine.age(now) > type_boot_time * factor
 
     def _overtakers(self, machine: Machine, now: timedelta) -> list[timedelta]:
-        """Boot times of similar machines rented together with it or later that are up.
+        """Return the boot times of the machines that have overtaken one.
 
-        Those of its own offer, or if they are too few, those of its type.
+        They are of the same offer, or of any offer of the same type if those are too few.
         """
         offer = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
         durations = _durations_since(self._boots.get(offer, ()), machine, now)
--- a/micadeal/fleet/cloud.py
+++ b/micadeal/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud's API, within its request rate."""
+"""Client of the cloud's API; keeps within the cloud's request rate."""
 
 from __future__ import annotations
 
@@ -25,29 +25,30 @@
 T = TypeVar("T")
 
 REQUEST_TIMEOUT = seconds(5)
-#: The cloud's list lags by more than this anyway.
+#: Between two requests for the list of machines, which lags by more than this.
 LIST_INTERVAL = timedelta(seconds=3)
-#: Machines asked for with one request for a list.
+#: Machines on one page of the list.
 LIST_PAGE_SIZE = 500
-#: Machines returned with one request.
+#: Most machines returned with one request.
 MAX_RELEASES = 100
-#: Connections kept open.
+#: Most connections to the cloud's API.
 MAX_CONNECTIONS = 3
-#: Share of the cloud's request rate that is used, and the burst in seconds of that rate.
+#: Share of the cloud's request rate that is used.
 RATE_SHARE = 0.8
-BURST_SHARE = 1.6
-#: Error text with which the cloud refuses a rental, as opposed to a failure of its own.
+#: Size of a burst: the requests that the cloud's rate allows in this many seconds.
+BURST_S = 1.6
+#: Error text of a refused rental; any other text is a failure of the cloud's API.
 NO_CAPACITY = "no capacity"
-#: Bytes of an unexpected body that are quoted in errors.
+#: Most bytes of an unexpected body that an error quotes.
 MAX_QUOTED_BYTES = 80
 
 
 class CloudError(Exception):
-    """The cloud gave no usable answer; a rental or release may or may not have happened."""
+    """The cloud sent no usable response; a rental or release may or may not have happened."""
 
 
 class CloudUnreachableError(CloudError):
-    """The request failed on the way, or was not answered in time."""
+    """The request could not be sent, failed in transit, or timed out."""
 
     def __init__(self, problem: HttpError) -> None:
         self.problem = problem
@@ -64,11 +65,11 @@
 
 
 class CloudResponseError(CloudError):
-    """The cloud's answer could not be decoded."""
+    """The cloud's response could not be decoded."""
 
     def __init__(self, problem: MessageFormatError) -> None:
         self.problem = problem
-        super().__init__(f"unreadable answer: {problem}")
+        super().__init__(f"unreadable response: {problem}")
 
 
 class NoCapacityError(Exception):
@@ -80,12 +81,12 @@
 
 
 class Cloud:
-    """Rents, lists and releases machines; waits where the request rate is used up."""
+    """Rents, lists and releases machines; each call waits until the request rate allows it."""
 
     def __init__(self, address: str, rps: float, network: Network) -> None:
-        """``rps``: requests a second that the cloud allows."""
+        """Create a client; ``rps`` is the cloud's limit in requests per second."""
         self._client = network.client(address, MAX_CONNECTIONS)
-        self._budget = TokenBucket(rps * RATE_SHARE, rps * BURST_SHARE, monotonic())
+        self._budget = TokenBucket(rps * RATE_SHARE, rps * BURST_S, monotonic())
 
     async def catalog(self) -> list[MachineType]:
         """Return the machine types that can be rented.
@@ -93,24 +94,24 @@
         Raises ``CloudError``.
         """
         status, body = await self._request("GET", "/catalog")
-        return _decode_answer(Catalog, status, body).types
+        return _decode_response(Catalog, status, body).types
 
     async def rent(self, request: RentalRequest) -> list[str]:
-        """Rent machines and return their names, at most as many as asked for.
+        """Rent machines and return their names; there may be fewer than requested.
 
-        May be repeated: the cloud tells by the request's name that it is the same rental.  Raises
-        ``NoCapacityError`` if nothing was rented for certain, ``CloudError`` if that is unknown.
+        Idempotent: the cloud recognizes a repeated rental by the request's name.  Raises
+        ``NoCapacityError`` if certainly nothing was rented, ``CloudError`` if that is unknown.
         """
         status, body = await self._request("POST", "/rentals", encode(request))
         refused = status == HTTPStatus.SERVICE_UNAVAILABLE and _error_text(body) == NO_CAPACITY
         if refused or status == HTTPStatus.BAD_REQUEST:
             raise NoCapacityError(request)
-        return _decode_answer(MachineNames, status, body).machines
+        return _decode_response(MachineNames, status, body).machines
 
     async def release(self, names: list[str]) -> None:
-        """Return machines; of more than ``MAX_RELEASES`` only the first.
+        """Return machines to the cloud, at most the first ``MAX_RELEASES`` of ``names``.
 
-        Raises ``CloudError`` if it is unknown whether they are gone.
+        Raises ``CloudError`` if it is unknown whether they were returned.
         """
         status, body = await self._request(
             "POST", "/rentals/release", encode(MachineNames(names[:MAX_RELEASES]))
@@ -119,7 +120,7 @@
             raise CloudStatusError(status, body)
 
     async def machines(self) -> list[ListedMachine]:
-        """Return all rented machines as the cloud lists them, which lags by some seconds.
+        """Return all rented machines as the cloud lists them; its list lags by some seconds.
 
         Raises ``CloudError``.
         """
@@ -128,25 +129,25 @@
         while True:
             after = f"&after={quote(last)}" if last else ""
             status, body = await self._request("GET", f"/rentals?most={LIST_PAGE_SIZE}{after}")
-            page = _decode_answer(MachineList, status, body)
+            page = _decode_response(MachineList, status, body)
             listed += page.machines
             if not page.more or not page.machines:
                 return listed
             last = page.machines[-1].name
 
     async def _request(self, method: str, target: str, body: bytes = b"") -> tuple[int, bytes]:
-        """Send a request once the rate allows it; return status and body."""
+        """Send a request once the rate allows it, and return status and body."""
         while (wait := self._budget.take(1, monotonic())) > ZERO:
             await sleep(wait)
         try:
-            status, answer = await self._client.request(
+            status, response = await self._client.request(
                 method, target, body, timeout=REQUEST_TIMEOUT, idempotent=True
             )
         except HttpError as problem:
             raise CloudUnreachableError(problem) from None
         if status == HTTPStatus.TOO_MANY_REQUESTS:
             self._budget.drain(monotonic())
-        return status, answer
+        return status, response
 
 
 def _error_text(body: bytes) -> str:
@@ -156,7 +157,7 @@
         return ""
 
 
-def _decode_answer(kind: type[T], status: int, body: bytes) -> T:
+def _decode_response(kind: type[T], status: int, body: bytes) -> T:
     if status != HTTPStatus.OK:
         raise CloudStatusError(status, body)
     try:
--- a/micadeal/fleet/heartbeat_routing.py
+++ b/micadeal/fleet/heartbeat_routing.py
@@ -1,4 +1,4 @@
-"""Which controller answers a worker's heartbeat: this one, or the leader by redirect or relay."""
+"""Chooses who answers a worker's heartbeat: this controller, or the leader by redirect or relay."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 from micadeal.clock import seconds
 
-#: A worker that comes back within this time after a redirect can't reach the leader.
+#: A worker that returns within this time after a redirect is assumed not to reach the leader.
 REDIRECT_RETURN_WINDOW = seconds(12)
-#: A relayed worker stays relayed if its heartbeats are no further apart than this.
+#: A worker is relayed again if its last relayed heartbeat is at most this old.
 RELAY_KEEP_WINDOW = seconds(15)
-#: A worker that left the leader is relayed for that reason once in this time.
+#: A worker that left the leader is relayed for this reason at most once in this time.
 FALLBACK_INTERVAL = seconds(20)
-#: Workers remembered; the one least lately heard from is forgotten.
+#: Most workers remembered; beyond it the one with the oldest heartbeat is dropped.
 MAX_WORKERS = 2000
 
 
 class HeartbeatRoute(Enum):
-    """What a controller does with a heartbeat."""
+    """How a controller handles a heartbeat."""
 
-    #: This controller leads: it answers.
+    #: This controller leads and answers itself.
     LOCAL = "here"
-    #: The worker is told the leader's name and goes there.
+    #: The worker is sent to the leader.
     REDIRECT = "redirect"
-    #: The heartbeat is passed to the leader, and the leader's response back.
+    #: The heartbeat is forwarded to the leader, and the leader's response to the worker.
     RELAY = "relay"
     #: No leader is known.
     UNAVAILABLE = "nowhere"
@@ -34,17 +34,17 @@
 
 @dataclass(slots=True)
 class _WorkerRoute:
-    """What was done lately with one worker's heartbeats, under the present leader."""
+    """How one worker's recent heartbeats were handled under the present leader."""
 
     leader: str | None = None
     redirected: timedelta | None = None
     relayed: timedelta | None = None
-    #: When it was relayed because it had left the leader.
+    #: When a heartbeat was last relayed because the worker had left the leader.
     fell_back: timedelta | None = None
 
 
 class HeartbeatRouter:
-    """Remembers which workers were redirected, and which could not reach the leader."""
+    """Remembers which workers were redirected or relayed."""
 
     def __init__(self) -> None:
         self._routes: OrderedDict[str, _WorkerRoute] = OrderedDict()
@@ -54,8 +54,8 @@
     ) -> HeartbeatRoute:
         """Choose the route of a heartbeat.
 
-        ``leading``: this controller leads.  ``leader``: name of the leader, if it is known.
-        ``knows``: the worker has shown the present leader's token.
+        ``leading``: this controller leads.  ``leader``: name of the leader, None if unknown.
+        ``knows``: the heartbeat carries the present leader's token.
         """
         if leading:
             return HeartbeatRoute.LOCAL
@@ -67,28 +67,28 @@
         if route.redirected is not None and now - route.redirected < REDIRECT_RETURN_WINDOW:
             return HeartbeatRoute.RELAY
         if knows and (route.fell_back is None or now - route.fell_back > FALLBACK_INTERVAL):
-            # Most likely it came here because the leader did not answer it for 4 s.  Sending it
-            # back at once could cost as long again, which together with the time between two
-            # heartbeats is more than a lease.
+            # The worker most likely changed controllers because the leader did not answer for 4 s.
+            # A redirect could cost it another 4 s, and together with a heartbeat interval that is
+            # longer than a lease.
             route.fell_back, route.redirected = now, None
             return HeartbeatRoute.RELAY
         route.redirected = now
         return HeartbeatRoute.REDIRECT
 
     def relayed(self, machine: str, now: timedelta) -> None:
-        """Record that the leader has answered a relayed heartbeat."""
+        """Record that the leader answered a relayed heartbeat."""
         route = self._routes.get(machine)
         if route is not None and route.redirected is not None:
             route.relayed = now
 
     def relay_failed(self, machine: str) -> None:
-        """Record that a heartbeat could not be relayed: the worker is redirected next time."""
+        """Record that a heartbeat could not be relayed, so that the next one is redirected."""
         route = self._routes.get(machine)
         if route is not None:
             route.relayed = route.redirected = None
 
     def _route_of(self, machine: str, leader: str) -> _WorkerRoute:
-        """Return what is remembered of a worker; nothing of it outlasts a change of leader."""
+        """Return a worker's entry, cleared if the leader has changed since."""
         route = self._routes.setdefault(machine, _WorkerRoute())
         self._routes.move_to_end(machine)
         while len(self._routes) > MAX_WORKERS:
--- a/micadeal/fleet/instance_offers.py
+++ b/micadeal/fleet/instance_offers.py
@@ -1,4 +1,4 @@
-"""What the cloud can be asked for, cheapest first, and what it refused lately.  Pure."""
+"""Instance offers of the cloud, cheapest first, with backoff after refused rentals.  No I/O."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.users import Submission
 
-#: Backoff of an offer after its first refusal in a row, doubled with each further one.
+#: Backoff of an offer after its first refusal, doubled with each further one in a row.
 FIRST_BACKOFF = seconds(6)
 MAX_BACKOFF = seconds(40)
-#: For so long a refusal is taken to tell how many machines can be had.
+#: How long a refusal bounds the number of machines that are expected of an offer.
 REFUSAL_MEMORY = seconds(120)
 
 
@@ -30,63 +30,65 @@
 
 
 class _Backoff(NamedTuple):
-    """An offer that was refused is not asked for until the backoff is over."""
+    """No machine of a refused offer is requested before ``until``."""
 
     duration: timedelta
     until: timedelta
 
 
 class _Refusal(NamedTuple):
-    """How many machines of an offer were rented when more were refused."""
+    """The last refusal of an offer."""
 
-    held: int
+    #: Machines of the offer that were rented when more were refused.
+    rented: int
     at: timedelta
 
 
 @dataclass(slots=True)
 class InstanceOffers:
-    """The catalog, with an exponential backoff for each offer that was refused."""
+    """The cloud's catalog, with an exponential backoff for each refused offer."""
 
     #: Machine types of the catalog, by name.
     types: dict[str, MachineType] = field(default_factory=dict)
     _backoffs: dict[InstanceOffer, _Backoff] = field(default_factory=dict)
     _refusals: dict[InstanceOffer, _Refusal] = field(default_factory=dict)
 
-    def refused(self, offer: InstanceOffer, held: int, now: timedelta) -> None:
-        """Record that the cloud refused more of an offer while ``held`` machines were rented."""
-        self._refusals[offer] = _Refusal(held, now)
+    def refused(self, offer: InstanceOffer, rented: int, now: timedelta) -> None:
+        """Record that the cloud refused more of an offer while ``rented`` machines were rented."""
+        self._refusals[offer] = _Refusal(rented, now)
         last = self._backoffs.get(offer)
         duration = FIRST_BACKOFF if last is None else min(last.duration * 2, MAX_BACKOFF)
         self._backoffs[offer] = _Backoff(duration, now + duration)
 
     def granted(self, offer: InstanceOffer) -> None:
-        """Record that the cloud rented out machines of an offer: its backoff ends."""
+        """Record that the cloud granted machines of an offer, and end its backoff."""
         self._backoffs.pop(offer, None)
 
-    def left(self, offer: InstanceOffer, held: int, now: timedelta) -> int | None:
-        """Return how many more machines can be had, judged by the last refusal; None: unknown.
+    def left(self, offer: InstanceOffer, rented: int, now: timedelta) -> int | None:
+        """Return how many more machines the last refusal lets expect; None if that is unknown.
 
-        Guards against renting part of a gang's machines in one zone after the other: each time the
-        machines that had come were returned idle, and charged.
+        ``rented``: machines of the offer that are rented now.  Guards against renting part of a
+        gang's machines in one zone after another: the machines of each attempt were returned
+        unused, and charged.
         """
         refusal = self._refusals.get(offer)
         if refusal is None or now - refusal.at > REFUSAL_MEMORY:
             return None
-        return max(0, refusal.held - held)
+        return max(0, refusal.rented - rented)
 
     def is_backing_off(self, offer: InstanceOffer, now: timedelta) -> bool:
-        """Tell whether an offer was refused so lately that it is not asked for."""
+        """Tell whether an offer is in its backoff after a refusal."""
         backoff = self._backoffs.get(offer)
         return backoff is not None and now < backoff.until
 
     def any_paused(self, now: timedelta) -> list[InstanceOffer]:
-        """Return the offers that are not asked for at present."""
+        """Return the offers that are in their backoff."""
         return [offer for offer in self._backoffs if self.is_backing_off(offer, now)]
 
     def spot_refused(self, now: timedelta) -> bool:
-        """Tell whether every spot offer was refused lately.
+        """Tell whether all spot offers are in their backoff.
 
-        Work that may use spot machines may then use on-demand ones too.
+        Jobs that may use spot machines may then use on-demand machines as well.
         """
         spot_offers = [
             InstanceOffer(kind.name, zone, True)
@@ -97,7 +99,7 @@
         return not spot_offers or all(self.is_backing_off(offer, now) for offer in spot_offers)
 
     def can_ever_fit(self, spec: Submission) -> bool:
-        """Tell whether a task fits on an empty machine of any type that it allows."""
+        """Tell whether a task fits an empty machine of any machine type that the job allows."""
         return any(
             type_fits(spec, kind)
             and any(allowed(spec, kind.name, zone, spot=False) for zone in kind.zones)
@@ -105,15 +107,16 @@
         )
 
     def most_on_one(self, spec: Submission) -> int:
-        """Return how many tasks of this size one machine takes at most; one at least."""
+        """Return how many of the job's tasks fit one machine of the best type; at least 1."""
         return max((_tasks_per_machine(spec, kind) for kind in self.types.values()), default=1)
 
     def choices(
-        self, spec: Submission, now: timedelta, present: Counter[str]
+        self, spec: Submission, now: timedelta, machines_by_zone: Counter[str]
     ) -> Iterator[tuple[InstanceOffer, MachineType]]:
-        """Yield the offers for a task: the cheapest first, then zones with the fewest machines.
+        """Yield the offers that fit a task and are not in their backoff, with their types.
 
-        ``present``: machines by zone.
+        The cheapest per task come first, and among equals those in zones with the fewest machines.
+        ``machines_by_zone``: number of machines by zone.
         """
         candidates: list[tuple[float, int, str, InstanceOffer, MachineType]] = []
         for kind in self.types.values():
@@ -127,7 +130,7 @@
                     offer = InstanceOffer(kind.name, zone, spot)
                     if allowed(spec, kind.name, zone, spot) and not self.is_backing_off(offer, now):
                         per_task = _price_per_task(spec, kind, price)
-                        candidates.append((per_task, present[zone], zone, offer, kind))
+                        candidates.append((per_task, machines_by_zone[zone], zone, offer, kind))
         candidates.sort(key=lambda candidate: candidate[:3])
         for _, _, _, offer, kind in candidates:
             yield offer, kind
@@ -147,5 +150,5 @@
 
 
 def _price_per_task(spec: Submission, kind: MachineType, price: float) -> float:
-    """Return the price for each task of this size on a full machine."""
+    """Return the price per task on a machine that is full of such tasks."""
     return price / _tasks_per_machine(spec, kind)
--- a/micadeal/fleet/machines.py
+++ b/micadeal/fleet/machines.py
@@ -1,4 +1,4 @@
-"""The leader's view of machines and of the task attempts that may be on them."""
+"""The leader's model of machines and of the task attempts that may be on them."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from micadeal.wire.state import PlacedTask
 from micadeal.wire.workers import TaskState
 
-#: Job id, index of the task in its job, attempt number.  A plain tuple: heartbeats look up one key
-#: for each task that they report.
+#: Job id, index of the task in its job, attempt number.  A plain tuple for speed: each heartbeat
+#: looks up one key per reported task.
 AttemptKey = tuple[str, int, int]
 
-#: Task id as workers spell it (``<job id>/<index>``) and attempt number.
+#: Task id as workers write it (``<job id>/<index>``) and attempt number.
 ReportedTask = tuple[str, int]
 
 
@@ -27,7 +27,7 @@
 
 
 class ExitedTask(NamedTuple):
-    """An exited task that its worker goes on reporting until it is told to forget it."""
+    """An exited task, which its worker reports until it is commanded to forget it."""
 
     job_id: str
     #: Index of the task in its job.
@@ -37,104 +37,104 @@
 
 
 class PreemptionHold(NamedTuple):
-    """For which job tasks were stopped on a machine, which is kept for that job meanwhile."""
+    """Keeps a machine for the job for which tasks on it were preempted."""
 
     job_id: str
-    #: When the machine is open to other jobs again at the latest.
+    #: When the machine becomes available to other jobs at the latest.
     until: timedelta
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to run a task, which may be on a machine or may still be started there."""
+    """One attempt to run a task; it may be on its machine or may still be started there."""
 
     job_id: str
     #: Index of the task in its job.
     index: int
-    #: Attempt number: the leader's fencing token times 2^20, plus a counter.  Unique, and growing
-    #: over all leaders.
+    #: Attempt number: the leader's fencing token times 2^20, plus a counter.  Unique, and
+    #: increasing across leaders.
     number: int
     #: Name of the machine that the attempt is assigned to.
     machine: str
-    #: When the attempt was placed, or when this leader learnt of it.
+    #: When the attempt was placed, or when this leader first saw it.
     placed: timedelta
-    #: Key of the record in the state service that names the attempt; None: not written yet, so its
-    #: start must not be ordered.
+    #: Key of the record in the state service that names the attempt.  None: not written yet, so
+    #: the worker must not be commanded to start it.
     record: str | None = None
-    #: State in the newest heartbeat that showed the attempt; None: no heartbeat has shown it.
+    #: State in the newest heartbeat that reported the attempt; None: no heartbeat has.
     state: TaskState | None = None
-    #: The last heartbeat in whose response its start was ordered; None: this leader has never
-    #: ordered it.
+    #: The last heartbeat whose response commanded the start; None: this leader has never
+    #: commanded it.
     ordered: HeartbeatId | None = None
-    #: Grace period with which the attempt is to be stopped; None: it is not to be stopped.
+    #: Grace period of the requested stop; None: no stop was requested.
     stop: timedelta | None = None
     #: When the stop was first requested.
     stop_since: timedelta | None = None
     #: When this leader first saw it running.
     running_since: timedelta | None = None
-    #: Whether the previous leader had reported that all tasks of the job run.
+    #: Whether the previous leader had reported all tasks of the job as running.
     started: bool = False
 
     @property
     def may_still_start(self) -> bool:
-        """Whether its task may yet start: it has not run, and its image may not be fetched."""
+        """Whether the task may still start: it has not run, and its image may not be fetched."""
         return not self.started and self.state in (None, TaskState.FETCHING)
 
     @property
     def key(self) -> AttemptKey:
-        """What identifies the attempt in ``Machine.attempts``."""
+        """Key of the attempt in ``Machine.attempts``."""
         return (self.job_id, self.index, self.number)
 
     @property
     def task(self) -> str:
-        """Task id as workers spell it."""
+        """Task id as workers write it."""
         return f"{self.job_id}/{self.index}"
 
     @property
     def durable(self) -> bool:
-        """Whether a record in the state service names the attempt: only then it may be started."""
+        """Whether a record in the state service names the attempt, so that it may be started."""
         return self.record is not None
 
     @property
     def running(self) -> bool:
-        """Whether the newest heartbeat that showed the attempt said that it runs."""
+        """Whether the newest heartbeat that reported the attempt reported it as running."""
         return self.state is TaskState.RUNNING
 
     @property
     def placed_task(self) -> PlacedTask:
-        """The attempt as a record in the state service names it."""
+        """The attempt in the form in which records in the state service name it."""
         return PlacedTask(self.job_id, self.index, self.number)
 
 
 @dataclass(frozen=True, slots=True)
 class FreeCapacity:
-    """What is free on a machine, and which images it holds or fetches."""
+    """Free capacity of a machine, and the images that it holds or fetches."""
 
     cpus: float
     gpus: float
     memory_gb: float
-    #: Attempts that may be on the machine.
+    #: Number of attempts that may be on the machine.
     tasks: int
-    #: Those of them that could not be on a spot machine.
+    #: Number of those whose jobs do not allow spot machines.
     bound_tasks: int
-    #: Images that it holds, without those that are being fetched.
+    #: Images that it holds, not counting those being fetched.
     images: frozenset[str]
     fetching: frozenset[str]
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A machine that is rented or was heard from, and what the leader knows of it."""
+    """A machine that is rented or has sent a heartbeat, and its state as the leader knows it."""
 
     name: str
-    #: Address of its worker; empty as long as it is unknown.
+    #: Address of its worker; empty while it is unknown.
     address: str
     machine_type: str
     zone: str
     spot: bool
-    #: When this leader first learnt of the machine.
+    #: When this leader first learned of the machine.
     known_since: timedelta
-    #: When it was rented, as far as known: the earliest instant that anything suggests.
+    #: When it was rented: the earliest instant that any source gives.
     rented: timedelta
 
     # -- newest heartbeat ------------------------------------------------------------------
@@ -142,71 +142,75 @@
     #: Incarnation (worker session) and sequence number of the newest message.
     incarnation: int = 0
     sequence: int = 0
-    #: Receipt of the newest heartbeat that the worker sent by itself.
+    #: Receipt of the newest heartbeat, not counting answers to commands.
     heard: timedelta | None = None
-    #: What its messages prove about the connection in both directions.
+    #: Evidence from its messages about the connection in both directions.
     reachability: Reachability = field(default_factory=Reachability)
     #: Whether a record of an earlier leader names the machine, the cloud lists it, or this leader
-    #: rented it.  False: it is known from heartbeats alone.
+    #: rented it.  False: only heartbeats name it.
     confirmed: bool = True
-    #: Whether its worker has shown this leader's token: it ignores earlier leaders from then on.
+    #: Whether its worker has shown this leader's fencing token.  From then on the worker ignores
+    #: earlier leaders.
     has_our_token: bool = False
     #: Receipt of its first message; None: it is still booting or silent.
     up_since: timedelta | None = None
-    #: When the cloud takes the machine away, as announced by its worker.
+    #: When the cloud reclaims the machine, by the reclaim notice that its worker passed on.
     reclaim_expected_at: timedelta | None = None
 
     # -- tasks -----------------------------------------------------------------------------
 
-    #: All that may be on the machine, or may still be started there.
+    #: Attempts that may be on the machine or may still be started there.
     attempts: dict[AttemptKey, Attempt] = field(default_factory=dict)
-    #: Exited tasks that heartbeats still show.
+    #: Exited tasks that heartbeats still report.
     exited: dict[ReportedTask, ExitedTask] = field(default_factory=dict)
     #: Images that the machine is likely to hold, with the instant of their last use.
     images: dict[str, timedelta] = field(default_factory=dict)
-    #: Set while the machine is kept for a job for which tasks were stopped here.
+    #: Set while the machine is kept for a job for which tasks on it were preempted.
     preempted_for: PreemptionHold | None = None
-    #: Id of the job that the machine is reserved for: of others, only production work is added.
+    #: Id of the job that the machine is reserved for.  Only production jobs may be added besides.
     reserved_for: str | None = None
 
     # -- removal ---------------------------------------------------------------------------
 
-    #: Why the machine gets no new work and is returned once it is empty; None: it is not drained.
+    #: Why the machine is drained: it gets no new tasks and is returned once it is empty.  None: it
+    #: is not drained.
     draining: str | None = None
     #: When its return to the cloud was requested.
     release_requested: timedelta | None = None
-    #: Whether it was silent past its lease: nothing is on it, but it may come back.
+    #: Whether its lease expired while it was silent: no task is on it, but it may return.
     lease_expired: bool = False
-    #: Since when no attempt is on it.
+    #: Since when there has been no attempt on it.
     idle_since: timedelta | None = None
-    #: Jobs that failed on it since a task last completed on it.
+    #: Ids of the jobs that failed on it since a task last completed on it.
     errors: set[str] = field(default_factory=set)
 
     # -- cloud -----------------------------------------------------------------------------
 
-    #: Whether the start of its boot is known: this leader rented it, or the cloud listed it as
+    #: Whether this leader has seen it boot: the leader rented it, or the cloud listed it as
     #: booting.
     boot_seen: bool = False
     #: Whether the cloud has listed it as failed.
     listed_failed: bool = False
-    #: Whether the cloud has listed it as running, heard from or not.
+    #: Whether the cloud has listed it as running, whether or not its worker has sent a message.
     listed_running: bool = False
-    #: Free capacity as derived from attempts and images; None: one of them has changed since.
+    #: Cached free capacity; None: attempts or images have changed since it was computed.
     free_capacity: FreeCapacity | None = None
-    #: Whether it has been in a list of the cloud.
+    #: Whether any of the cloud's lists has named it.
     listed: bool = False
-    #: How many lists in a row have not named it since.
+    #: How many consecutive lists since then have not named it.
     missing_lists: int = 0
 
     @property
     def up(self) -> bool:
-        """Whether any message of its worker has been received."""
+        """Whether its worker has sent any message."""
         return self.up_since is not None
 
     def usable(self, now: timedelta, silence: timedelta) -> bool:
-        """Tell whether the machine may get new work.
+        """Tell whether the machine may get new tasks.
 
-        It must be ours, not about to leave, reachable, and heard from within ``silence``.
+        Its worker must have shown this leader's token, be reachable, and have sent a heartbeat
+        within ``silence``.  The machine must be neither drained nor about to be reclaimed, and its
+        lease must not have expired.
         """
         return (
             self.has_our_token
--- a/micadeal/fleet/reachability.py
+++ b/micadeal/fleet/reachability.py
@@ -1,17 +1,17 @@
-"""What the messages of a worker prove about the connection to its machine.  Pure.
+"""Derives from a worker's messages whether the connection to its machine works.  No I/O.
 
-Three faults look like a healthy machine and are not:
+Three faults look like a healthy machine:
 
 - a *one-way partition*: heartbeats arrive, but responses and commands do not reach the machine.  It
-  never runs what it is told to start, and its tasks end with its lease although each of its
-  heartbeats was answered;
-- a *late copy* of a heartbeat: the machine may be gone, or run other tasks, by now;
-- a *restarted worker*: incarnation and sequence count from the start again, so whatever it sends
-  looks older than what the process before it sent (PROTOCOL, "POST /checkin").
-
-Whether a response arrived is seen from what later heartbeats show of it.  How old a heartbeat is
-follows from its incarnation, sequence and token.  Where these do not suffice the worker is probed:
-its answer is newer than the probe, whatever its numbers are.
+  never starts the tasks that it is commanded to start, and the tasks on it end when its lease
+  expires, although every heartbeat was answered;
+- a *late copy* of a heartbeat: the machine may be gone or run other tasks by the time it arrives;
+- a *restarted worker*: incarnation and sequence start over, so its messages look older than those
+  of the previous process (PROTOCOL, "POST /checkin").
+
+Later heartbeats show whether a response arrived: they show its effect.  The age of a heartbeat
+follows from its incarnation, sequence and token.  Where these do not suffice, the worker is probed.
+Its answer is newer than the probe, whatever incarnation and sequence it carries.
 """
 
 from __future__ import annotations
@@ -21,12 +21,13 @@
 
 from micadeal.clock import ZERO, seconds
 
-#: Responses without effect, in a row, after which a machine counts as unreachable.  One is enough
-#: if a probe remains unanswered as well.
+#: Consecutive responses without effect after which a machine counts as unreachable.  One suffices
+#: if a probe is not answered either.
 UNREACHABLE_AFTER = 2
-#: From so many on, an answered probe does not make the machine count as reachable again.
+#: From this many responses without effect on, an answered probe no longer makes the machine count
+#: as reachable.
 MAX_EXCUSED_FAILURES = 5
-#: A lease that ran out sooner than this share of it after our response was not renewed by it.
+#: A lease that expired within this share of its duration after a response was not renewed by it.
 UNRENEWED_LEASE_SHARE = 0.75
 #: Shortest time between two probes of one machine.
 PROBE_INTERVAL = seconds(2)
@@ -38,37 +39,37 @@
 
     #: Highest fencing token that its worker has shown.
     token: int = 0
-    #: Receipt of its newest message, be it a heartbeat or an answer to a command.  Whatever it sent
-    #: before was sent before that instant, so no response to an older heartbeat, however late it
-    #: arrives, can have renewed its lease from a later one.
+    #: Receipt of its newest message, either a heartbeat or an answer to a command.  Older messages
+    #: were sent before that instant.  A response to an older heartbeat, however late it arrives,
+    #: can't have renewed the lease from an instant after it.
     latest: timedelta | None = None
-    #: Responses in a row that had no effect.
+    #: Consecutive responses without effect.
     missed: int = 0
     #: When the first of these was noticed.
     missed_since: timedelta | None = None
     #: When a command or probe was last sent to it.
     last_probe_at: timedelta | None = None
-    #: Its worker process was restarted.  Nothing that arrives from such a machine is conclusive: a
-    #: copy of what the earlier process sent would be taken for a newer message.
+    #: Its worker process was restarted.  No message from such a machine is conclusive: a late copy
+    #: of a message of the earlier process would be taken for a newer one.
     restarted: bool = False
 
     def record_message(self, token: int, now: timedelta) -> None:
-        """Record the receipt of a message that is newer than all before."""
+        """Record the receipt of a message that is newer than all earlier ones."""
         self.token = max(self.token, token)
         self.latest = now
 
     def response_took_effect(self) -> None:
-        """Record that a heartbeat shows the effect of an earlier response."""
+        """Record that a heartbeat showed the effect of an earlier response."""
         self.missed, self.missed_since = 0, None
 
     def response_had_no_effect(self, now: timedelta) -> None:
-        """Record that a heartbeat sent after a response shows nothing of what that asked for."""
+        """Record that a heartbeat sent after a response showed no effect of it."""
         self.missed += 1
         if self.missed_since is None:
             self.missed_since = now
 
     def probe_answered(self, asked: timedelta) -> None:
-        """Record an answer to a probe that was sent at ``asked``."""
+        """Record an answer to a probe sent at ``asked``."""
         sent_after_failure = self.missed_since is not None and asked >= self.missed_since
         if sent_after_failure and self.missed < MAX_EXCUSED_FAILURES:
             self.response_took_effect()
@@ -76,7 +77,7 @@
     def probe_unanswered(self, asked: timedelta) -> None:
         """Record that a probe sent at ``asked`` was not answered.
 
-        Together with one response without effect that makes the machine unreachable.
+        One response without effect and one unanswered probe make the machine unreachable.
         """
         if self.missed_since is not None and asked >= self.missed_since:
             self.missed = max(self.missed, UNREACHABLE_AFTER)
@@ -87,20 +88,20 @@
         return self.missed >= UNREACHABLE_AFTER
 
     def receives_nothing_for(self, now: timedelta) -> timedelta:
-        """Return for how long the machine has been unreachable; zero if it is not."""
+        """Return how long the machine has been unreachable; zero if it is reachable."""
         if self.missed_since is None or not self.receives_nothing:
             return ZERO
         return now - self.missed_since
 
     def proves_restart(self, asked: timedelta | None) -> bool:
-        """Tell whether a message that looks old proves that its worker process was restarted.
+        """Tell whether a message that looks old proves that the worker process was restarted.
 
-        Only an answer to a probe sent at ``asked``, after the newest message had arrived, does.
-        One sent at the same clock reading does not: the clock moves in steps, so the order of the
-        two is unknown.  None: the message is no answer to a probe.
+        ``asked``: when the probe that it answers was sent, None if it answers no probe.  Only an
+        answer to a probe sent after the receipt of the newest message is proof.  A probe sent at
+        the same clock reading is not enough: the clock moves in steps, so the order is unknown.
         """
         return asked is not None and (self.latest is None or asked > self.latest)
 
     def may_probe(self, now: timedelta) -> bool:
-        """Tell whether the machine may be probed again."""
+        """Tell whether enough time has passed since the last probe to send another."""
         return self.last_probe_at is None or now - self.last_probe_at >= PROBE_INTERVAL
