--- a/micadeal/jobs/__init__.py
+++ b/micadeal/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: the leader's model of them, dependencies among them, validation of submissions.  Pure."""
+"""Jobs: the leader's model of a job, the dependency graph, validation of submissions.  No I/O."""
--- a/micadeal/jobs/dependencies.py
+++ b/micadeal/jobs/dependencies.py
@@ -1,9 +1,9 @@
-"""Which live jobs depend on which others (a directed acyclic graph of jobs).  No I/O.
+"""Dependencies among live jobs: a directed acyclic graph.  No I/O.
 
 A job with unfinished prerequisites has no demand.  It becomes runnable when the last of them is
 recorded done, and is cancelled when one of them is recorded cancelled.  All of this follows from
-stored records: the prerequisites are in ``job/<id>`` and never change, and how a job ended is in
-``end/<id>`` for ever.  A prerequisite whose end has not been read counts as not done.
+stored records: prerequisites are in ``job/<id>`` and never change, and the end of a job is kept
+permanently in ``end/<id>``.  A prerequisite whose end has not been read counts as not done.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from micadeal.clock import seconds
 from micadeal.jobs.model import Job
 
-#: An end that could not be found or read is looked for again after this time.
+#: Time until an end record that was not found or not readable is read again.
 END_RETRY_INTERVAL = seconds(5)
-#: At most this many jobs are visited for one change of priority.  The graph has no cycle, since a
-#: job may only name jobs that were accepted before it; this guards against records that say
-#: otherwise.
+#: Most jobs visited when a change of rank or latest finish propagates.  Valid records have no
+#: cycle, since a job may only name jobs accepted before it; this bounds the loop if damaged records
+#: have one.
 MAX_PROPAGATION_STEPS = 20_000
 
 
@@ -34,10 +34,10 @@
 
 
 class _Inherited(NamedTuple):
-    """What a job takes over from itself and its dependents."""
+    """Best rank and earliest latest finish of a job, by itself and by its dependents."""
 
     rank: int
-    #: The dependent that has the rank; None if it is the job's own.
+    #: Id of the dependent that the rank comes from; None if it is the job's own.
     lifted_by: str | None
     latest: timedelta | None
 
@@ -46,104 +46,104 @@
 class JobDependencies:
     """The dependency graph of the jobs that the leader knows; owned by the leader's actor."""
 
-    #: The leader's own map of jobs, shared with it.
+    #: The leader's jobs by id; the map is shared with the leader's model of the cluster.
     jobs: dict[str, Job]
-    #: Live jobs with a cancelled prerequisite: their own end is to be recorded.  None of them has
-    #: a task anywhere, since the prerequisite was never done.
+    #: Live jobs with a cancelled prerequisite, whose own end is to be recorded.  None of them has
+    #: a task on any machine, since the prerequisite was never done.
     cancelled_by_dependency: dict[str, Job] = field(default_factory=dict)
-    #: Something happened since ``unread`` was last called.
+    #: Whether the graph has changed since the last call of ``ends_to_read``.
     changed: bool = False
     #: Known ends of jobs that have dependents.
     _ends: dict[str, JobEnd] = field(default_factory=dict)
-    #: Live dependents by the id of the job that they need, then by their own id.
+    #: Live dependents by the id of their prerequisite, then by their own id.
     _dependents: dict[str, dict[str, Job]] = field(default_factory=dict)
-    #: Earliest next read of an end that was looked for in vain.
+    #: By job id, the earliest next read of an end that was not found.
     _retry_at: dict[str, timedelta] = field(default_factory=dict)
 
     # -- events ----------------------------------------------------------------------------
 
     def add(self, job: Job) -> None:
-        """Take in a job that has just become known; jobs may come in any order."""
-        for name in dict.fromkeys(job.spec.prerequisites or ()):
-            self._dependents.setdefault(name, {})[job.id] = job
-            job.needs.add(name)
-        for name in list(job.needs):
+        """Add a job that has become known; jobs may be added in any order."""
+        for job_id in dict.fromkeys(job.spec.prerequisites or ()):
+            self._dependents.setdefault(job_id, {})[job.id] = job
+            job.needs.add(job_id)
+        for job_id in list(job.needs):
             # A prerequisite that is about to be cancelled is handled once its end is recorded.
-            if (end := self._ends.get(name)) is not None:
-                self._resolve(job, name, end)
+            if (end := self._ends.get(job_id)) is not None:
+                self._resolve(job, job_id, end)
         self._propagate(job)
         self.changed = True
 
-    def ended(self, name: str, end: JobEnd) -> None:
-        """Take in the recorded end of a job; without dependents, or repeated, it is ignored."""
-        dependents = self._dependents.get(name)
-        if dependents is None or name in self._ends:
+    def ended(self, job_id: str, end: JobEnd) -> None:
+        """Apply the recorded end of a job; ignored if it has no dependents or its end is known."""
+        dependents = self._dependents.get(job_id)
+        if dependents is None or job_id in self._ends:
             return
-        self._ends[name] = end
+        self._ends[job_id] = end
         self.changed = True
         for job in list(dependents.values()):
-            self._resolve(job, name, end)
+            self._resolve(job, job_id, end)
 
     def gone(self, job: Job) -> None:
-        """Remove a job that is over; its dependents learn how it ended by ``ended``."""
+        """Remove a job that is over; how it ended reaches its dependents by ``ended``."""
         self.cancelled_by_dependency.pop(job.id, None)
         self._retry_at.pop(job.id, None)
         self.changed = True
-        for name in job.spec.prerequisites or ():
-            dependents = self._dependents.get(name)
+        for job_id in job.spec.prerequisites or ():
+            dependents = self._dependents.get(job_id)
             if dependents is None:
                 continue
             dependents.pop(job.id, None)
             if not dependents:
-                del self._dependents[name]
-                self._ends.pop(name, None)
-                self._retry_at.pop(name, None)
-            if (prerequisite := self.jobs.get(name)) is not None:
+                del self._dependents[job_id]
+                self._ends.pop(job_id, None)
+                self._retry_at.pop(job_id, None)
+            if (prerequisite := self.jobs.get(job_id)) is not None:
                 self._propagate(prerequisite)
 
-    def end_not_found(self, name: str, now: timedelta) -> None:
-        """Note that no readable end was found: it is damaged, or the job only seems to be over."""
-        self._retry_at[name] = now + END_RETRY_INTERVAL
+    def end_not_found(self, job_id: str, now: timedelta) -> None:
+        """Record that no readable end was found: it is damaged, or the job is not over."""
+        self._retry_at[job_id] = now + END_RETRY_INTERVAL
 
-    def retry_end(self, name: str) -> None:
-        """Lift the wait before the next read of an end, since something happened to the job."""
-        self._retry_at.pop(name, None)
+    def retry_end(self, job_id: str) -> None:
+        """Allow an immediate read of a job's end, since the job has changed."""
+        self._retry_at.pop(job_id, None)
         self.changed = True
 
     # -- queries ---------------------------------------------------------------------------
 
     def ends_to_read(self, now: timedelta) -> list[str]:
-        """Return the jobs that have dependents, are not alive, and whose end is to be read."""
+        """Return the ids of the jobs whose end is to be read: not live, but with dependents."""
         self.changed = False
         return [
-            name
-            for name in self._dependents
-            if name not in self._ends
-            and not self.alive(name)
-            and now >= self._retry_at.get(name, timedelta.min)
+            job_id
+            for job_id in self._dependents
+            if job_id not in self._ends
+            and not self._is_live(job_id)
+            and now >= self._retry_at.get(job_id, timedelta.min)
         ]
 
-    def alive(self, name: str) -> bool:
-        """Whether a job is known and not over."""
-        job = self.jobs.get(name)
+    def _is_live(self, job_id: str) -> bool:
+        """Tell whether a job is known and not over."""
+        job = self.jobs.get(job_id)
         return job is not None and not job.over
 
-    def needed(self, name: str) -> bool:
-        """Whether a live job depends on this one."""
-        return name in self._dependents
+    def needed(self, job_id: str) -> bool:
+        """Tell whether a live job depends on this one."""
+        return job_id in self._dependents
 
     # -- graph -----------------------------------------------------------------------------
 
-    def _resolve(self, job: Job, name: str, end: JobEnd) -> None:
+    def _resolve(self, job: Job, prerequisite_id: str, end: JobEnd) -> None:
         """Apply the end of one prerequisite to a job."""
         if not end.done:
             self._cancel_with_dependents(job)
             return
-        job.needs.discard(name)
+        job.needs.discard(prerequisite_id)
         job.ready = max(job.ready, end.at)
 
     def _cancel_with_dependents(self, first: Job) -> None:
-        """Mark a job, and all that need it directly or through others, as to be cancelled."""
+        """Mark a job and all its direct and indirect dependents as to be cancelled."""
         stack = [first]
         while stack:
             job = stack.pop()
@@ -155,7 +155,7 @@
             stack += self._dependents.get(job.id, {}).values()
 
     def _propagate(self, first: Job) -> None:
-        """Update a job's rank and latest finish from its dependents, then its prerequisites'."""
+        """Update rank and latest finish of a job from its dependents, then of its prerequisites."""
         stack = [first]
         for _ in range(MAX_PROPAGATION_STEPS):
             if not stack:
@@ -167,12 +167,12 @@
             if changed or job is first:
                 stack += [
                     prerequisite
-                    for name in job.spec.prerequisites or ()
-                    if (prerequisite := self.jobs.get(name)) is not None and not prerequisite.over
+                    for job_id in job.spec.prerequisites or ()
+                    if (prerequisite := self.jobs.get(job_id)) is not None and not prerequisite.over
                 ]
 
     def _inherited(self, job: Job) -> _Inherited:
-        """Return the best rank and the earliest latest finish that apply to a job."""
+        """Return the best rank and the earliest latest finish of a job and its dependents."""
         rank, lifted_by, latest = job.own_rank, None, job.own_latest
         for dependent in self._dependents.get(job.id, {}).values():
             if dependent.rank < rank:
--- a/micadeal/jobs/model.py
+++ b/micadeal/jobs/model.py
@@ -1,4 +1,4 @@
-"""A job as the leader knows it: its submission, its attempts, what is finished."""
+"""The leader's model of a job: its submission, task attempts and finished tasks."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 #: Tasks per chunk of the finished set under ``done/``: 3000 bytes, 4000 as base64.
 TASKS_PER_CHUNK = 24_000
-#: Tasks per chunk under ``finished/``, used where a ``done/`` chunk is too large for the state
+#: Tasks per chunk under ``finished/``, used if a ``done/`` chunk is too large for the state
 #: service: 500 bytes, 668 as base64.
 TASKS_PER_SMALL_CHUNK = 4_000
-#: Deadlines and estimates are cut to this many seconds, so that sums stay within ``timedelta``.
+#: Upper bound of deadlines and estimates, so that their sums stay within ``timedelta``.
 MAX_DURATION_S = 1e9
-#: From errors on this many machines on, the job itself is suspected rather than the machines.
+#: Once a job has failed on this many machines, the job is suspected rather than the machines.
 SUSPECT_MACHINES = 2
 
 
@@ -29,8 +29,8 @@
 class Job:
     """One job and the state of its tasks.
 
-    Owned by the leader's actor, which alone changes it.  All instants are on this process's
-    monotonic clock.  A task is named by its index, from 0 to ``spec.tasks - 1``.
+    Only the leader's actor, which owns it, changes it.  All instants are on this process's
+    monotonic clock.  A task is identified by its index, from 0 to ``spec.tasks - 1``.
     """
 
     #: The submission as the user sent it; it never changes.
@@ -39,45 +39,46 @@
     submitted: timedelta
     #: Version of the job's record in the state service, for compare-and-swap.
     version: int
-    #: Tasks that ended successfully, as far as the leader has heard.
+    #: Tasks that ended successfully, by reports and records that reached the leader.
     finished: set[int] = field(default_factory=set)
-    #: Finished tasks that the state service is known to hold.
+    #: Finished tasks that are known to be stored in the state service.
     durable: set[int] = field(default_factory=set)
-    #: Keys of the chunks of the finished set that the state service holds, or may hold.
+    #: Keys of the chunks of the finished set that are, or may be, stored in the state service.
     record_keys: set[str] = field(default_factory=set)
     #: Attempts that may be on a machine, by task, whether the task is finished or not.
     attempts: dict[int, list[Attempt]] = field(default_factory=dict)
-    #: The job is no longer in the state service's list of jobs: nothing of it may start any more.
+    #: The state service no longer lists the job: none of its tasks may be started any more.
     over: bool = False
-    #: Errors of this job since its last success, by machine.
+    #: Errors of this job since the last success of one of its tasks, by machine.
     errors: Counter[str] = field(default_factory=Counter)
     #: After an error, no task of the job is placed before this instant.
     retry_at: timedelta = timedelta.min
     #: When a task of the job last ended successfully.
     last_progress: timedelta = ZERO
-    #: Since when the job has declined machines that lack its image (delay scheduling); None if it
-    #: last started on a machine that has it.
+    #: Since when the job has declined machines without its image (delay scheduling); None if its
+    #: last start was on a machine that holds it.
     declined_since: timedelta | None = None
-    #: Why tasks could not be placed in the last scheduling cycle: tasks by reason.
+    #: Why tasks were not placed in the last scheduling cycle: number of tasks by reason.
     reasons: Counter[str] = field(default_factory=Counter)
-    #: Prerequisites that are not recorded done (``jobs/dependencies.py``).
+    #: Ids of the prerequisites that are not recorded done (``jobs/dependencies.py``).
     needs: set[str] = field(default_factory=set)
     #: A prerequisite was cancelled: the end of this job is about to be recorded.
     cancelled_by_dependency: bool = False
-    #: From when waiting times count: the submission, or the end of the last prerequisite.
+    #: Start of the waiting time: the submission, or the end of the last prerequisite.
     ready: timedelta = field(init=False)
-    #: Own priority rank, or the best of the jobs that depend on this one; lower goes first.
+    #: Best priority rank among the job itself and its dependents; the lowest is placed first.
     rank: int = field(init=False)
-    #: The dependent job whose rank this one has taken over, if any.
+    #: Id of the dependent whose rank the job has inherited; None if the rank is its own.
     lifted_by: str | None = None
-    #: Latest sensible finish, by the job's own deadline and by its dependents' latest starts.
+    #: Latest finish, by the job's own deadline and the latest starts of its dependents; None if
+    #: there is no deadline among them.
     latest: timedelta | None = field(init=False)
-    #: All tasks below this index have been handed out at least once, or are finished.
+    #: All tasks below this index have had an attempt or are finished.
     _next_new_index: int = 0
-    #: Heap of tasks that have lost all their attempts; entries may be out of date.
+    #: Heap of tasks that have lost all their attempts; entries may be stale.
     _returned_indexes: list[int] = field(default_factory=list)
-    #: Number of tasks that are finished and have attempts left, kept up to date by ``add``,
-    #: ``remove`` and ``finish`` because every scheduling cycle asks for it.
+    #: Number of finished tasks that still have attempts.  ``add``, ``remove`` and ``finish`` keep
+    #: it up to date, since every scheduling cycle reads it.
     _finished_with_attempts: int = 0
 
     def __post_init__(self) -> None:
@@ -85,7 +86,7 @@
 
     @property
     def id(self) -> str:
-        """Job id, as the user named it."""
+        """Job id, as chosen by the user."""
         return self.spec.job_id
 
     @property
@@ -100,38 +101,38 @@
 
     @property
     def production(self) -> bool:
-        """Whether the job counts as production, by its own rank or by a dependent's."""
+        """Whether the job counts as production, by its own rank or an inherited one."""
         return self.rank == RANK[Priority.PRODUCTION]
 
     @property
     def own_rank(self) -> int:
-        """Rank of the priority that the submission names."""
+        """Rank of the submission's priority."""
         return RANK[self.spec.priority]
 
     @property
     def own_latest(self) -> timedelta | None:
-        """Deadline that the submission names; None if there is none."""
+        """Instant of the submission's deadline; None if it has none."""
         deadline = self.spec.deadline_s
         return None if deadline is None else self.submitted + seconds(min(deadline, MAX_DURATION_S))
 
     @property
     def latest_start(self) -> timedelta | None:
-        """Latest start by which the job still finishes by ``latest``, as estimated."""
+        """Latest start with which the job finishes by ``latest``, by the user's estimate."""
         if self.latest is None:
             return None
         return self.latest - seconds(min(self.spec.estimate_s, MAX_DURATION_S))
 
     @property
     def blocked(self) -> bool:
-        """Whether a prerequisite is not recorded done, so that no task may start."""
+        """Whether no task may start, because a prerequisite is not recorded done."""
         return bool(self.needs) or self.cancelled_by_dependency
 
     @property
     def order(self) -> tuple[int, timedelta, str]:
         """Sort key within a team: rank, then age.
 
-        Age counts from when the job could run, or should have run for its dependents to be in
-        time, whichever is earlier.  The id makes the order total.
+        Age counts from when the job became ready, or from its latest start if that is earlier, so
+        that its dependents finish in time.  The id makes the order total.
         """
         start = self.latest_start
         since = self.ready if start is None else min(self.ready, start)
@@ -139,17 +140,17 @@
 
     @property
     def resource(self) -> str:
-        """Resource that the job is accounted in: ``"gpus"`` or ``"cpus"``."""
+        """Resource in which the job's usage is accounted: ``"gpus"`` or ``"cpus"``."""
         return "gpus" if self.spec.gpus > 0 else "cpus"
 
     @property
     def units(self) -> float:
-        """Amount that one task books of the job's resource."""
+        """Amount of ``resource`` that one task uses."""
         return self.spec.gpus if self.spec.gpus > 0 else self.spec.cpus
 
     @property
     def save_time(self) -> timedelta:
-        """Time that a task needs to save its state when it is stopped."""
+        """Time that a task needs to save a checkpoint when it is stopped."""
         return seconds(self.spec.save_s)
 
     @property
@@ -171,7 +172,7 @@
         return len(self.errors) >= SUSPECT_MACHINES
 
     def runs_on_other_machine(self, machine: str, since: timedelta) -> bool:
-        """Whether a task has been running on another machine since the given instant."""
+        """Tell whether a task has been running on another machine since ``since`` or earlier."""
         return any(
             attempt.machine != machine
             and attempt.running_since is not None
@@ -180,7 +181,7 @@
         )
 
     def waiting_count(self) -> int:
-        """Count tasks that wait to be placed; none as long as the job is blocked."""
+        """Count tasks that wait to be placed; none while the job is blocked."""
         return 0 if self.over or self.blocked else self.left_count()
 
     def left_count(self) -> int:
@@ -199,8 +200,8 @@
     def may_start(self) -> bool:
         """Whether a placed task may still start.
 
-        Its start command may be under way, its image may be being fetched, or no heartbeat has
-        mentioned it yet.
+        Its start command may be in flight, its image fetch may be in progress, or no heartbeat has
+        reported it yet.
         """
         return any(attempt.may_still_start for attempt in self.all_attempts())
 
@@ -210,9 +211,10 @@
             yield from attempts
 
     def next_waiting(self) -> int | None:
-        """Return the lowest waiting task, returned ones first; None if there is none.
+        """Return the next waiting task, None if there is none.
 
-        The task stays in the queue until an attempt is added.
+        Tasks that lost their attempts come before tasks that never had one, and lower indexes
+        first.  The task remains next until an attempt of it is added.
         """
         if self.blocked:
             return None
@@ -225,7 +227,7 @@
         return self._next_new_index if self._next_new_index < self.spec.tasks else None
 
     def add(self, attempt: Attempt) -> None:
-        """Record an attempt that may be on a machine from now on."""
+        """Add an attempt that may be on a machine from now on."""
         attempts = self.attempts.get(attempt.index)
         if attempts is None:
             attempts = self.attempts[attempt.index] = []
@@ -233,9 +235,9 @@
         attempts.append(attempt)
 
     def remove(self, attempt: Attempt) -> None:
-        """Forget an attempt that is on no machine any more.
+        """Remove an attempt that is no longer on a machine.
 
-        A task that is left without attempts waits again, unless it is finished.
+        If it was the last one of its task, the task waits again unless it is finished.
         """
         others = [other for other in self.attempts.get(attempt.index, ()) if other is not attempt]
         if others:
@@ -249,7 +251,7 @@
             heapq.heappush(self._returned_indexes, attempt.index)
 
     def finish(self, index: int) -> None:
-        """Record that a task ended successfully; repeating it changes nothing."""
+        """Record that a task ended successfully; idempotent."""
         if index not in self.finished:
             self.finished.add(index)
             self._finished_with_attempts += index in self.attempts
@@ -260,20 +262,20 @@
         return not self.is_service and len(self.finished) >= self.spec.tasks
 
     def finished_in_chunk(self, start: int, size: int) -> frozenset[int]:
-        """Return the finished tasks of the chunk of ``size`` tasks from ``start`` on."""
+        """Return the finished tasks in the chunk of ``size`` tasks that begins with ``start``."""
         return frozenset(index for index in self.finished if start <= index < start + size)
 
     def _is_waiting(self, index: int) -> bool:
         return index not in self.finished and index not in self.attempts
 
     def load_bits(self, start: int, text: str) -> None:
-        """Take in a stored chunk of the finished set, which begins with task ``start``.
+        """Load a stored chunk of the finished set that begins with task ``start``.
 
-        ``text`` is as ``to_bits`` returns it.  Bits beyond the last task are ignored.
+        ``text`` has the form that ``to_bits`` returns.  Bits beyond the last task are ignored.
         """
-        for place, byte in enumerate(base64.b64decode(text)):
+        for byte_index, byte in enumerate(base64.b64decode(text)):
             for bit in range(8):
-                index = start + place * 8 + bit
+                index = start + byte_index * 8 + bit
                 if byte >> bit & 1 and index < self.spec.tasks:
                     self.finish(index)
                     self.durable.add(index)
@@ -282,13 +284,13 @@
 def to_bits(indexes: Iterable[int], start: int) -> str:
     """Encode task indexes as a bit set in base64.
 
-    Bit 0 of the first byte stands for task ``start``; no index may be below it.
+    Bit 0 of the first byte stands for task ``start``; no index may be below ``start``.
     """
     bits = bytearray()
     for index in indexes:
-        # Shifts and masks, since chunks are large: divmod takes half as long again.
-        place = (index - start) >> 3
-        if place >= len(bits):
-            bits.extend(bytes(place + 1 - len(bits)))
-        bits[place] |= 1 << ((index - start) & 7)
+        # Chunks are large: divmod would take one and a half times as long as shift and mask.
+        byte_index = (index - start) >> 3
+        if byte_index >= len(bits):
+            bits.extend(bytes(byte_index + 1 - len(bits)))
+        bits[byte_index] |= 1 << ((index - start) & 7)
     return base64.b64encode(bits).decode()
--- a/micadeal/jobs/validate.py
+++ b/micadeal/jobs/validate.py
@@ -1,4 +1,4 @@
-"""Checks of submissions: what is malformed (400) and what can never run (422).  No I/O."""
+"""Validates submissions: malformed ones (400) and those that can never run (422).  No I/O."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 JOB_ID = re.compile(r"req-[0-9]{1,32}\Z")
 MAX_TASKS = 100_000
-#: Characters in the name of a class, team, image, zone or machine type.
+#: In characters, for the name of a class, team, image, zone or machine type.
 MAX_NAME_LENGTH = 200
-#: Somewhat more than the state service can hold for one job in any case.
+#: Slightly above what the state service can store for one job.
 MAX_PREREQUISITES = 1000
 
 
 class MalformedJobError(ValueError):
-    """A submission that is malformed; the text says what is wrong (status 400)."""
+    """A malformed submission; the text says what is wrong (status 400)."""
 
 
 class UnschedulableJobError(ValueError):
@@ -31,7 +31,7 @@
 def parse(body: bytes) -> Submission:
     """Decode a submission and check its fields.
 
-    Raises ``MalformedJobError`` for the first fault, in the order of the checks below.
+    Raises ``MalformedJobError`` for the first fault, in the order of the checks.
     """
     try:
         spec = decode(Submission, body)
@@ -83,9 +83,9 @@
 
 
 def job_id_of(body: bytes) -> str | None:
-    """Return the id in a body whose other fields may be invalid, None if there is no valid id.
+    """Return the job id in a body whose other fields may be invalid; None if it has no valid id.
 
-    It lets a repeated submission of a known job be answered without an error.
+    With it, a repeated submission of a known job is answered without an error.
     """
     try:
         job_id = decode(JobName, body).job_id
@@ -97,9 +97,9 @@
 def check_possible(
     spec: Submission, teams: dict[str, Team], instance_offers: InstanceOffers
 ) -> None:
-    """Check that a submission could run in a deployment with these teams and machine types.
+    """Check that a submission can run in a deployment with these teams and machine types.
 
-    Raises ``UnschedulableJobError`` for the first reason why it never could.
+    Raises ``UnschedulableJobError`` with the first reason why it can never run.
     """
     team = teams.get(spec.team)
     if team is None:
@@ -108,7 +108,7 @@
         raise UnschedulableJobError("it waits for itself")
     if not instance_offers.can_ever_fit(spec):
         raise UnschedulableJobError("a task fits no allowed machine type")
-    # Gangs and services run all their tasks at the same time; of an array one is enough.
+    # Gangs and services run all their tasks at the same time; an array may run one at a time.
     concurrent_tasks = 1 if spec.shape is Shape.ARRAY else spec.tasks
     for need, limit, name in (
         (spec.cpus, team.cpus_max, "cores"),
