--- a/micadeal/operator/__init__.py
+++ b/micadeal/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: the platform's file, options of a deployment, operators' scripts."""
+"""Settings: the platform's settings file, optional features, operators' scripts."""
--- a/micadeal/operator/options.py
+++ b/micadeal/operator/options.py
@@ -1,7 +1,7 @@
-"""Features that are switched on for a deployment.
+"""Optional features of a deployment.
 
-They stand in a TOML file under ``deploy/``, the same for all its controllers.  Without a file
-everything is off.
+A TOML file under ``deploy/`` enables them, the same file for all controllers of the deployment.
+Without a file all are off.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 ):
     """Optional features; each is off by default."""
 
-    #: Followers keep workers' leases alive while nobody can lead (leadership/follower_leases.py).
+    #: Followers renew workers' leases while no controller can lead (leadership/follower_leases.py).
     renew_leases_as_follower: bool = False
 
 
 def load(path: Path) -> Options:
     """Read and check an options file.
 
-    Raises ``InvalidSettingsError`` with one line that says what is wrong.
+    Raises ``InvalidSettingsError`` with a text of one line.
     """
     try:
         return msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Options)
--- a/micadeal/operator/platform.py
+++ b/micadeal/operator/platform.py
@@ -1,6 +1,6 @@
-"""The platform's settings, read from its file and checked.
+"""Reads and checks the platform's settings file.
 
-Texts of errors name fields as the file does.
+Error texts name fields as the file does.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class InvalidSettingsError(ValueError):
-    """Settings that are refused; the text is one line that names what is missing or wrong."""
+    """Invalid settings; the text is one line that names the missing or invalid field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,63 +44,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """Guarantees and limits of a team; a limit of None means none."""
+    """Guarantees and limits of a team; a limit of None means no limit."""
 
     name: str
-    #: Guaranteed cores and accelerators.
+    #: Guarantees in cores and accelerators.
     cpus: float = 0.0
     gpus: float = 0.0
     cpus_max: float | None = None
     gpus_max: float | None = None
 
     def minimum(self, resource: str) -> float:
-        """Return the guarantee in ``"gpus"`` or ``"cpus"``."""
+        """Return the guarantee for a resource, ``"gpus"`` or ``"cpus"``."""
         return self.gpus if resource == "gpus" else self.cpus
 
     def limit(self, resource: str) -> float | None:
-        """Return the limit in ``"gpus"`` or ``"cpus"``."""
+        """Return the limit for a resource, ``"gpus"`` or ``"cpus"``; None: no limit."""
         return self.gpus_max if resource == "gpus" else self.cpus_max
 
 
 @dataclass(frozen=True, slots=True)
 class Workers:
-    """Times by which workers act, the same for all of them."""
+    """Intervals and timeouts of workers, the same for all workers."""
 
     heartbeat_interval: timedelta
-    #: A worker kills its tasks when the last answered heartbeat was sent longer ago than this.
+    #: A worker kills its tasks once its last answered heartbeat was sent longer ago than this.
     lease: timedelta
-    #: A task of a gang exits if the gang was not complete within this time.
+    #: A task of a gang exits if the gang is not complete within this time.
     gang_wait: timedelta
-    #: Within this time the tasks of a gang notice that one of them is gone.
+    #: Within this time the tasks of a gang detect that one of them is gone.
     gang_peer_timeout: timedelta
-    #: When a user is told of a cancellation, all tasks must be gone within this time
-    #: (``ran_cancelled``); longer than the lease.
+    #: After a user's cancellation was confirmed, all tasks of the job must be gone within this time
+    #: (``ran_cancelled``).  Longer than the lease.
     cancel_timeout: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """What is expected for one class of jobs."""
+    """An objective for one class of jobs."""
 
-    #: ``"wait"`` bounds the time to a start; other kinds are not acted on.
+    #: ``"wait"`` bounds the time until a job starts; other kinds are ignored.
     kind: str
     job_class: str
-    #: The time in which it is to be met.
+    #: Time within which the objective is to be met.
     target: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """Checked settings of one controller and its deployment."""
+    """Valid settings of one controller and its deployment."""
 
     #: Name and zone of this controller.
     name: str
     zone: str
-    #: Host and port on which users and workers are answered.
+    #: Host and port of the listener for users and workers.
     api_address: tuple[str, int]
-    #: Host and port on which other controllers are answered.
+    #: Host and port of the listener for other controllers.
     peer_address: tuple[str, int]
-    #: The other controllers; this one is left out.
+    #: The other controllers of the deployment.
     peers: tuple[Peer, ...]
     cloud_address: str
     state_address: str
@@ -109,15 +109,15 @@
     teams: dict[str, Team]
     objectives: tuple[Objective, ...]
     workers: Workers
-    #: Limits of the state service today.
+    #: Present limits of the state service.
     state_limits: Limits
-    #: The lower of each of today's limits and those announced.
+    #: The stricter of each present limit and its announced successor.
     guaranteed_limits: Limits
-    #: Requests to the cloud's API, per second.
+    #: Limit of requests to the cloud's API, per second.
     cloud_rps: float
-    #: Usual delay of the cloud's list of machines; at times it is twice that.
+    #: Usual delay of the cloud's list of machines; at times the delay is twice that.
     list_lag: timedelta
-    #: Connections that this process may have open at a time.
+    #: Most connections that this process may have open at a time.
     max_connections: int
 
 
@@ -151,7 +151,7 @@
 
 
 def _platform(file: SettingsFile) -> Platform:
-    """Check the file in a fixed order, so that of several faults the same one is reported."""
+    """Check and convert the file, in a fixed order so that the same fault is reported each time."""
     cluster = file.cluster
     _check_numbers(cluster)
     _check_zones(file)
@@ -172,7 +172,9 @@
         objectives=tuple(_objective(objective) for objective in cluster.objectives),
         workers=_workers(cluster.workers),
         state_limits=state_limits,
-        guaranteed_limits=_sure_limits(state_limits, cluster.state.next or AnnouncedStateLimits()),
+        guaranteed_limits=_guaranteed_limits(
+            state_limits, cluster.state.next or AnnouncedStateLimits()
+        ),
         cloud_rps=cluster.cloud.rps,
         list_lag=seconds(cluster.cloud.list_lag_s),
         max_connections=cluster.quota.max_connections,
@@ -207,7 +209,7 @@
 
 
 def _check_positive(values: Mapping[str, float]) -> None:
-    """Check values by their dotted names in the file."""
+    """Check that values are finite and above 0; their keys are dotted names as in the file."""
     for name, value in values.items():
         if not (math.isfinite(value) and value > 0):
             raise InvalidSettingsError(f"{name} must be above 0, not {value}")
@@ -226,7 +228,7 @@
 
 
 def _checked_team(team: TeamEntry) -> Team:
-    """Check a team's amounts; a limit of 0 in the file means none."""
+    """Check a team's guarantees and limits; a limit of 0 in the file means no limit."""
     for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
         value = getattr(team, name)
         if not (math.isfinite(value) and value >= 0):
@@ -242,14 +244,14 @@
     return Limits(state.rps, state.write_rps, state.txn_ops, _bytes(state.value_kb))
 
 
-def _sure_limits(now: Limits, announced: AnnouncedStateLimits) -> Limits:
-    """Return limits that hold before and after an announced change, which comes without notice."""
-    value_bytes = now.value_bytes if announced.value_kb is None else _bytes(announced.value_kb)
-    return now.stricter(
+def _guaranteed_limits(present: Limits, announced: AnnouncedStateLimits) -> Limits:
+    """Return limits that hold before and after an announced change, whose time is not known."""
+    value_bytes = present.value_bytes if announced.value_kb is None else _bytes(announced.value_kb)
+    return present.stricter(
         Limits(
-            announced.rps or now.requests_per_s,
-            announced.write_rps or now.changes_per_s,
-            announced.txn_ops or now.operations,
+            announced.rps or present.requests_per_s,
+            announced.write_rps or present.changes_per_s,
+            announced.txn_ops or present.operations,
             value_bytes,
         )
     )
@@ -274,7 +276,7 @@
 
 
 def _other_controllers(file: SettingsFile) -> tuple[Peer, ...]:
-    """Return the peers without this controller, which the file lists as well."""
+    """Return the listed controllers without this one."""
     return tuple(
         Peer(peer.name, peer.zone, peer.address) for peer in file.peers if peer.name != file.name
     )
--- a/micadeal/operator/script.py
+++ b/micadeal/operator/script.py
@@ -1,7 +1,7 @@
-"""Operators' settings, written as a Starlark script.
+"""Evaluates and checks operators' settings, which are written as a Starlark script.
 
 The command line evaluates and checks a script.  Its values are stored, and every leader checks
-them again before they take effect.
+them again before it applies them.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from micadeal.operator.policy import Flexible, Policy, TeamPolicy
 from micadeal.wire.codec import MessageFormatError, convert
 
-#: Name in a script that bounds the feature level of the stored state.
+#: Name by which a script limits the feature level of the stored state.
 HIGHEST_LEVEL = "highest_level"
-#: Feature levels that a script may name are below this.
+#: A script may name feature levels below this.
 LEVEL_BOUND = 1000
 MAX_TIMEOUT_S = 86_400
-#: Shown by ``micadeal settings show`` where no script is in force.
+#: Shown by ``micadeal settings show`` if no script applies.
 EXAMPLE = """\
 # Every name may be left out.  Durations are in seconds.
 refresh_s = 2           # how often shares are computed
@@ -45,7 +45,7 @@
 
 
 class InvalidScriptError(ValueError):
-    """A script or value that is refused; the text names the reason, and file and line if known."""
+    """An invalid script or value; the text has the reason, and file and line if known."""
 
 
 class _TeamValues(msgspec.Struct, forbid_unknown_fields=True):
@@ -62,7 +62,7 @@
 
 
 class _Values(msgspec.Struct, forbid_unknown_fields=True):
-    """The names that a script may set, with their defaults; field names are the Starlark names."""
+    """Names that a script may set, with their defaults; fields have the names of the script."""
 
     refresh_s: float = 2.0
     minimum_timeout_s: float = 15.0
@@ -83,20 +83,20 @@
     Raises ``InvalidScriptError`` for the first fault.
     """
     try:
-        read = convert(_Values, values)
+        parsed = convert(_Values, values)
     except MessageFormatError as problem:
         raise InvalidScriptError(str(problem)) from None
-    _check_range("refresh_s", read.refresh_s, 0.25, 60)
-    _check_range("minimum_timeout_s", read.minimum_timeout_s, 0, MAX_TIMEOUT_S)
-    _check_range("share_timeout_s", read.share_timeout_s, 0, MAX_TIMEOUT_S)
-    _check_range("gather_after_s", read.gather_after_s, 0, MAX_TIMEOUT_S)
+    _check_range("refresh_s", parsed.refresh_s, 0.25, 60)
+    _check_range("minimum_timeout_s", parsed.minimum_timeout_s, 0, MAX_TIMEOUT_S)
+    _check_range("share_timeout_s", parsed.share_timeout_s, 0, MAX_TIMEOUT_S)
+    _check_range("gather_after_s", parsed.gather_after_s, 0, MAX_TIMEOUT_S)
     return Policy(
-        refresh=seconds(read.refresh_s),
-        minimum_timeout=seconds(read.minimum_timeout_s),
-        share_timeout=seconds(read.share_timeout_s),
-        gather_after=seconds(read.gather_after_s),
-        teams={name: _team_policy(name, team) for name, team in read.teams.items()},
-        flexible={name: _flexible(name, weights) for name, weights in read.flexible.items()},
+        refresh=seconds(parsed.refresh_s),
+        minimum_timeout=seconds(parsed.minimum_timeout_s),
+        share_timeout=seconds(parsed.share_timeout_s),
+        gather_after=seconds(parsed.gather_after_s),
+        teams={name: _team_policy(name, team) for name, team in parsed.teams.items()},
+        flexible={name: _flexible(name, entry) for name, entry in parsed.flexible.items()},
     )
 
 
@@ -124,13 +124,13 @@
 
 
 def check_highest_level(value: Any) -> int | None:
-    """Return the highest feature level that a script allows; None if it sets no bound.
+    """Return the highest feature level that a script allows; None if it sets no limit.
 
-    Raises ``InvalidScriptError``.
+    Raises ``InvalidScriptError`` for a value that is no feature level.
     """
     if value is None:
         return None
-    # A bool is an int, too, but no level.
+    # ``isinstance`` would accept a bool.
     if type(value) is not int or not 0 <= value < LEVEL_BOUND:
         raise InvalidScriptError(f"{HIGHEST_LEVEL} must be a whole number from 0 on, not {value!r}")
     return value
@@ -139,11 +139,10 @@
 def evaluate(script: str, name: str) -> tuple[dict[str, Any], int | None]:
     """Return the checked values that a script sets, and the highest feature level it allows.
 
-    The level is not among the values, since versions without feature levels refuse a whole script
-    for one value that they do not know.  ``name`` is the file's, for errors.  Raises
-    ``InvalidScriptError``.
+    The level is not among the values, since versions without feature levels refuse all values if
+    they don't know one of them.  ``name``: file name for errors.  Raises ``InvalidScriptError``.
     """
-    import starlark  # noqa: PLC0415 - only the command line needs it, controllers do not
+    import starlark  # noqa: PLC0415 - needed by the command line only, not by controllers
 
     module = starlark.Module()
     try:
@@ -162,7 +161,7 @@
 
 
 def _line_of(script: str, problem: str) -> int:
-    """Return the line of the setting that a problem names; 1 if it names none."""
+    """Return the number of the line that sets the name in an error text; 1 if there is none."""
     for number, line in enumerate(script.splitlines(), 1):
         key = line.split("=")[0].strip()
         if key and key.isidentifier() and (problem.startswith(key) or f"$.{key}" in problem):
--- a/micadeal/operator/settings_file.py
+++ b/micadeal/operator/settings_file.py
@@ -1,7 +1,7 @@
-"""The structure of the settings file that the platform hands over (TOML).
+"""Structure of the platform's settings file (TOML).
 
-The ``rename`` maps hold the platform's words for what the rest of the program names otherwise.
-Values are checked and converted in ``operator/platform.py``.
+The ``rename`` maps translate between field names and the names in the file, where these differ.
+``operator/platform.py`` checks and converts the values.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class TeamEntry(msgspec.Struct):
-    """Guarantees and limits of a team; a limit of 0 means none."""
+    """Guarantees and limits of a team; a limit of 0 means no limit."""
 
     name: str
     cpus: float = 0.0
@@ -35,7 +35,7 @@
 
 
 class ObjectiveEntry(msgspec.Struct, rename={"job_class": "class"}):
-    """What is expected for one class of jobs."""
+    """An objective for one class of jobs."""
 
     kind: str
     job_class: str = ""
@@ -44,7 +44,7 @@
 
 
 class WorkerTimes(msgspec.Struct):
-    """Times by which workers act."""
+    """Intervals and timeouts of workers."""
 
     report_s: float
     lease_s: float
@@ -54,7 +54,7 @@
 
 
 class AnnouncedStateLimits(msgspec.Struct):
-    """Limits announced by the state service for later; a limit that is missing stays."""
+    """Announced future limits of the state service; a missing limit does not change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -88,7 +88,7 @@
 
 
 class ClusterSection(msgspec.Struct, rename={"controllers": "size"}):
-    """What is the same for all controllers of the deployment."""
+    """Settings that are the same for all controllers of the deployment."""
 
     controllers: int
     zones: list[str]
