--- a/micadeal/timing/__init__.py
+++ b/micadeal/timing/__init__.py
@@ -1,1 +1,1 @@
-"""When to start deferrable work: price and carbon series, start times by cost.  Pure."""
+"""Start times of deferrable jobs, chosen by cost from price and carbon series.  No I/O."""
--- a/micadeal/timing/cost_curve.py
+++ b/micadeal/timing/cost_curve.py
@@ -1,4 +1,4 @@
-"""What running for an hour costs over the time ahead, as a piecewise constant function."""
+"""Cost per hour over time, as a piecewise constant function."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class CostCurve:
-    """Piecewise constant cost rates with prefix sums, so that any window is priced quickly.
+    """Piecewise constant cost rates; prefix sums give the cost of any window quickly.
 
-    From ``edges[i]`` to ``edges[i + 1]`` an hour costs ``rates[i]``, in the unit that the weights
-    of the signals give.
+    From ``edges[i]`` to ``edges[i + 1]`` an hour costs ``rates[i]``.  The unit follows from the
+    weights of the signals.
     """
 
     __slots__ = ("_sums", "edges", "rates")
 
     def __init__(self, edges: list[datetime], rates: list[float]) -> None:
         if len(edges) != len(rates) + 1 or not rates:
-            raise ValueError("one more edge than rates, and at least one rate")
+            raise ValueError("a cost curve needs one more edge than rates, and at least one rate")
         self.edges = edges
         self.rates = rates
         #: ``_sums[i]`` is the cost from the first edge to ``edges[i]``.
@@ -30,15 +30,15 @@
 
     @property
     def end(self) -> datetime:
-        """Where the known costs end."""
+        """End of the known costs."""
         return self.edges[-1]
 
     def index(self, when: datetime) -> int:
-        """Return the piece that an instant lies in; the first or last for one outside."""
+        """Return the index of the piece at an instant; outside the curve the nearest piece's."""
         return min(max(bisect_right(self.edges, when) - 1, 0), len(self.rates) - 1)
 
     def cost(self, start: datetime, duration: timedelta) -> float:
-        """Return the cost of running from ``start`` on; past the end the last rate goes on."""
+        """Return the cost of running from ``start`` on; past the end the last rate applies."""
         return self._cost_until(start + duration) - self._cost_until(start)
 
     def _cost_until(self, when: datetime) -> float:
--- a/micadeal/timing/series.py
+++ b/micadeal/timing/series.py
@@ -1,6 +1,6 @@
-"""One price or carbon series, and the checks of what a feed sends.
+"""A price or carbon series, and the checks of a feed's response.
 
-Each kind of fault has its own error.
+Each kind of fault has its own error class.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 from micadeal.wire.signals import SeriesDocument
 
-#: A week of five-minute intervals; no feed forecasts more.
+#: A week of five-minute intervals; no feed has longer forecasts.
 MAX_POINTS = 2016
 MIN_INTERVAL = timedelta(seconds=1)
 MAX_INTERVAL = timedelta(days=1)
-#: Tariffs are not published further ahead: a wrong year is found by this.
+#: Tariffs are not published further ahead; a later start, such as a wrong year, is an error.
 HORIZON = timedelta(days=8)
-#: If the typical value rises or falls by this factor, a change of unit is assumed.
+#: If the median value rises or falls by this factor, a change of unit is assumed.
 STEP_FACTOR = 100.0
 CARBON_UNIT = "gCO2/kWh"
 _PRICE_UNIT = re.compile(r"[A-Z]{3}/kWh")
 
 
 class Quantity(Enum):
-    """What a series measures."""
+    """Quantity whose values a series has."""
 
     PRICE = "price"
     CARBON = "carbon"
 
 
 class Quality(Enum):
-    """How well a value is known."""
+    """Source of a value, from the most reliable to the least."""
 
     MEASURED = "measured"
     FORECAST = "forecast"
@@ -47,34 +47,34 @@
 
 
 class Reading(NamedTuple):
-    """A value at an instant."""
+    """The value of a signal at an instant."""
 
     value: float
     quality: Quality
 
 
 class SignalError(ValueError):
-    """A series that is refused; the last valid one stays in force until it expires."""
+    """An invalid series; the last valid one is used until it expires."""
 
 
 class MalformedSeriesError(SignalError):
-    """The body is not JSON, is truncated, or lacks fields or has them of another type."""
+    """The body is not JSON, a field is missing or mistyped, or the number of points is invalid."""
 
 
 class SeriesMismatchError(SignalError):
-    """The series is of another zone or quantity than requested."""
+    """The series is for another zone or quantity than requested."""
 
 
 class UnitMismatchError(SignalError):
-    """The unit is no currency per kWh, not the previous currency, or not grams of CO2 per kWh."""
+    """The unit is not that of the quantity, or differs from that of the previous series."""
 
 
 class InvalidTimeError(SignalError):
-    """A time lacks its zone or is too far ahead, or the interval is out of range."""
+    """A time has no time zone or is too far ahead, or the interval is out of range."""
 
 
 class SeriesGapError(SignalError):
-    """Points are missing between two others."""
+    """Points are missing between two points."""
 
 
 class SeriesOverlapError(SignalError):
@@ -82,11 +82,11 @@
 
 
 class InvalidValueError(SignalError):
-    """A value is not finite, or is carbon below zero.  Prices may be negative."""
+    """A value is not finite, or a carbon value is negative.  Prices may be negative."""
 
 
 class StepChangeError(SignalError):
-    """The typical value jumped by a factor that only a change of unit explains."""
+    """The median value changed by a factor that only a change of unit explains."""
 
 
 class SeriesExpiredError(SignalError):
@@ -95,19 +95,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """A checked series of values at equal distances.  Instants are in UTC.
+    """A valid series of values at equal intervals.  Instants are in UTC.
 
-    ``values[i]`` holds from ``start + i * interval`` for one interval.
+    ``values[i]`` applies from ``start + i * interval`` for one interval.
     """
 
     zone: str
     quantity: Quantity
     unit: str
-    #: Who published it, as shown to operators.
+    #: Publisher, as shown to operators.
     source: str
     issued: datetime
     valid_until: datetime
-    #: Intervals that begin before this instant were measured, the others are a forecast.
+    #: Values of intervals that begin before this instant were measured; the others are forecasts.
     measured_until: datetime
     start: datetime
     interval: timedelta
@@ -128,7 +128,7 @@
         return Reading(self.values[index], Quality.MEASURED if measured else Quality.FORECAST)
 
     def expired(self, now: datetime) -> bool:
-        """Whether nothing in the series may be relied on any more."""
+        """Tell whether the series has ended or is no longer valid, so that it must not be used."""
         return now >= self.valid_until or now >= self.end
 
 
@@ -140,10 +140,11 @@
     drift: timedelta,
     previous: Series | None = None,
 ) -> Series:
-    """Decode and check a feed's answer.
+    """Decode and check a feed's response.
 
-    ``drift`` is how far apart the feed's clock and ours may be, ``previous`` the last valid series
-    of the same zone and quantity.  Raises the subclass of ``SignalError`` for the first fault.
+    ``drift``: bound on the difference between the clocks of the feed and of this controller.
+    ``previous``: the last valid series of the same zone and quantity.  Raises the subclass of
+    ``SignalError`` for the first fault.
     """
     try:
         document = msgspec.json.decode(body, type=SeriesDocument)
@@ -151,13 +152,15 @@
         raise MalformedSeriesError(str(problem)) from None
     if (document.zone, document.quantity) != (zone, quantity.value):
         raise SeriesMismatchError(
-            f"{document.quantity} of {document.zone!r} instead of {quantity.value} of {zone!r}"
+            f"series is {document.quantity} of zone {document.zone!r}, "
+            f"not {quantity.value} of zone {zone!r}"
         )
     _check_unit(document.unit, quantity, previous)
     series = _checked_series(document, quantity, now, drift)
     if series.expired(now):
         raise SeriesExpiredError(
-            f"valid until {series.valid_until.isoformat()}, ends {series.end.isoformat()}"
+            f"series has expired: valid until {series.valid_until.isoformat()}, "
+            f"ends {series.end.isoformat()}"
         )
     _check_step(series, previous)
     return series
@@ -169,7 +172,7 @@
     """Check a document's times and values, and convert it."""
     _check_point_count(document)
     _check_time_zones(document)
-    # Subtracting datetimes of one local zone ignores its change of clocks: all become UTC first.
+    # Converted to UTC first: subtracting datetimes of one local time zone ignores daylight saving.
     starts = [point.start.astimezone(UTC) for point in document.points]
     interval = _checked_interval(document)
     _check_not_ahead(document, starts, now, drift)
@@ -193,32 +196,34 @@
 def _check_unit(unit: str, quantity: Quantity, previous: Series | None) -> None:
     if quantity is Quantity.CARBON:
         if unit != CARBON_UNIT:
-            raise UnitMismatchError(f"{unit!r} instead of {CARBON_UNIT!r}")
+            raise UnitMismatchError(f"unit is {unit!r}, not {CARBON_UNIT!r}")
     elif not _PRICE_UNIT.fullmatch(unit):
-        raise UnitMismatchError(f"{unit!r} is no currency per kWh, such as EUR/kWh")
+        raise UnitMismatchError(f"unit {unit!r} is not a currency per kWh, such as EUR/kWh")
     if previous is not None and unit != previous.unit:
-        raise UnitMismatchError(f"{unit!r}, but {previous.unit!r} before")
+        raise UnitMismatchError(f"unit changed from {previous.unit!r} to {unit!r}")
 
 
 def _check_point_count(document: SeriesDocument) -> None:
     if not 1 <= len(document.points) <= MAX_POINTS:
-        raise MalformedSeriesError(f"{len(document.points)} points; 1 to {MAX_POINTS} are taken")
+        raise MalformedSeriesError(
+            f"number of points must be 1 to {MAX_POINTS}, not {len(document.points)}"
+        )
 
 
 def _check_time_zones(document: SeriesDocument) -> None:
     times = [document.issued, document.valid_until, document.measured_until]
     for when in [*times, *(point.start for point in document.points)]:
         if when.tzinfo is None:
-            raise InvalidTimeError(f"{when.isoformat()} does not say its time zone")
+            raise InvalidTimeError(f"{when.isoformat()} has no time zone")
 
 
 def _checked_interval(document: SeriesDocument) -> timedelta:
     if not math.isfinite(document.interval_s):
-        raise InvalidTimeError("the interval is no number")
-    # Cut to what a timedelta can hold; both ends of the cut are refused below.
+        raise InvalidTimeError("interval is not a finite number")
+    # Clamped to what a timedelta can hold; the check below refuses both bounds.
     interval = timedelta(seconds=min(max(document.interval_s, 0.0), 1e6))
     if not MIN_INTERVAL <= interval <= MAX_INTERVAL:
-        raise InvalidTimeError(f"an interval of {document.interval_s:g} s")
+        raise InvalidTimeError(f"interval is out of range: {document.interval_s:g} s")
     return interval
 
 
@@ -226,33 +231,39 @@
     document: SeriesDocument, starts: list[datetime], now: datetime, drift: timedelta
 ) -> None:
     if document.issued > now + drift:
-        raise InvalidTimeError(f"issued at {document.issued.isoformat()}, which is still to come")
+        raise InvalidTimeError(f"time of issue is in the future: {document.issued.isoformat()}")
     if starts[-1] > now + HORIZON:
-        raise InvalidTimeError(f"{starts[-1].isoformat()} is too far ahead")
+        raise InvalidTimeError(f"last point is too far ahead: {starts[-1].isoformat()}")
 
 
 def _check_spacing(starts: list[datetime], interval: timedelta) -> None:
     for start, following in pairwise(starts):
         if following - start < interval:
-            raise SeriesOverlapError(f"{start.isoformat()} and {following.isoformat()}")
+            raise SeriesOverlapError(
+                f"points overlap or are out of order: {start.isoformat()}, {following.isoformat()}"
+            )
         if following - start > interval:
-            raise SeriesGapError(f"between {start.isoformat()} and {following.isoformat()}")
+            raise SeriesGapError(
+                f"points are missing between {start.isoformat()} and {following.isoformat()}"
+            )
 
 
 def _check_values(values: tuple[float, ...], starts: list[datetime], quantity: Quantity) -> None:
     for value, start in zip(values, starts, strict=True):
         if not math.isfinite(value) or (quantity is Quantity.CARBON and value < 0):
-            raise InvalidValueError(f"{value} from {start.isoformat()}")
+            raise InvalidValueError(f"invalid value at {start.isoformat()}: {value}")
 
 
 def _check_step(series: Series, previous: Series | None) -> None:
     if previous is None:
         return
     typical = median(abs(value) for value in series.values)
-    typical_before = median(abs(value) for value in previous.values)
-    if min(typical, typical_before) <= 0:
-        # Free energy is legal, and it has no ratio to anything.
+    previous_typical = median(abs(value) for value in previous.values)
+    if min(typical, previous_typical) <= 0:
+        # A price of zero is valid, and no factor can be computed with it.
         return
-    factor = typical / typical_before
+    factor = typical / previous_typical
     if factor >= STEP_FACTOR or factor <= 1 / STEP_FACTOR:
-        raise StepChangeError(f"typically {typical:g} {series.unit} after {typical_before:g}")
+        raise StepChangeError(
+            f"median value is {typical:g} {series.unit}, but was {previous_typical:g}"
+        )
--- a/micadeal/timing/signal.py
+++ b/micadeal/timing/signal.py
@@ -1,8 +1,8 @@
-"""The price or carbon of a zone: its series, else its daily profile, else unknown.
+"""The price or carbon signal of a zone: its series, else its daily profile, else unknown.
 
-The fallback depends on staleness alone, so that every leader with the same series decides alike:
-measured and forecast values as long as the series is valid, then what that time of day usually
-has, then nothing, and work starts as if there were no signal.
+The fallback depends on the age of the series alone, so that all leaders with the same series decide
+alike.  While the series is valid, its measured and forecast values are used, and then the usual
+value at that time of day.  If that is unknown too, jobs start as if there were no signal.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from micadeal.timing.cost_curve import CostCurve
 from micadeal.timing.series import Quality, Reading, Series
 
-#: The profile has one value for each slot of a day; tariffs change at full quarters of an hour.
+#: The profile has one value per slot of a day; tariffs change at full quarters of an hour.
 SLOT = timedelta(minutes=15)
 SLOTS_PER_DAY = timedelta(days=1) // SLOT
-#: Weight of a new day in the profile, against all days before it.
+#: Weight of a new day in the profile, relative to all earlier days.
 LEARNING_RATE = 0.3
 
 
 @dataclass(slots=True)
 class Profile:
-    """The usual value in each quarter of an hour of local time."""
+    """The usual value in each quarter of an hour of the day, in local time."""
 
     zone: tzinfo
     values: list[float | None] = field(default_factory=lambda: [None] * SLOTS_PER_DAY)
-    #: Up to when values have been learned, so that no value is learned twice.
+    #: End of the learned values, so that no value is learned twice; None if there are none.
     learned: datetime | None = None
 
     def at(self, when: datetime) -> float | None:
-        """Return the usual value at that time of day; None if unknown."""
+        """Return the usual value at an instant's time of day; None if unknown."""
         return self.values[self._slot(when)]
 
     def learn(self, series: Series) -> None:
-        """Take in a series' measured values; a forecast would only teach its own guess."""
+        """Learn the measured values of a series; its forecasts are no evidence."""
         when = series.start if self.learned is None else max(series.start, self.learned)
         until = min(series.measured_until, series.end)
         while when < until:
@@ -47,8 +47,8 @@
             self.learned = until
 
     def _learn_value(self, slot: int, value: float) -> None:
-        before = self.values[slot]
-        self.values[slot] = value if before is None else before + LEARNING_RATE * (value - before)
+        usual = self.values[slot]
+        self.values[slot] = value if usual is None else usual + LEARNING_RATE * (value - usual)
 
     def _slot(self, when: datetime) -> int:
         local = when.astimezone(self.zone)
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class Signal:
-    """The price or carbon of one zone."""
+    """The price or carbon signal of one zone."""
 
     profile: Profile
     #: The last valid series.
@@ -81,17 +81,17 @@
 def cost_curve(
     signals: Iterable[tuple[Signal, float]], now: datetime, until: datetime
 ) -> CostCurve | None:
-    """Return the cost of an hour at one kilowatt from now on: the weighted sum of signals.
+    """Return the cost per hour at one kilowatt from now on: the weighted sum of the signals.
 
-    The curve ends where a signal with a weight is unknown, since a sum that lacks a part would
-    look cheaper than it is.  None if that is so now.
+    The curve ends where a signal with a nonzero weight is unknown, since an incomplete sum would
+    be too low.  None if such a signal is unknown now, or there is none.
     """
     weighted = [(signal, weight) for signal, weight in signals if weight]
     if not weighted or until <= now:
         return None
     edges = [now]
     rates: list[float] = []
-    # Full quarters, counted from the epoch, so that the edges do not move with ``now``.
+    # Edges are at full quarters of an hour since the epoch, so that they don't move with ``now``.
     step = SLOT.total_seconds()
     next_edge = datetime.fromtimestamp((now.timestamp() // step + 1) * step, tz=now.tzinfo)
     while edges[-1] < until:
