--- a/bench/reachability_world.py
+++ b/bench/reachability_world.py
@@ -191,7 +191,7 @@
             None if reachability.latest is None else self.at - reachability.latest,
             None if machine.heard is None else self.at - machine.heard,
             reachability.token,
-            reachability.missed,
+            reachability.ineffective_responses,
             reachability.restarted,
             attempts,
         )
--- a/micadeal/controller/api/heartbeats.py
+++ b/micadeal/controller/api/heartbeats.py
@@ -100,7 +100,7 @@
             leader.actor is not None,
             leader.name,
             monotonic(),
-            knows=0 < heartbeat.token == leader.token,
+            has_leader_token=0 < heartbeat.token == leader.token,
         )
         if route is HeartbeatRoute.LOCAL:
             reply = await self.submit(heartbeat)
@@ -124,10 +124,10 @@
                 leader_name,
                 problem,
             )
-            self._router.relay_failed(heartbeat.machine)
+            self._router.record_relay_failure(heartbeat.machine)
             return error(503, "the leader can't be reached")
         if relayed.status == _OK:
-            self._router.relayed(heartbeat.machine, monotonic())
+            self._router.record_relay(heartbeat.machine, monotonic())
         return answer(relayed.status, relayed.body)
 
     def _renew_as_follower(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
--- a/micadeal/fleet/boot_times.py
+++ b/micadeal/fleet/boot_times.py
@@ -58,7 +58,7 @@
         boots = self._boots.setdefault(offer, deque(maxlen=MAX_REMEMBERED_BOOTS))
         boots.append(Boot(machine.rented, max(now - machine.rented, ZERO)))
 
-    def late(self, machine: Machine, type_boot_time: timedelta, now: timedelta) -> bool:
+    def is_late(self, machine: Machine, type_boot_time: timedelta, now: timedelta) -> bool:
         """Tell whether a booting machine is late, so that another may be rented in its place."""
         durations = self._overtakers(machine, now)
         if len(durations) < MIN_OVERTAKERS:
@@ -69,7 +69,7 @@
         )
         return machine.age(now) > limit
 
-    def given_up(self, machine: Machine, type_boot_time: timedelta, now: timedelta) -> bool:
+    def has_timed_out(self, machine: Machine, type_boot_time: timedelta, now: timedelta) -> bool:
         """Tell whether a booting machine has exceeded its boot timeout and is to be returned."""
         overtaken = len(self._overtakers(machine, now)) >= MIN_OVERTAKERS
         factor = OVERTAKEN_TIMEOUT_FACTOR if overtaken else TIMEOUT_FACTOR
--- a/micadeal/fleet/heartbeat_routing.py
+++ b/micadeal/fleet/heartbeat_routing.py
@@ -50,12 +50,17 @@
         self._routes: OrderedDict[str, _WorkerRoute] = OrderedDict()
 
     def route(
-        self, machine: str, leading: bool, leader: str | None, now: timedelta, knows: bool = False
+        self,
+        machine: str,
+        leading: bool,
+        leader: str | None,
+        now: timedelta,
+        has_leader_token: bool = False,
     ) -> HeartbeatRoute:
         """Choose the route of a heartbeat.
 
         ``leading``: this controller leads.  ``leader``: name of the leader, None if unknown.
-        ``knows``: the heartbeat carries the present leader's token.
+        ``has_leader_token``: the heartbeat carries the present leader's token.
         """
         if leading:
             return HeartbeatRoute.LOCAL
@@ -66,7 +71,9 @@
             return HeartbeatRoute.RELAY
         if route.redirected is not None and now - route.redirected < REDIRECT_RETURN_WINDOW:
             return HeartbeatRoute.RELAY
-        if knows and (route.fell_back is None or now - route.fell_back > FALLBACK_INTERVAL):
+        if has_leader_token and (
+            route.fell_back is None or now - route.fell_back > FALLBACK_INTERVAL
+        ):
             # The worker most likely changed controllers because the leader did not answer for 4 s.
             # A redirect could cost it another 4 s, and together with a heartbeat interval that is
             # longer than a lease.
@@ -75,13 +82,13 @@
         route.redirected = now
         return HeartbeatRoute.REDIRECT
 
-    def relayed(self, machine: str, now: timedelta) -> None:
+    def record_relay(self, machine: str, now: timedelta) -> None:
         """Record that the leader answered a relayed heartbeat."""
         route = self._routes.get(machine)
         if route is not None and route.redirected is not None:
             route.relayed = now
 
-    def relay_failed(self, machine: str) -> None:
+    def record_relay_failure(self, machine: str) -> None:
         """Record that a heartbeat could not be relayed, so that the next one is redirected."""
         route = self._routes.get(machine)
         if route is not None:
--- a/micadeal/fleet/instance_offers.py
+++ b/micadeal/fleet/instance_offers.py
@@ -53,18 +53,18 @@
     _backoffs: dict[InstanceOffer, _Backoff] = field(default_factory=dict)
     _refusals: dict[InstanceOffer, _Refusal] = field(default_factory=dict)
 
-    def refused(self, offer: InstanceOffer, rented: int, now: timedelta) -> None:
+    def record_refusal(self, offer: InstanceOffer, rented: int, now: timedelta) -> None:
         """Record that the cloud refused more of an offer while ``rented`` machines were rented."""
         self._refusals[offer] = _Refusal(rented, now)
         last = self._backoffs.get(offer)
         duration = FIRST_BACKOFF if last is None else min(last.duration * 2, MAX_BACKOFF)
         self._backoffs[offer] = _Backoff(duration, now + duration)
 
-    def granted(self, offer: InstanceOffer) -> None:
+    def record_grant(self, offer: InstanceOffer) -> None:
         """Record that the cloud granted machines of an offer, and end its backoff."""
         self._backoffs.pop(offer, None)
 
-    def left(self, offer: InstanceOffer, rented: int, now: timedelta) -> int | None:
+    def remaining(self, offer: InstanceOffer, rented: int, now: timedelta) -> int | None:
         """Return how many more machines the last refusal lets expect; None if that is unknown.
 
         ``rented``: machines of the offer that are rented now.  Guards against renting part of a
@@ -81,11 +81,11 @@
         backoff = self._backoffs.get(offer)
         return backoff is not None and now < backoff.until
 
-    def any_paused(self, now: timedelta) -> list[InstanceOffer]:
+    def backing_off(self, now: timedelta) -> list[InstanceOffer]:
         """Return the offers that are in their backoff."""
         return [offer for offer in self._backoffs if self.is_backing_off(offer, now)]
 
-    def spot_refused(self, now: timedelta) -> bool:
+    def all_spot_backing_off(self, now: timedelta) -> bool:
         """Tell whether all spot offers are in their backoff.
 
         Jobs that may use spot machines may then use on-demand machines as well.
@@ -106,11 +106,11 @@
             for kind in self.types.values()
         )
 
-    def most_on_one(self, spec: Submission) -> int:
+    def max_tasks_per_machine(self, spec: Submission) -> int:
         """Return how many of the job's tasks fit one machine of the best type; at least 1."""
         return max((_tasks_per_machine(spec, kind) for kind in self.types.values()), default=1)
 
-    def choices(
+    def available(
         self, spec: Submission, now: timedelta, machines_by_zone: Counter[str]
     ) -> Iterator[tuple[InstanceOffer, MachineType]]:
         """Yield the offers that fit a task and are not in their backoff, with their types.
--- a/micadeal/fleet/reachability.py
+++ b/micadeal/fleet/reachability.py
@@ -44,9 +44,9 @@
     #: can't have renewed the lease from an instant after it.
     latest: timedelta | None = None
     #: Consecutive responses without effect.
-    missed: int = 0
+    ineffective_responses: int = 0
     #: When the first of these was noticed.
-    missed_since: timedelta | None = None
+    first_ineffective_at: timedelta | None = None
     #: When a command or probe was last sent to it.
     last_probe_at: timedelta | None = None
     #: Its worker process was restarted.  No message from such a machine is conclusive: a late copy
@@ -60,18 +60,20 @@
 
     def response_took_effect(self) -> None:
         """Record that a heartbeat showed the effect of an earlier response."""
-        self.missed, self.missed_since = 0, None
+        self.ineffective_responses, self.first_ineffective_at = 0, None
 
     def response_had_no_effect(self, now: timedelta) -> None:
         """Record that a heartbeat sent after a response showed no effect of it."""
-        self.missed += 1
-        if self.missed_since is None:
-            self.missed_since = now
+        self.ineffective_responses += 1
+        if self.first_ineffective_at is None:
+            self.first_ineffective_at = now
 
     def probe_answered(self, asked: timedelta) -> None:
         """Record an answer to a probe sent at ``asked``."""
-        sent_after_failure = self.missed_since is not None and asked >= self.missed_since
-        if sent_after_failure and self.missed < MAX_EXCUSED_FAILURES:
+        sent_after_failure = (
+            self.first_ineffective_at is not None and asked >= self.first_ineffective_at
+        )
+        if sent_after_failure and self.ineffective_responses < MAX_EXCUSED_FAILURES:
             self.response_took_effect()
 
     def probe_unanswered(self, asked: timedelta) -> None:
@@ -79,19 +81,19 @@
 
         One response without effect and one unanswered probe make the machine unreachable.
         """
-        if self.missed_since is not None and asked >= self.missed_since:
-            self.missed = max(self.missed, UNREACHABLE_AFTER)
+        if self.first_ineffective_at is not None and asked >= self.first_ineffective_at:
+            self.ineffective_responses = max(self.ineffective_responses, UNREACHABLE_AFTER)
 
     @property
     def receives_nothing(self) -> bool:
         """Whether the machine counts as unreachable for responses and commands."""
-        return self.missed >= UNREACHABLE_AFTER
+        return self.ineffective_responses >= UNREACHABLE_AFTER
 
     def receives_nothing_for(self, now: timedelta) -> timedelta:
         """Return how long the machine has been unreachable; zero if it is reachable."""
-        if self.missed_since is None or not self.receives_nothing:
+        if self.first_ineffective_at is None or not self.receives_nothing:
             return ZERO
-        return now - self.missed_since
+        return now - self.first_ineffective_at
 
     def proves_restart(self, asked: timedelta | None) -> bool:
         """Tell whether a message that looks old proves that the worker process was restarted.
--- a/micadeal/scheduling/arrivals.py
+++ b/micadeal/scheduling/arrivals.py
@@ -77,7 +77,7 @@
         tasks = job.spec.tasks
         if job.is_gang:
             # A large gang needs more slots at once than are likely to be left: a machine's worth.
-            tasks = min(tasks, self._offers.most_on_one(job.spec))
+            tasks = min(tasks, self._offers.max_tasks_per_machine(job.spec))
         entry.arrivals.append(_Arrival(max(job.submitted, now - MAX_ARRIVAL_AGE), tasks))
         entry.spec = job.spec
         entry.images.append(job.spec.image)
--- a/micadeal/scheduling/capacity.py
+++ b/micadeal/scheduling/capacity.py
@@ -56,7 +56,7 @@
         return not machine.has_our_token and not _token_overdue(machine, now, timeout)
     # If it is late, pending work gets capacity elsewhere; if it comes after all, it is used or
     # returned.
-    return not cluster.boot_times.late(machine, seconds(kind.boot_s), now)
+    return not cluster.boot_times.is_late(machine, seconds(kind.boot_s), now)
 
 
 def _token_overdue(machine: Machine, now: timedelta, timeout: timedelta) -> bool:
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -177,7 +177,7 @@
 
 def _notes(scheduler: Scheduler, now: timedelta) -> list[str]:
     """Return what needs an operator's attention, in alphabetical order."""
-    notes = [_refusal_note(offer) for offer in scheduler.instance_offers.any_paused(now)]
+    notes = [_refusal_note(offer) for offer in scheduler.instance_offers.backing_off(now)]
     names_by_note: dict[str, list[str]] = {}
     for machine in scheduler.cluster.machines.values():
         note = _machine_note(machine, scheduler.cluster, now)
@@ -203,7 +203,7 @@
     kind = cluster.types.get(machine.machine_type)
     if machine.up or kind is None:
         return None
-    if cluster.boot_times.late(machine, seconds(kind.boot_s), now):
+    if cluster.boot_times.is_late(machine, seconds(kind.boot_s), now):
         return "boot for much longer than others did"
     return None
 
--- a/micadeal/scheduling/job_reasons.py
+++ b/micadeal/scheduling/job_reasons.py
@@ -101,7 +101,7 @@
 
 
 def _refusal_reasons(scheduler: Scheduler, now: timedelta) -> list[Reason]:
-    paused = scheduler.instance_offers.any_paused(now)
+    paused = scheduler.instance_offers.backing_off(now)
     if not paused:
         return []
     offers = ", ".join(
--- a/micadeal/scheduling/machine_inventory.py
+++ b/micadeal/scheduling/machine_inventory.py
@@ -98,7 +98,7 @@
         """Take in a granted request; fewer machines than asked for count as a refusal of more."""
         offer = _offer_of(request)
         self.rentals.pop(offer, None)
-        self._offers.granted(offer)
+        self._offers.record_grant(offer)
         for name in names:
             if name in self._cluster.removed_machines:
                 continue
@@ -110,14 +110,14 @@
                 machine.boot_seen = True
             machine.confirmed = True
         if len(names) < request.count:
-            self._offers.refused(offer, self._cluster.held()[offer], now)
+            self._offers.record_refusal(offer, self._cluster.held()[offer], now)
         self._cluster.changed = True
 
     def rental_refused(self, request: RentalRequest, now: timedelta) -> None:
         """Take in a refused request."""
         offer = _offer_of(request)
         self.rentals.pop(offer, None)
-        self._offers.refused(offer, self._cluster.held()[offer], now)
+        self._offers.record_refusal(offer, self._cluster.held()[offer], now)
         self._cluster.changed = True
 
     # -- scale in --------------------------------------------------------------------------
--- a/micadeal/scheduling/machine_monitor.py
+++ b/micadeal/scheduling/machine_monitor.py
@@ -87,7 +87,11 @@
         ):
             self._cluster.pending_direct_commands.add(machine.name)
         reachability = machine.reachability
-        if reachability.missed and reachability.receives_nothing and reachability.may_probe(now):
+        if (
+            reachability.ineffective_responses
+            and reachability.receives_nothing
+            and reachability.may_probe(now)
+        ):
             # Its answer proves that it receives what we send again.
             self._cluster.pending_probes.add(machine.name)
 
--- a/micadeal/scheduling/reservations.py
+++ b/micadeal/scheduling/reservations.py
@@ -197,10 +197,10 @@
     def _rentable(self, job: Job, zone: str | None, slots: int, inputs: ReservationInputs) -> bool:
         """Return whether the cloud may have machines for so many more slots; zone None: any."""
         offers = inputs.instance_offers
-        machines = -(-slots // offers.most_on_one(job.spec))
-        for offer, _ in offers.choices(job.spec, inputs.now, Counter()):
+        machines = -(-slots // offers.max_tasks_per_machine(job.spec))
+        for offer, _ in offers.available(job.spec, inputs.now, Counter()):
             if zone in (None, offer.zone):
-                left = offers.left(offer, self._existing[offer], inputs.now)
+                left = offers.remaining(offer, self._existing[offer], inputs.now)
                 if left is None or left >= machines:
                     return True
         return False
@@ -237,7 +237,7 @@
     if job.production or not job.waiting_count() or job.spec.team not in inputs.cluster.teams:
         return False
     # A single task that shares a machine with others can use whatever becomes free.
-    return slots_needed(job) > 1 or inputs.instance_offers.most_on_one(job.spec) <= 1
+    return slots_needed(job) > 1 or inputs.instance_offers.max_tasks_per_machine(job.spec) <= 1
 
 
 def _within_limits(job: Job, cluster: ClusterState, usage: dict[str, Amounts]) -> bool:
--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -118,7 +118,7 @@
             limit = self._lease_expiry + UNREACHABLE_TIMEOUT
             return ReturnReason.NO_HEARTBEAT if silence > limit else None
         boot_time = self._boot_time(machine, UNKNOWN_BOOT_S)
-        given_up = self._cluster.boot_times.given_up(machine, boot_time, now)
+        given_up = self._cluster.boot_times.has_timed_out(machine, boot_time, now)
         return ReturnReason.NOT_BOOTED if given_up else None
 
     def _boot_time(self, machine: Machine, default_s: float) -> timedelta:
@@ -133,7 +133,7 @@
             return ReturnReason.RECLAIMED
         if not machine.has_our_token and self._is_unknown(machine, now):
             return ReturnReason.UNKNOWN
-        if machine.reachability.missed and self._lease_lapsed(machine, now):
+        if machine.reachability.ineffective_responses and self._lease_lapsed(machine, now):
             return ReturnReason.RECEIVES_NOTHING
         return None
 
--- a/micadeal/scheduling/scale_out.py
+++ b/micadeal/scheduling/scale_out.py
@@ -51,7 +51,7 @@
         """
         if self._exhausted:
             return None
-        for offer, kind in self._offers.choices(spec, self._now, self._pool.machines_by_zone):
+        for offer, kind in self._offers.available(spec, self._now, self._pool.machines_by_zone):
             if warm and spec.spot_allowed and not offer.spot:
                 continue
             if rule.permits(offer.zone):
@@ -69,12 +69,12 @@
             return []
         seen: set[str] = set()
         candidates: list[MachineCapacity] = []
-        for offer, kind in self._offers.choices(spec, self._now, self._pool.machines_by_zone):
+        for offer, kind in self._offers.available(spec, self._now, self._pool.machines_by_zone):
             if offer.zone in seen:
                 continue
             seen.add(offer.zone)
             count = min(spec.tasks, MAX_PLANNED)
-            left = self._offers.left(offer, self._count(offer), self._now)
+            left = self._offers.remaining(offer, self._count(offer), self._now)
             if left is not None:
                 count = min(count, left)
             for _ in range(count):
@@ -106,6 +106,6 @@
         if self._planned >= MAX_PLANNED:
             return MANY_RENTALS
         zones = self._pool.machines_by_zone
-        if not any(True for _ in self._offers.choices(job.spec, self._now, zones)):
+        if not any(True for _ in self._offers.available(job.spec, self._now, zones)):
             return CLOUD_REFUSED
         return ZONES_EXCLUDED
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -235,7 +235,7 @@
                 self.policy,
                 frozenset(satisfied),
                 frozenset(below_guarantee),
-                self.instance_offers.spot_refused(now),
+                self.instance_offers.all_spot_backing_off(now),
                 now,
             )
         )
--- a/micadeal/scheduling/scheduling_cycle.py
+++ b/micadeal/scheduling/scheduling_cycle.py
@@ -35,7 +35,7 @@
         self.pool = CapacityPool(
             cluster,
             build_capacities(cluster, now, inputs.pending_rentals),
-            inputs.instance_offers.spot_refused(now),
+            inputs.instance_offers.all_spot_backing_off(now),
         )
         self._bookings = Bookings(cluster, self.plan, now)
         self._scale_out = ScaleOut(inputs, self.pool, self.plan)
--- a/micadeal/scheduling/team_shares.py
+++ b/micadeal/scheduling/team_shares.py
@@ -106,7 +106,7 @@
         if (kind := inputs.cluster.types.get(capacity.machine_type))
     )
     demand = sum(state.demand for state in states.values())
-    if inputs.may_rent and not inputs.instance_offers.any_paused(inputs.now):
+    if inputs.may_rent and not inputs.instance_offers.backing_off(inputs.now):
         return max(total, demand)
     return total
 
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -20,13 +20,13 @@
 def test_booting_machine_is_late_once_others_have_overtaken_it() -> None:
     boot_times = BootTimes()
     machine = _booting("m", 100)
-    assert not boot_times.late(machine, TYPE_BOOT_TIME, seconds(160))
+    assert not boot_times.is_late(machine, TYPE_BOOT_TIME, seconds(160))
     for number in range(3):
         boot_times.record_boot(_booting(f"n{number}", 101 + number), seconds(132))
-    assert not boot_times.late(machine, TYPE_BOOT_TIME, seconds(140))
-    assert boot_times.late(machine, TYPE_BOOT_TIME, seconds(160))
-    assert not boot_times.given_up(machine, TYPE_BOOT_TIME, seconds(160))
-    assert boot_times.given_up(machine, TYPE_BOOT_TIME, seconds(191))
+    assert not boot_times.is_late(machine, TYPE_BOOT_TIME, seconds(140))
+    assert boot_times.is_late(machine, TYPE_BOOT_TIME, seconds(160))
+    assert not boot_times.has_timed_out(machine, TYPE_BOOT_TIME, seconds(160))
+    assert boot_times.has_timed_out(machine, TYPE_BOOT_TIME, seconds(191))
 
 
 def test_no_machine_is_late_while_all_boots_are_slow() -> None:
@@ -35,9 +35,9 @@
     for number in range(5):
         boot_times.record_boot(_booting(f"before{number}", 10), seconds(40))
     slow = _booting("m", 100)
-    assert not boot_times.late(slow, TYPE_BOOT_TIME, seconds(230))
-    assert not boot_times.given_up(slow, TYPE_BOOT_TIME, seconds(230))
-    assert boot_times.given_up(slow, TYPE_BOOT_TIME, seconds(345))
+    assert not boot_times.is_late(slow, TYPE_BOOT_TIME, seconds(230))
+    assert not boot_times.has_timed_out(slow, TYPE_BOOT_TIME, seconds(230))
+    assert boot_times.has_timed_out(slow, TYPE_BOOT_TIME, seconds(345))
 
 
 def test_work_waiting_for_a_machine_that_never_boots_is_placed_elsewhere(
--- a/tests/test_reachability_rules.py
+++ b/tests/test_reachability_rules.py
@@ -32,7 +32,9 @@
     assert reachability.receives_nothing
     assert reachability.receives_nothing_for(seconds(5)) == seconds(4)
     reachability.probe_answered(seconds(6))
-    assert not reachability.receives_nothing and reachability.missed < UNREACHABLE_AFTER
+    assert (
+        not reachability.receives_nothing and reachability.ineffective_responses < UNREACHABLE_AFTER
+    )
     for _ in range(MAX_EXCUSED_FAILURES):
         reachability.response_had_no_effect(seconds(7))
     reachability.probe_answered(seconds(8))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -120,7 +120,7 @@
         deployment = RandomDeployment(machines, jobs, seed)
         if scarce:
             for offer in [o for o in _offers(deployment) if o.spot]:
-                deployment.scheduler.instance_offers.refused(offer, 3, deployment.now)
+                deployment.scheduler.instance_offers.record_refusal(offer, 3, deployment.now)
         return deployment
 
     cached = run_cycles(build())
@@ -135,7 +135,7 @@
     spec = deployment.submit(spot_allowed=True, gpus=1.0, cpus=1.0, memory_gb=1.0).spec
     return [
         offer
-        for offer, _ in deployment.scheduler.instance_offers.choices(
+        for offer, _ in deployment.scheduler.instance_offers.available(
             spec, deployment.now, Counter()
         )
     ]
@@ -145,7 +145,7 @@
     """Have the cloud refuse more than the existing machines in every zone."""
     for zone in ZONES:
         offer = InstanceOffer("box", zone, spot)
-        deployment.scheduler.instance_offers.refused(offer, existing, deployment.now)
+        deployment.scheduler.instance_offers.record_refusal(offer, existing, deployment.now)
 
 
 # -- work of one cycle -------------------------------------------------------------------------
@@ -213,7 +213,7 @@
         deployment.now += seconds(0.1)
         deployment.submit(tasks=1, gpus=2.0, cpus=16.0, zone="north", image=f"img-{number}")
     for offer in _offers(deployment):
-        deployment.scheduler.instance_offers.refused(offer, 0, deployment.now + seconds(85))
+        deployment.scheduler.instance_offers.record_refusal(offer, 0, deployment.now + seconds(85))
     deployment.now += seconds(90)
     deployment.scheduler.run_cycle(deployment.now)
     found = explanations.overview(deployment.scheduler, "c0", deployment.now, state_reachable=True)
