--- a/micadeal/controller/api/submission.py
+++ b/micadeal/controller/api/submission.py
@@ -20,7 +20,7 @@
 from micadeal.jobs.validate import (
     MalformedJobError,
     UnschedulableJobError,
-    check_possible,
+    check_schedulable,
     job_id_of,
     parse,
 )
@@ -78,7 +78,7 @@
             no_catalog = error(503, "the machine types are not known yet", RETRY_AFTER)
             return await self._known_or(spec.job_id, no_catalog)
         try:
-            check_possible(spec, self._teams, self.instance_offers)
+            check_schedulable(spec, self._teams, self.instance_offers)
             cancelled = await self._has_cancelled_prerequisite(spec)
         except UnschedulableJobError as problem:
             return await self._known_or(spec.job_id, error(422, str(problem)))
--- a/micadeal/controller/persistence/finished_chunks.py
+++ b/micadeal/controller/persistence/finished_chunks.py
@@ -7,7 +7,7 @@
 
 from micadeal.controller.persistence.batches import BatchDraft, FinishedTasksWrite
 from micadeal.controller.persistence.writer_context import WriteLimits
-from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, to_bits
+from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, encode_bit_set
 from micadeal.schema.keys import DONE, FINISHED
 from micadeal.wire.state import FinishedRecord
 
@@ -51,7 +51,7 @@
     def chunk(self, job: Job, number: int) -> FinishedChunk:
         """Return a chunk with all tasks of it that are finished by now."""
         tasks = self.tasks(job, number)
-        record = FinishedRecord(to_bits(tasks, number * self.tasks_per_chunk))
+        record = FinishedRecord(encode_bit_set(tasks, number * self.tasks_per_chunk))
         return FinishedChunk(job, f"{self.prefix}{job.id}/{number}", tasks, record)
 
 
--- a/micadeal/controller/persistence/job_ends.py
+++ b/micadeal/controller/persistence/job_ends.py
@@ -43,7 +43,7 @@
             if job.id not in self._under_way:
                 batches.append(self._end(job, Status.CANCELLED))
         complete = self._complete_jobs()
-        complete.sort(key=lambda job: not dependencies.needed(job.id))
+        complete.sort(key=lambda job: not dependencies.has_dependents(job.id))
         for job in complete[: MAX_ENDS_UNDER_WAY - len(self._under_way)]:
             batches.append(self._end(job, Status.DONE))
         return batches
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -179,7 +179,7 @@
             return
         first_task = int(chunk_number) * (TASKS_PER_SMALL_CHUNK if small else TASKS_PER_CHUNK)
         try:
-            job.load_bits(first_task, chunk.record.bits)
+            job.load_finished_chunk(first_task, chunk.record.bits)
         except ValueError as problem:
             _log_unreadable(chunk.key, problem)
 
--- a/micadeal/jobs/dependencies.py
+++ b/micadeal/jobs/dependencies.py
@@ -38,7 +38,7 @@
 
     rank: int
     #: Id of the dependent that the rank comes from; None if it is the job's own.
-    lifted_by: str | None
+    rank_inherited_from: str | None
     latest: timedelta | None
 
 
@@ -66,15 +66,15 @@
         """Add a job that has become known; jobs may be added in any order."""
         for job_id in dict.fromkeys(job.spec.prerequisites or ()):
             self._dependents.setdefault(job_id, {})[job.id] = job
-            job.needs.add(job_id)
-        for job_id in list(job.needs):
+            job.unfinished_prerequisites.add(job_id)
+        for job_id in list(job.unfinished_prerequisites):
             # A prerequisite that is about to be cancelled is handled once its end is recorded.
             if (end := self._ends.get(job_id)) is not None:
                 self._resolve(job, job_id, end)
         self._propagate(job)
         self.changed = True
 
-    def ended(self, job_id: str, end: JobEnd) -> None:
+    def record_end(self, job_id: str, end: JobEnd) -> None:
         """Apply the recorded end of a job; ignored if it has no dependents or its end is known."""
         dependents = self._dependents.get(job_id)
         if dependents is None or job_id in self._ends:
@@ -84,8 +84,8 @@
         for job in list(dependents.values()):
             self._resolve(job, job_id, end)
 
-    def gone(self, job: Job) -> None:
-        """Remove a job that is over; how it ended reaches its dependents by ``ended``."""
+    def remove(self, job: Job) -> None:
+        """Remove a job that is over; how it ended reaches its dependents by ``record_end``."""
         self.cancelled_by_dependency.pop(job.id, None)
         self._retry_at.pop(job.id, None)
         self.changed = True
@@ -128,7 +128,7 @@
         job = self.jobs.get(job_id)
         return job is not None and not job.over
 
-    def needed(self, job_id: str) -> bool:
+    def has_dependents(self, job_id: str) -> bool:
         """Tell whether a live job depends on this one."""
         return job_id in self._dependents
 
@@ -139,7 +139,7 @@
         if not end.done:
             self._cancel_with_dependents(job)
             return
-        job.needs.discard(prerequisite_id)
+        job.unfinished_prerequisites.discard(prerequisite_id)
         job.ready = max(job.ready, end.at)
 
     def _cancel_with_dependents(self, first: Job) -> None:
@@ -162,8 +162,8 @@
                 return
             job = stack.pop()
             inherited = self._inherited(job)
-            changed = inherited != (job.rank, job.lifted_by, job.latest)
-            job.rank, job.lifted_by, job.latest = inherited
+            changed = inherited != (job.rank, job.rank_inherited_from, job.latest)
+            job.rank, job.rank_inherited_from, job.latest = inherited
             if changed or job is first:
                 stack += [
                     prerequisite
@@ -173,11 +173,11 @@
 
     def _inherited(self, job: Job) -> _Inherited:
         """Return the best rank and the earliest latest finish of a job and its dependents."""
-        rank, lifted_by, latest = job.own_rank, None, job.own_latest
+        rank, inherited_from, latest = job.own_rank, None, job.own_latest
         for dependent in self._dependents.get(job.id, {}).values():
             if dependent.rank < rank:
-                rank, lifted_by = dependent.rank, dependent.lifted_by or dependent.id
+                rank, inherited_from = dependent.rank, dependent.rank_inherited_from or dependent.id
             start = dependent.latest_start
             if start is not None and (latest is None or start < latest):
                 latest = start
-        return _Inherited(rank, lifted_by, latest)
+        return _Inherited(rank, inherited_from, latest)
--- a/micadeal/jobs/model.py
+++ b/micadeal/jobs/model.py
@@ -61,7 +61,7 @@
     #: Why tasks were not placed in the last scheduling cycle: number of tasks by reason.
     reasons: Counter[str] = field(default_factory=Counter)
     #: Ids of the prerequisites that are not recorded done (``jobs/dependencies.py``).
-    needs: set[str] = field(default_factory=set)
+    unfinished_prerequisites: set[str] = field(default_factory=set)
     #: A prerequisite was cancelled: the end of this job is about to be recorded.
     cancelled_by_dependency: bool = False
     #: Start of the waiting time: the submission, or the end of the last prerequisite.
@@ -69,7 +69,7 @@
     #: Best priority rank among the job itself and its dependents; the lowest is placed first.
     rank: int = field(init=False)
     #: Id of the dependent whose rank the job has inherited; None if the rank is its own.
-    lifted_by: str | None = None
+    rank_inherited_from: str | None = None
     #: Latest finish, by the job's own deadline and the latest starts of its dependents; None if
     #: there is no deadline among them.
     latest: timedelta | None = field(init=False)
@@ -125,7 +125,7 @@
     @property
     def blocked(self) -> bool:
         """Whether no task may start, because a prerequisite is not recorded done."""
-        return bool(self.needs) or self.cancelled_by_dependency
+        return bool(self.unfinished_prerequisites) or self.cancelled_by_dependency
 
     @property
     def order(self) -> tuple[int, timedelta, str]:
@@ -159,7 +159,7 @@
         return self.spec.checkpoint_s > 0
 
     @property
-    def not_begun(self) -> bool:
+    def not_started(self) -> bool:
         """Whether no task is finished or on a machine."""
         return not self.attempts and not self.finished
 
@@ -182,9 +182,9 @@
 
     def waiting_count(self) -> int:
         """Count tasks that wait to be placed; none while the job is blocked."""
-        return 0 if self.over or self.blocked else self.left_count()
+        return 0 if self.over or self.blocked else self.unassigned_count()
 
-    def left_count(self) -> int:
+    def unassigned_count(self) -> int:
         """Count tasks that are neither finished nor possibly on a machine."""
         return (
             self.spec.tasks - len(self.finished) - len(self.attempts) + self._finished_with_attempts
@@ -268,10 +268,10 @@
     def _is_waiting(self, index: int) -> bool:
         return index not in self.finished and index not in self.attempts
 
-    def load_bits(self, start: int, text: str) -> None:
+    def load_finished_chunk(self, start: int, text: str) -> None:
         """Load a stored chunk of the finished set that begins with task ``start``.
 
-        ``text`` has the form that ``to_bits`` returns.  Bits beyond the last task are ignored.
+        ``text`` is in the format of ``encode_bit_set``.  Bits beyond the last task are ignored.
         """
         for byte_index, byte in enumerate(base64.b64decode(text)):
             for bit in range(8):
@@ -281,7 +281,7 @@
                     self.durable.add(index)
 
 
-def to_bits(indexes: Iterable[int], start: int) -> str:
+def encode_bit_set(indexes: Iterable[int], start: int) -> str:
     """Encode task indexes as a bit set in base64.
 
     Bit 0 of the first byte stands for task ``start``; no index may be below ``start``.
--- a/micadeal/jobs/validate.py
+++ b/micadeal/jobs/validate.py
@@ -94,7 +94,7 @@
     return job_id if JOB_ID.match(job_id) else None
 
 
-def check_possible(
+def check_schedulable(
     spec: Submission, teams: dict[str, Team], instance_offers: InstanceOffers
 ) -> None:
     """Check that a submission can run in a deployment with these teams and machine types.
--- a/micadeal/operator/platform.py
+++ b/micadeal/operator/platform.py
@@ -53,7 +53,7 @@
     cpus_max: float | None = None
     gpus_max: float | None = None
 
-    def minimum(self, resource: str) -> float:
+    def guarantee(self, resource: str) -> float:
         """Return the guarantee for a resource, ``"gpus"`` or ``"cpus"``."""
         return self.gpus if resource == "gpus" else self.cpus
 
--- a/micadeal/operator/policy.py
+++ b/micadeal/operator/policy.py
@@ -48,16 +48,16 @@
     #: A team below half its fair share for this long may preempt, too (design: starts at 30 s).
     share_timeout: timedelta = timedelta(seconds=30)
     #: After this wait, machines are reserved for a job none of whose tasks has started.
-    gather_after: timedelta = timedelta(seconds=45)
+    reserve_after: timedelta = timedelta(seconds=45)
     #: By team; teams that are not named have the defaults.
     teams: dict[str, TeamPolicy] = field(default_factory=dict)
     #: By class of jobs; jobs of other classes are never deferred.
     flexible: dict[str, Flexible] = field(default_factory=dict)
 
     @property
-    def gather_late(self) -> timedelta:
-        """``gather_after`` for jobs of a team that has its fair share."""
-        return self.gather_after * FAIR_SHARE_WAIT_FACTOR
+    def reserve_after_at_fair_share(self) -> timedelta:
+        """``reserve_after`` for jobs of a team that has its fair share."""
+        return self.reserve_after * FAIR_SHARE_WAIT_FACTOR
 
     def team(self, name: str) -> TeamPolicy:
         """Return the settings for a team, the defaults if there are none."""
--- a/micadeal/operator/script.py
+++ b/micadeal/operator/script.py
@@ -94,7 +94,7 @@
         refresh=seconds(parsed.refresh_s),
         minimum_timeout=seconds(parsed.minimum_timeout_s),
         share_timeout=seconds(parsed.share_timeout_s),
-        gather_after=seconds(parsed.gather_after_s),
+        reserve_after=seconds(parsed.gather_after_s),
         teams={name: _team_policy(name, team) for name, team in parsed.teams.items()},
         flexible={name: _flexible(name, entry) for name, entry in parsed.flexible.items()},
     )
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -142,7 +142,7 @@
             return
         job.over = True
         self.unannounced_ends.append(job_id)
-        self.dependencies.gone(job)
+        self.dependencies.remove(job)
         self.changed = True
         for attempt in list(job.all_attempts()):
             self.stop(attempt, ZERO, now)
@@ -154,7 +154,7 @@
         if job is not None and end.status is Status.DONE:
             job.durable |= job.finished
         self.job_gone(job_id, now)
-        self.dependencies.ended(
+        self.dependencies.record_end(
             job_id, JobEnd(end.status is Status.DONE, monotonic_at(end.ended_at, now))
         )
         self.changed = True
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -78,13 +78,13 @@
         """Take in new prices or carbon intensities of a zone."""
         key = (series.zone, series.quantity)
         signal = self._signals.setdefault(key, Signal(Profile(self._local)))
-        signal.take(series)
+        signal.update(series)
         self._refreshed_at = None
 
     def learn(self, ends: Iterable[tuple[str, float]]) -> None:
         """Take in ended tasks: their class, and the time taken as a multiple of the estimate."""
         for job_class, ratio in ends:
-            self._errors.ended(job_class, ratio)
+            self._errors.record(job_class, ratio)
 
     # -- deciding --------------------------------------------------------------------------
 
@@ -115,7 +115,7 @@
             job = self._queue.pop()
             keeper = self._keepers.get(job.spec.job_class)
             if keeper is not None and _deferrable(job):
-                keeper.consider(self._work(job), utc_now)
+                keeper.decide(self._work(job), utc_now)
 
     def _begin_refresh(self, waits: frozenset[str]) -> None:
         policy, utc_now = self._policy, self._refreshed_utc
@@ -133,7 +133,7 @@
         self._keepers = {name: self._keepers.get(name) or HoldTracker() for name in by_class}
         for name, jobs in by_class.items():
             curve = cost_curve(self._weighted(policy.flexible[name]), utc_now, utc_now + HORIZON)
-            self._keepers[name].begin({job.id for job in jobs}, curve, utc_now, pools)
+            self._keepers[name].begin_round({job.id for job in jobs}, curve, utc_now, pools)
         # Reversed, since it is taken from the end: the least time left comes first.
         self._queue = sorted(all_jobs, key=lambda job: (job.latest, job.id), reverse=True)
 
@@ -232,10 +232,10 @@
         keeper = self._keepers.get(job.spec.job_class)
         if keeper is None or self._refreshed_at is None:
             return None
-        if not keeper.decided(job.id) and _deferrable(job) and not self._is_starved(job):
+        if not keeper.is_decided(job.id) and _deferrable(job) and not self._is_starved(job):
             # It arrived, or its dependencies were done, after windows were chosen.
-            keeper.consider(self._work(job), self._to_utc(now))
-        return keeper.held(job.id, self._to_utc(now))
+            keeper.decide(self._work(job), self._to_utc(now))
+        return keeper.active_hold(job.id, self._to_utc(now))
 
 
 def _deferrable(job: Job) -> bool:
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -43,7 +43,7 @@
         len(job.finished),
         running,
         len(job.attempts) - running,
-        job.left_count(),
+        job.unassigned_count(),
         max((now - job.submitted).total_seconds(), 0.0),
         [WhyLine(reason.text, reason.tasks) for reason in job_reasons(scheduler, job, now)],
     )
--- a/micadeal/scheduling/job_reasons.py
+++ b/micadeal/scheduling/job_reasons.py
@@ -33,8 +33,8 @@
 def job_reasons(scheduler: Scheduler, job: Job, now: timedelta) -> list[Reason]:
     """Return why tasks of the job are pending or starting, the most telling reasons first."""
     reasons = _dependency_reasons(scheduler.cluster, job)
-    if job.lifted_by is not None:
-        reasons.append(Reason(f"it has the priority of {job.lifted_by}, which needs it"))
+    if job.rank_inherited_from is not None:
+        reasons.append(Reason(f"it has the priority of {job.rank_inherited_from}, which needs it"))
     if job.blocked:
         return reasons
     hold = scheduler.deferral.held(job, now) if scheduler.deferral is not None else None
@@ -127,7 +127,9 @@
     """Return what a job waits for: a few dependencies by name, the others as a count."""
     if job.cancelled_by_dependency:
         return [Reason("a job that it needs is cancelled, and it is being cancelled with it")]
-    dependencies = sorted(_dependency_reason(cluster, name) for name in job.needs)
+    dependencies = sorted(
+        _dependency_reason(cluster, name) for name in job.unfinished_prerequisites
+    )
     reasons = [Reason(dependency.text) for dependency in dependencies[:MAX_NAMED_JOBS]]
     more = len(dependencies) - MAX_NAMED_JOBS
     if more > 0:
--- a/micadeal/scheduling/reservations.py
+++ b/micadeal/scheduling/reservations.py
@@ -143,10 +143,10 @@
         cluster = inputs.cluster
         usage: dict[str, Amounts] | None = None
         result: list[Job] = []
-        earliest = min(inputs.policy.gather_after, inputs.policy.minimum_timeout)
+        earliest = min(inputs.policy.reserve_after, inputs.policy.minimum_timeout)
         for job in cluster.live_jobs():
             # Cheapest test first: there may be many jobs.
-            if inputs.now - job.ready < earliest or not job.not_begun or job.errors:
+            if inputs.now - job.ready < earliest or not job.not_started or job.errors:
                 continue
             if not self._has_waited_enough(job, inputs) or not _wants_reservation(job, inputs):
                 continue
@@ -166,9 +166,9 @@
             return True
         # Preemption may free a gang's machines for a team below its guarantee, but has to know
         # which ones.
-        if waited < policy.gather_after and not (job.is_gang and team in inputs.below_guarantee):
+        if waited < policy.reserve_after and not (job.is_gang and team in inputs.below_guarantee):
             return False
-        return team not in inputs.satisfied or waited >= policy.gather_late
+        return team not in inputs.satisfied or waited >= policy.reserve_after_at_fair_share
 
     # -- machines --------------------------------------------------------------------------
 
--- a/micadeal/scheduling/scheduling_cycle.py
+++ b/micadeal/scheduling/scheduling_cycle.py
@@ -125,6 +125,6 @@
         """
         if queue[0].spec.team in self._inputs.served_by_age:
             return None
-        patience, now = self._inputs.policy.gather_late, self._inputs.now
-        waiting = [job for job in queue[1:] if job.not_begun and now - job.ready >= patience]
+        patience, now = self._inputs.policy.reserve_after_at_fair_share, self._inputs.now
+        waiting = [job for job in queue[1:] if job.not_started and now - job.ready >= patience]
         return min(waiting, key=lambda job: (job.ready, job.id), default=None)
--- a/micadeal/scheduling/start_invariants.py
+++ b/micadeal/scheduling/start_invariants.py
@@ -29,6 +29,8 @@
         return BrokenRule(Invariant.RAN_TWICE, "start while another attempt may be on a machine")
     if not allowed(job.spec, machine.machine_type, machine.zone, machine.spot):
         return BrokenRule(Invariant.WRONG_PLACE, f"start on {machine.name}, in {machine.zone}")
-    if job.needs:
-        return BrokenRule(Invariant.TOO_EARLY, f"start before {min(job.needs)} is done")
+    if job.unfinished_prerequisites:
+        return BrokenRule(
+            Invariant.TOO_EARLY, f"start before {min(job.unfinished_prerequisites)} is done"
+        )
     return None
--- a/micadeal/scheduling/team_shares.py
+++ b/micadeal/scheduling/team_shares.py
@@ -78,7 +78,7 @@
     states: dict[str, TeamState] = {}
     for name, team in teams.items():
         used = booked(bookings.usage[name], resource)
-        states[name] = TeamState(team.minimum(resource), policy.team(name).weight, used, used)
+        states[name] = TeamState(team.guarantee(resource), policy.team(name).weight, used, used)
     for job in jobs:
         states[job.spec.team].demand += bookings.waiting(job) * job.units
     for name, state in states.items():
--- a/micadeal/timing/estimate_errors.py
+++ b/micadeal/timing/estimate_errors.py
@@ -35,7 +35,7 @@
         #: Histograms by class; the class with the latest recorded task is at the end.
         self._histograms: OrderedDict[str, Any] = OrderedDict()
 
-    def ended(self, job_class: str, ratio: float) -> None:
+    def record(self, job_class: str, ratio: float) -> None:
         """Record that a task ended after ``ratio`` times its estimate."""
         histogram = self._histograms.pop(job_class, None)
         if histogram is None:
--- a/micadeal/timing/shift.py
+++ b/micadeal/timing/shift.py
@@ -53,7 +53,7 @@
         self._capacity = capacity
         self._used: dict[tuple[str, int], float] = {}
 
-    def take(self, job: DeferrableJob, slots: range) -> None:
+    def reserve(self, job: DeferrableJob, slots: range) -> None:
         """Add a job's units to the used capacity of the slots."""
         for slot in slots:
             key = (job.pool, slot)
@@ -84,16 +84,16 @@
     ready: datetime,
     deadline: datetime,
     estimate: timedelta,
-    error: float,
+    error_factor: float,
     overhead: timedelta,
     slack: float,
 ) -> datetime:
-    """Return the latest start with which a job meets its deadline at ``error`` times its estimate.
+    """Return the latest start that meets the deadline at ``error_factor`` times the estimate.
 
     ``overhead`` covers machine boot, image fetch, the queue ahead, and the bound on clock
     differences.  Only the share ``slack`` of the remaining time is used.
     """
-    safe = deadline - estimate * max(error, 1.0) - overhead
+    safe = deadline - estimate * max(error_factor, 1.0) - overhead
     return ready + max(safe - ready, ZERO) * min(max(slack, 0.0), 1.0)
 
 
@@ -129,7 +129,7 @@
         """Return the hold for a job, or None to start it now; its capacity is taken either way."""
         cost_known = self._now + job.duration <= self._curve.end
         start = self._best_start(job, previous) if cost_known and job.latest > self._now else None
-        self._pools.take(job, self._slots(job, self._now if start is None else start))
+        self._pools.reserve(job, self._slots(job, self._now if start is None else start))
         if start is None:
             return None
         return Hold(start, job.latest, self._saving(job, start))
@@ -204,16 +204,16 @@
         self._released: set[str] = set()
         self._planner: Planner | None = None
 
-    def begin(
+    def begin_round(
         self,
         job_ids: Collection[str],
         curve: CostCurve | None,
         now: datetime,
         pools: PoolCapacities,
     ) -> None:
-        """Start a new round of decisions, which ``consider`` makes for one job at a time.
+        """Start a new round of decisions, which ``decide`` makes for one job at a time.
 
-        A job keeps its hold until it is considered.  Jobs not in ``job_ids`` are forgotten.
+        A job keeps its hold until it is decided on.  Jobs not in ``job_ids`` are forgotten.
         ``curve`` begins now.  None: no cost is known, and all held jobs are released.
         """
         self._released |= {job_id for job_id, hold in self.holds.items() if hold.until <= now}
@@ -230,10 +230,10 @@
             job_id: latest for job_id, latest in self.latest.items() if job_id in job_ids
         }
 
-    def consider(self, job: DeferrableJob, now: datetime) -> None:
+    def decide(self, job: DeferrableJob, now: datetime) -> None:
         """Decide on one job, given the capacity taken by those decided earlier in this round.
 
-        Jobs must be considered in the order of their latest starts, so that jobs with later
+        Jobs must be decided on in the order of their latest starts, so that jobs with later
         deadlines yield.  If all windows are full the job starts now, while it has time left.
         """
         self.latest[job.job_id] = job.latest
@@ -250,11 +250,11 @@
         else:
             self.holds[job.job_id] = hold
 
-    def decided(self, job_id: str) -> bool:
+    def is_decided(self, job_id: str) -> bool:
         """Tell whether a job is held or was released."""
         return job_id in self.holds or job_id in self._released
 
-    def held(self, job_id: str, now: datetime) -> Hold | None:
+    def active_hold(self, job_id: str, now: datetime) -> Hold | None:
         """Return a job's hold if it still applies, else None."""
         hold = self.holds.get(job_id)
         return hold if hold is not None and now < hold.until else None
--- a/tests/fakes/decision_jobs.py
+++ b/tests/fakes/decision_jobs.py
@@ -9,7 +9,7 @@
 from micadeal.operator.policy import Policy
 
 QUICK = Policy(
-    minimum_timeout=seconds(3), share_timeout=seconds(6), gather_after=seconds(5)
+    minimum_timeout=seconds(3), share_timeout=seconds(6), reserve_after=seconds(5)
 )  # fmt: skip
 GANG: dict[str, Any] = {
     "shape": "gang", "vcpus": 14.0, "accelerators": 2.0, "ram_gb": 50.0, "one_zone": True,
--- a/tests/fakes/decision_traffic.py
+++ b/tests/fakes/decision_traffic.py
@@ -18,7 +18,7 @@
 def traffic(clock: FixedTime, seed: int, machines: int, steps: int, arrivals: int) -> DecisionWorld:
     """Play random jobs on machines that fail in all ways, the same for the same seed."""
     draw = random.Random(seed)
-    policy = replace(QUICK, gather_after=seconds(8))
+    policy = replace(QUICK, reserve_after=seconds(8))
     objectives = (Objective("wait", "live", seconds(4)),)
     world = DecisionWorld(
         clock,
--- a/tests/test_deferral.py
+++ b/tests/test_deferral.py
@@ -173,9 +173,9 @@
     decide_round(keeper, [work], hourly_curve(0.3, 0.1, 0.3, 0.3, 0.3, 0.3), NOW)
     begun = NOW + HOUR - timedelta(seconds=5)
     later = CostCurve([begun + i * HOUR for i in range(7)], [0.3, 0.3, 0.3, 0.01, 0.3, 0.3])
-    keeper.begin({"a"}, later, begun, UNLIMITED)
-    keeper.consider(work, NOW + HOUR)
-    assert keeper.held("a", NOW + HOUR) is None
+    keeper.begin_round({"a"}, later, begun, UNLIMITED)
+    keeper.decide(work, NOW + HOUR)
+    assert keeper.active_hold("a", NOW + HOUR) is None
 
 
 def test_no_window_reaches_beyond_known_costs() -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -315,7 +315,7 @@
     ]
     cluster = _cluster(*(jobs[n] for n in order))
     assert [job.rank for job in jobs] == [1, 1, 1, 1]
-    assert [job.lifted_by for job in jobs] == ["req-4", "req-4", "req-4", None]
+    assert [job.rank_inherited_from for job in jobs] == ["req-4", "req-4", "req-4", None]
     latest = [job.latest.total_seconds() if job.latest else None for job in jobs]
     assert latest == [185.0, 225.0, 225.0, 230.0]
     # What should have begun by now goes before what came a little earlier.
@@ -356,7 +356,7 @@
     one, two = _job(1, 2, deadline_s=50.0, estimate_s=3.0), _job(2, 1, estimate_s=3.0)
     cluster = _cluster(one, two)
     assert one.blocked and two.blocked
-    cluster.dependencies.ended("req-2", JobEnd(False, seconds(1)))
+    cluster.dependencies.record_end("req-2", JobEnd(False, seconds(1)))
     assert set(cluster.dependencies.cancelled_by_dependency) == {"req-1", "req-2"}
 
 
--- a/tests/test_finished_tasks.py
+++ b/tests/test_finished_tasks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from micadeal.clock import ZERO
-from micadeal.jobs.model import TASKS_PER_CHUNK, Job, to_bits
+from micadeal.jobs.model import TASKS_PER_CHUNK, Job, encode_bit_set
 from tests.fakes.submissions import spec
 
 
@@ -15,9 +15,9 @@
         job.finish(index)
     loaded = Job(largest, ZERO, 1)
     for chunk in {index // TASKS_PER_CHUNK for index in finished}:
-        text = to_bits(
+        text = encode_bit_set(
             job.finished_in_chunk(chunk * TASKS_PER_CHUNK, TASKS_PER_CHUNK), chunk * TASKS_PER_CHUNK
         )
         assert len(text) <= 4000
-        loaded.load_bits(chunk * TASKS_PER_CHUNK, text)
+        loaded.load_finished_chunk(chunk * TASKS_PER_CHUNK, text)
     assert loaded.finished == finished and loaded.next_waiting() == 1
--- a/tests/test_start_invariants.py
+++ b/tests/test_start_invariants.py
@@ -35,7 +35,7 @@
 
 
 def before_its_prerequisite(_: ClusterState, job: Job, __: Machine) -> None:
-    job.needs.add("req-7")
+    job.unfinished_prerequisites.add("req-7")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -133,8 +133,8 @@
         points=points(*[0.2] * 20, 0.4, 0.4, 0.4, 0.4, first=NOW - 23 * HOUR),
         measured_until=(NOW + HOUR).isoformat(),
     )
-    signal.take(read_document(day))
-    signal.take(read_document(series_document(valid_until=(NOW + 4 * HOUR).isoformat())))
+    signal.update(read_document(day))
+    signal.update(read_document(series_document(valid_until=(NOW + 4 * HOUR).isoformat())))
     assert signal.at(NOW + 2 * HOUR, NOW) == (0.10, Quality.FORECAST)
     late = NOW + 5 * HOUR
     assert signal.at(late, late) == (0.2, Quality.PROFILE)
@@ -167,9 +167,9 @@
     now: datetime,
     pools: PoolCapacities = UNLIMITED,
 ) -> None:
-    keeper.begin({work.job_id for work in works}, costs, now, pools)
+    keeper.begin_round({work.job_id for work in works}, costs, now, pools)
     for work in sorted(works, key=lambda work: work.latest):
-        keeper.consider(work, now)
+        keeper.decide(work, now)
 
 
 def decide_holds(
@@ -238,18 +238,18 @@
     assert seen == {NOW + 2 * HOUR}
     # A job that was released is not held again, however cheap a later hour becomes.
     decide_round(keeper, [work], one, NOW + 2 * HOUR)
-    assert keeper.held("a", NOW + 2 * HOUR) is None
+    assert keeper.active_hold("a", NOW + 2 * HOUR) is None
     decide_round(keeper, [work], hourly_curve(0.3, 0.3, 0.3, 0.3, 0.01, 0.3), NOW + 2 * HOUR)
-    assert keeper.held("a", NOW + 2 * HOUR) is None
+    assert keeper.active_hold("a", NOW + 2 * HOUR) is None
 
 
 def test_lost_signal_releases_held_jobs() -> None:
     keeper = HoldTracker()
     work = DeferrableJob("a", 1.0, HOUR, NOW + 5 * HOUR)
     decide_round(keeper, [work], hourly_curve(0.3, 0.3, 0.1, 0.3, 0.3, 0.3), NOW)
-    assert keeper.held("a", NOW) is not None
+    assert keeper.active_hold("a", NOW) is not None
     decide_round(keeper, [work], None, NOW + HOUR)
-    assert keeper.held("a", NOW + HOUR) is None
+    assert keeper.active_hold("a", NOW + HOUR) is None
 
 
 WORKS = st.lists(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 
 from micadeal.clock import ZERO, seconds
 from micadeal.controller.persistence.record_writer import RecordWriter
-from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, to_bits
+from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, encode_bit_set
 from micadeal.schema.job_records import join_parts, part_keys, split
 from micadeal.state.limits import Limits
 from micadeal.wire import peers
@@ -124,7 +124,7 @@
         # What an earlier version wrote, or this one before limits dropped.
         stored = [index for index in range(29_980) if index % 2_000 != 1_999]
         for chunk in range(2):
-            bits = to_bits(
+            bits = encode_bit_set(
                 [i for i in stored if i // TASKS_PER_CHUNK == chunk], chunk * TASKS_PER_CHUNK
             )
             world.state.keys[f"done/{big}/{chunk}"] = ({"bits": bits}, world.state.revision, None)
@@ -147,7 +147,7 @@
         small = [key for key in world.state.keys if key.startswith(f"finished/{big}/")]
         for key in small:
             bits = world.state.keys[key][0]["bits"]
-            read.load_bits(int(key.rpartition("/")[2]) * TASKS_PER_SMALL_CHUNK, bits)
+            read.load_finished_chunk(int(key.rpartition("/")[2]) * TASKS_PER_SMALL_CHUNK, bits)
         assert len(read.finished) > len(small)
         await curio.sleep(5)
         await world.start(leader)
