--- a/micadeal/fleet/boot_times.py
+++ b/micadeal/fleet/boot_times.py
@@ -2,9 +2,9 @@
 
 A fixed time limit is wrong in both directions.  Some machines take several times their type's boot
 time, and some never boot.  At times all machines boot slowly, or within a second or two (PROTOCOL,
-"GET /catalog").  These cases are told apart by similar machines that were rented together with the
-booting one or later and are already up: they have *overtaken* it.  If none has, all boots are slow,
-and renting more machines would only add slow ones.
+"GET /catalog").  Similar machines distinguish these cases: those that were rented together with the
+booting one or later and are already up have *overtaken* it.  If none has, all boots are slow, and
+renting more machines would only add slow ones.
 """
 
 from __future__ import annotations
@@ -28,7 +28,8 @@
 SAME_RENTAL_WINDOW = seconds(3)
 #: A machine is late only if at least this many others have overtaken it.
 MIN_OVERTAKERS = 3
-#: A machine is late at this multiple of the overtakers' median boot time.
+#: A machine is late at this multiple of the overtakers' median boot time.  The median counts as at
+#: most the type's boot time.
 LATE_FACTOR = 1.6
 #: Lower bound of that median, as a share of the type's boot time.
 MIN_BOOT_TIME_SHARE = 1 / 2
--- a/micadeal/fleet/cloud.py
+++ b/micadeal/fleet/cloud.py
@@ -25,7 +25,7 @@
 T = TypeVar("T")
 
 REQUEST_TIMEOUT = seconds(5)
-#: Between two requests for the list of machines, which lags by more than this.
+#: Interval between requests for the list of machines; the list lags by more than this.
 LIST_INTERVAL = timedelta(seconds=3)
 #: Machines on one page of the list.
 LIST_PAGE_SIZE = 500
--- a/micadeal/fleet/instance_offers.py
+++ b/micadeal/fleet/instance_offers.py
@@ -16,7 +16,8 @@
 #: Backoff of an offer after its first refusal, doubled with each further one in a row.
 FIRST_BACKOFF = seconds(6)
 MAX_BACKOFF = seconds(40)
-#: How long a refusal bounds the number of machines that are expected of an offer.
+#: For this time after a refusal, an offer is assumed to have no more machines than those rented
+#: then.
 REFUSAL_MEMORY = seconds(120)
 
 
@@ -65,11 +66,11 @@
         self._backoffs.pop(offer, None)
 
     def remaining(self, offer: InstanceOffer, rented: int, now: timedelta) -> int | None:
-        """Return how many more machines the last refusal lets expect; None if that is unknown.
+        """Return how many more machines to expect, judged by the last refusal; None if unknown.
 
         ``rented``: machines of the offer that are rented now.  Guards against renting part of a
-        gang's machines in one zone after another: the machines of each attempt were returned
-        unused, and charged.
+        gang's machines in one zone after another: each time, these machines were returned unused,
+        and charged.
         """
         refusal = self._refusals.get(offer)
         if refusal is None or now - refusal.at > REFUSAL_MEMORY:
--- a/micadeal/fleet/machines.py
+++ b/micadeal/fleet/machines.py
@@ -167,7 +167,8 @@
     images: dict[str, timedelta] = field(default_factory=dict)
     #: Set while the machine is kept for a job for which tasks on it were preempted.
     preempted_for: PreemptionHold | None = None
-    #: Id of the job that the machine is reserved for.  Only production jobs may be added besides.
+    #: Id of the job that the machine is reserved for.  Other jobs may use it only if they are
+    #: production jobs.
     reserved_for: str | None = None
 
     # -- removal ---------------------------------------------------------------------------
--- a/micadeal/fleet/reachability.py
+++ b/micadeal/fleet/reachability.py
@@ -39,9 +39,9 @@
 
     #: Highest fencing token that its worker has shown.
     token: int = 0
-    #: Receipt of its newest message, either a heartbeat or an answer to a command.  Older messages
-    #: were sent before that instant.  A response to an older heartbeat, however late it arrives,
-    #: can't have renewed the lease from an instant after it.
+    #: Receipt of its newest message, either a heartbeat or an answer to a command.  A response to
+    #: an older heartbeat, however late it arrives, renews the lease only from when that heartbeat
+    #: was sent, which is before this instant.
     latest: timedelta | None = None
     #: Consecutive responses without effect.
     ineffective_responses: int = 0
--- a/micadeal/jobs/model.py
+++ b/micadeal/jobs/model.py
@@ -39,7 +39,7 @@
     submitted: timedelta
     #: Version of the job's record in the state service, for compare-and-swap.
     version: int
-    #: Tasks that ended successfully, by reports and records that reached the leader.
+    #: Tasks that ended successfully, as far as the leader knows.
     finished: set[int] = field(default_factory=set)
     #: Finished tasks that are known to be stored in the state service.
     durable: set[int] = field(default_factory=set)
@@ -66,7 +66,7 @@
     cancelled_by_dependency: bool = False
     #: Start of the waiting time: the submission, or the end of the last prerequisite.
     ready: timedelta = field(init=False)
-    #: Best priority rank among the job itself and its dependents; the lowest is placed first.
+    #: Best (lowest) priority rank of the job itself and its dependents.
     rank: int = field(init=False)
     #: Id of the dependent whose rank the job has inherited; None if the rank is its own.
     rank_inherited_from: str | None = None
--- a/micadeal/operator/policy.py
+++ b/micadeal/operator/policy.py
@@ -32,8 +32,8 @@
     carbon: float = 0.0
 
 
-#: Factor of the wait for a reservation if the job's team has its fair share.  The wait of a job
-#: until it is placed by age has the same factor.
+#: Multiplies ``Policy.reserve_after``: for a reservation if the job's team has its fair share, and
+#: for the wait until a job may be placed by age.
 FAIR_SHARE_WAIT_FACTOR = 2.5
 
 
--- a/micadeal/operator/script.py
+++ b/micadeal/operator/script.py
@@ -161,7 +161,7 @@
 
 
 def _line_of(script: str, problem: str) -> int:
-    """Return the number of the line that sets the name in an error text; 1 if there is none."""
+    """Return the line number of the setting that an error text names; 1 if it names none."""
     for number, line in enumerate(script.splitlines(), 1):
         key = line.split("=")[0].strip()
         if key and key.isidentifier() and (problem.startswith(key) or f"$.{key}" in problem):
--- a/micadeal/timing/series.py
+++ b/micadeal/timing/series.py
@@ -31,7 +31,7 @@
 
 
 class Quantity(Enum):
-    """Quantity whose values a series has."""
+    """Quantity that a series measures."""
 
     PRICE = "price"
     CARBON = "carbon"
@@ -58,7 +58,7 @@
 
 
 class MalformedSeriesError(SignalError):
-    """The body is not JSON, a field is missing or mistyped, or the number of points is invalid."""
+    """The body is not JSON, or fields or the number of points are invalid."""
 
 
 class SeriesMismatchError(SignalError):
