--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Jobs that depend on others: none starts too early, none outlives a cancelled prerequisite."""
+"""Jobs with prerequisites: none starts too early, none outlives a cancelled prerequisite."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
         reasons = [line["reason"] for line in why["reasons"]]
         assert status == 200 and any(first in line for line in reasons)
         _, why = await world.call(1, "GET", f"/why/{first}")
-        lifted = f"it has the priority of {last}, which needs it"
-        assert lifted in [line["reason"] for line in why["reasons"]]
+        inherited = f"it has the priority of {last}, which needs it"
+        assert inherited in [line["reason"] for line in why["reasons"]]
         _, overview = await world.call(2, "GET", "/overview")
         assert overview["jobs"]["blocked"] == 2
         for job in (first, middle, last, free, empty):
@@ -57,7 +57,7 @@
 def test_new_leader_blocks_jobs_whose_prerequisites_are_not_known_done(
     monkeypatch: pytest.MonkeyPatch, crashes: int
 ) -> None:
-    """Guards ``too_early`` over changes of leaders at every stage."""
+    """Guards ``too_early`` if the leader changes at any stage of a chain."""
 
     async def scenario(world: World) -> None:
         jobs = [await world.run_job("array", 2, **SMALL)]
@@ -67,11 +67,11 @@
             await world.wait_until(lambda job=job: world.running(job) > 0)  # type: ignore[misc]
             leader = world.leader()
             assert leader is not None
-            gone = [(leader + n) % 3 for n in range(crashes)]
-            for number in gone:
+            crashed = [(leader + n) % 3 for n in range(crashes)]
+            for number in crashed:
                 world.crash(number)
             await curio.sleep(4)
-            for number in gone:
+            for number in crashed:
                 await world.start(number)
         for job in jobs:
             await world.wait_until_done(job)
@@ -80,8 +80,10 @@
 
 
 def test_unreadable_end_blocks_dependents(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards ``too_early``: a record in the middle of a chain that can't be read, or is missing,
-    is no proof of an end; a cancellation cascades all the same."""
+    """Guards ``too_early``: an unreadable or missing record in a chain is no proof of an end.
+
+    A cancellation still cascades.
+    """
 
     async def scenario(world: World) -> None:
         first = await world.run_job("array", 1, **SMALL)
@@ -106,7 +108,7 @@
 def test_cancellation_cascades_to_all_dependents(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Wide and deep, with the fewest operations in a transaction; prerequisites go on running."""
+    """A wide and deep graph, with few operations per transaction; prerequisites keep running."""
 
     async def scenario(world: World) -> None:
         world.state.txn_ops, world.state.value_bytes = 5, 2048
@@ -131,11 +133,11 @@
 def test_job_whose_recorded_end_is_refused_is_not_called_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A submission needs a cancelled job, and the state service takes no value for its end.
+    """Guards ``ran_cancelled`` and ``went_back``.
 
-    What happened: the job was stored as live instead, and ran after its user was told 201
-    "cancelled" (``ran_cancelled``, ``went_back``).  Why: whatever was refused as too large was
-    split, and what was split was the job, not its end.
+    The prerequisite is cancelled, and the state service refuses the end record of the new job as
+    too large.  If the refused transaction is split, the job is stored as live and runs, although
+    its submission was answered 201 "cancelled".
     """
 
     async def scenario(world: World) -> None:
@@ -164,8 +166,7 @@
 def test_interrupted_cascade_continues_under_the_next_leader(
     monkeypatch: pytest.MonkeyPatch, after: float
 ) -> None:
-    """Guards ``orphaned``: the controller that cancelled, and the leader, may crash a moment
-    later, between any two transactions."""
+    """Guards ``orphaned``: all controllers may crash between any two transactions of a cascade."""
 
     async def scenario(world: World) -> None:
         first = await world.run_job("array", 1, run_s=300.0, image_gb=0.1)
@@ -191,8 +192,11 @@
 def test_status_poll_finds_a_cancelled_ancestor_without_a_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``orphaned``: nobody can lead for longer than ``cancel_s``, or an outage begins right
-    after a cancellation; no controller may answer "pending" for its dependents afterwards."""
+    """Guards ``orphaned``: no controller can lead for longer than ``cancel_s``.
+
+    The same holds if an outage begins right after a cancellation.  No controller may answer
+    "pending" for a dependent job afterwards.
+    """
 
     async def scenario(world: World) -> None:
         first = await world.run_job("array", 1, run_s=300.0, image_gb=0.1)
@@ -201,11 +205,11 @@
         leader = world.leader()
         assert leader is not None
         other = (leader + 1) % 3
-        # All know that its task runs: else none can be sure that it does not start any more.
+        # All controllers know that its task runs; otherwise none could rule out a later start.
         await world.wait_until(lambda: world.running(first) == 1)
         await curio.sleep(3)
         world.crash(leader)
-        # Nobody can be elected any more.
+        # No controller can be elected from now on.
         for key in ("leader", "seat/held"):
             world.state.keys[key] = ({"controller": "c9", "lease": 1}, 10**6, None)
         assert await world.cancel(first, other) == "cancelled"
@@ -222,7 +226,7 @@
 def test_submission_racing_with_a_cancellation_ends_in_the_right_status(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``orphaned``: the job is named while its cancellation or its end is under way."""
+    """Guards ``orphaned``: the prerequisite is cancelled or ends during the submission."""
 
     async def scenario(world: World) -> None:
         await curio.sleep(3)
@@ -274,11 +278,11 @@
         for impossible in (["req-999999"], [done, "req-999999"], [service], ["self"]):
             assert await status_of_submission(impossible) == 422, impossible
         assert await status_of_submission([done] * 30) == 201
-        # A circle would need a job that names one which is submitted later.
+        # A cycle would need a job with a prerequisite that is submitted later.
         first, second = world.job(), world.job()
         spec = {**world.fleet.jobs[first].spec, "waits_on": [second]}
         assert (await world.call(0, "POST", "/work", spec))[0] == 422
-        # A repeat of a known job is answered with its state, whatever it names.
+        # A repeated submission of a known job is answered with its status, even if it is invalid.
         known = {**world.fleet.jobs[done].spec, "waits_on": ["req-999999"]}
         status, reply = await world.call(1, "POST", "/work", known)
         assert (status, reply["status"]) == (200, "done")
@@ -288,10 +292,10 @@
     World().play(monkeypatch, scenario)
 
 
-def _job(number: int, *needs: int, submitted: float = 0.0, **fields: Any) -> Job:
-    names = [f"req-{n}" for n in needs]
+def _job(number: int, *prerequisites: int, submitted: float = 0.0, **fields: Any) -> Job:
+    job_ids = [f"req-{n}" for n in prerequisites]
     return Job(
-        spec(job_id=f"req-{number}", prerequisites=names, **fields), seconds(submitted), number
+        spec(job_id=f"req-{number}", prerequisites=job_ids, **fields), seconds(submitted), number
     )
 
 
@@ -306,7 +310,7 @@
 def test_priority_and_deadline_propagate_upwards_in_any_order_of_arrival(
     order: tuple[int, ...],
 ) -> None:
-    """Guards priority after a change of leaders, and for a last job that is submitted late."""
+    """Guards the priority after a change of leader, and if the last job is submitted late."""
     jobs = [
         _job(1, priority=Priority.LOW, estimate_s=10.0),
         _job(2, 1, priority=Priority.STANDARD, estimate_s=20.0),
@@ -318,41 +322,41 @@
     assert [job.rank_inherited_from for job in jobs] == ["req-4", "req-4", "req-4", None]
     latest = [job.latest.total_seconds() if job.latest else None for job in jobs]
     assert latest == [185.0, 225.0, 225.0, 230.0]
-    # What should have begun by now goes before what came a little earlier.
+    # A job past its latest start comes before one that became ready slightly earlier.
     jobs[1].ready = jobs[2].ready = seconds(210)
     assert sorted(jobs[1:3], key=lambda job: job.order) == [jobs[2], jobs[1]]
-    # Without the last one they are what they were.
+    # Without the last job the others have their own ranks again.
     cluster.job_gone("req-4", seconds(50))
     assert [job.rank for job in jobs[:3]] == [2, 2, 3]
     assert jobs[2].latest is None
 
 
 def test_waiting_time_counts_from_the_recorded_end_of_the_last_prerequisite() -> None:
-    """Guards waits and order after a change of leaders: what they need is in the records."""
+    """Guards waiting times and order after a change of leader: they follow from the records."""
     first, second = _job(1), _job(2)
     third = _job(3, 1, 2, submitted=-100.0)
     cluster = _cluster(third, first, second)
     now = monotonic()
-    told = utc_now().timestamp()
+    timestamp = utc_now().timestamp()
     assert third.blocked and third.waiting_count() == 0 and third.next_waiting() is None
-    cluster.job_ended("req-2", EndRecord(Status.DONE, 1, told - 20.0), now)
+    cluster.job_ended("req-2", EndRecord(Status.DONE, 1, timestamp - 20.0), now)
     assert third.blocked
-    cluster.job_ended("req-1", EndRecord(Status.DONE, 1, told - 50.0), now)
+    cluster.job_ended("req-1", EndRecord(Status.DONE, 1, timestamp - 50.0), now)
     assert not third.blocked and third.waiting_count() == third.spec.tasks
     assert abs((now - third.ready).total_seconds() - 20.0) < 0.5
-    # The next leader never knew them: it asks for their ends, and comes to the same.
+    # The next leader does not know the prerequisites: it reads their ends, with the same result.
     later = _job(3, 1, 2, submitted=-100.0)
     other = _cluster(later)
     assert sorted(other.dependencies.ends_to_read(now)) == ["req-1", "req-2"]
     for name, age in (("req-1", 50.0), ("req-2", 20.0)):
-        other.job_ended(name, EndRecord(Status.DONE, 1, told - age), now)
+        other.job_ended(name, EndRecord(Status.DONE, 1, timestamp - age), now)
     assert not later.blocked
     assert abs((now - later.ready).total_seconds() - 20.0) < 0.5
     assert other.dependencies.ends_to_read(now) == []
 
 
 def test_records_with_circular_dependencies_do_no_harm() -> None:
-    """Guards against damaged records: submissions form no circle, damaged ones could."""
+    """Guards against damaged records: valid submissions form no cycle."""
     one, two = _job(1, 2, deadline_s=50.0, estimate_s=3.0), _job(2, 1, estimate_s=3.0)
     cluster = _cluster(one, two)
     assert one.blocked and two.blocked
@@ -379,7 +383,7 @@
 
 
 def test_short_tasks_wait_for_capacity_that_frees_up_before_a_machine_boots() -> None:
-    """Guards against machines rented for tasks of some seconds, whose accelerators stay idle."""
+    """Guards against renting machines that stay idle, for tasks of a few seconds."""
     picture = RandomDeployment(2, 0, 4, teams=1)
     picture.cluster.teams["team-0"] = Team("team-0")
     fields: dict[str, Any] = {
--- a/tests/test_finished_tasks.py
+++ b/tests/test_finished_tasks.py
@@ -1,4 +1,4 @@
-"""Finished tasks of a job as stored records hold them."""
+"""Encoding of a job's finished tasks in stored records."""
 
 from __future__ import annotations
 
--- a/tests/test_heartbeat_routing.py
+++ b/tests/test_heartbeat_routing.py
@@ -1,4 +1,4 @@
-"""Which controller a follower sends a worker's heartbeat to."""
+"""Routes that a follower chooses for workers' heartbeats."""
 
 from __future__ import annotations
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -15,7 +15,7 @@
 from tests.fakes.workers import FakeWorker
 from tests.fakes.world import World, leader_of
 
-#: A lease, the time after it until a silent machine is returned, and a start elsewhere.
+#: Time for a lease, the return of a silent machine after it, and a start on another machine.
 MOVE_LIMIT = LEASE_S + 10
 
 
@@ -79,7 +79,7 @@
 def test_cancelled_gang_ends_in_a_zone_that_receives_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``: a response that was merely sent is neither a stop nor a lease."""
+    """Guards ``ran_cancelled``: a response that was only sent proves no stop and no lease."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
@@ -105,7 +105,7 @@
 def test_leader_whose_responses_reach_nobody_returns_no_machine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its own responses are lost on the way, rather than those to single machines."""
+    """All responses of the leader are lost, rather than those to single machines."""
 
     async def scenario(world: World) -> None:
         array = await world.run_job("array", 6, run_s=60.0)
@@ -124,7 +124,7 @@
 
 
 def _copy_heartbeats(world: World, seed: int, delays: tuple[float, float]) -> None:
-    """From now on half of all heartbeats arrive again later, at any controller."""
+    """Deliver half of all heartbeats again later, to a random controller."""
     rng = random.Random(seed)
     controllers = list(world.fleet.controllers.values())
 
@@ -139,7 +139,7 @@
 def test_late_copies_of_heartbeats_have_no_effect(
     monkeypatch: pytest.MonkeyPatch, delays: tuple[float, float]
 ) -> None:
-    """Heartbeats arrive again after a machine died, a spot machine was taken, a leader crashed."""
+    """Heartbeats arrive again after the loss of a machine, a reclaim or a crash of the leader."""
 
     async def scenario(world: World) -> None:
         _copy_heartbeats(world, 7, delays)
@@ -163,7 +163,7 @@
 def test_copied_heartbeat_of_a_removed_machine_adds_none_at_the_next_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The next leader does not know which machines its predecessor saw removed."""
+    """A new leader does not know which machines its predecessor removed."""
 
     async def scenario(world: World) -> None:
         first = await world.run_job("array", 2, run_s=15.0)
@@ -208,10 +208,10 @@
 def test_tasks_of_a_restarted_worker_run_elsewhere_at_once(
     monkeypatch: pytest.MonkeyPatch, copied: bool
 ) -> None:
-    """Guards against tasks that seem to run though their worker process is gone.
+    """Guards against tasks that count as running although their worker process is gone.
 
-    Without the restart being noticed they would, until the new process has sent as many heartbeats
-    as the old one, or as long as copies of the old one's arrive.
+    If the restart is not detected, they count as running until the new process has sent as many
+    heartbeats as the old one, or while late copies of the old one's heartbeats arrive.
     """
 
     async def scenario(world: World) -> None:
@@ -224,7 +224,7 @@
         machine = workers_running(world, service)[0]
         machine.begin_anew()
         await world.wait_until(lambda: machine.name in world.cloud.releases, limit=6)
-        # Another machine boots, and fetches the image.
+        # Another machine boots and fetches the image.
         await world.wait_until(lambda: world.running(service) == 3, limit=20)
 
     world = World().play(monkeypatch, scenario)
@@ -262,13 +262,14 @@
 def test_controller_that_reaches_only_its_workers_delays_nobody(
     monkeypatch: pytest.MonkeyPatch, leads: bool, mode: str
 ) -> None:
-    """As leader it gives way to the next one, as follower it reports that it can't serve."""
+    """As leader it is replaced by another; as follower it reports that it can't serve."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
         gang = await world.run_job("gang", 2, run_s=300.0, crew="blue")
         await world.wait_until(lambda: world.running(service) == 4 and world.running(gang) == 2)
-        # All know that it runs: else none can be sure, without its leader, that nothing starts.
+        # All controllers know that the gang runs; otherwise none could rule out a later start
+        # without the leader.
         await curio.sleep(2)
         leader = leader_of(world)
         alone = leader if leads else (leader + 1) % 3
@@ -285,9 +286,9 @@
         late = await world.run_job("array", 1, run_s=4.0, crew="blue")
         if not leads:
             await world.start(leader)
-        began = monotonic()
+        started = monotonic()
         while await world.status(late, rest[1]) != "done":
-            assert monotonic() - began < seconds(90)
+            assert monotonic() - started < seconds(90)
             await curio.sleep(1)
         for other in ("state", *(f"c{n}" for n in rest)):
             await world.network.heal(f"c{alone}", other)
--- a/tests/test_reachability_rules.py
+++ b/tests/test_reachability_rules.py
@@ -1,4 +1,4 @@
-"""What messages of machines prove, its model, and malformed heartbeats."""
+"""Evidence from machines' messages, the model of these rules, and malformed heartbeats."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.fakes.world import World, leader_of
 from tests.test_reachability import workers_running
 
-# -- what messages prove -------------------------------------------------------------------
+# -- evidence from messages ----------------------------------------------------------------
 
 
 def test_only_the_answer_to_a_probe_after_the_newest_message_proves_a_restart() -> None:
@@ -45,12 +45,12 @@
 
 def test_model_of_one_worker_keeps_the_rule_and_breaks_it_without_each_guard() -> None:
     with small_margin():
-        _, course = explore(6)
-        assert course is None
+        _, counterexample = explore(6)
+        assert counterexample is None
         for guard in GUARDS:
             with without(guard):
-                _, course = explore(7)
-                assert course is not None, guard
+                _, counterexample = explore(7)
+                assert counterexample is not None, guard
 
 
 # -- malformed heartbeats ------------------------------------------------------------------
@@ -90,12 +90,12 @@
         job = await world.run_job("array", 1, run_s=20.0)
         await world.wait_until(lambda: world.running(job) == 1)
         worker = workers_running(world, job)[0]
-        odd = [
+        unknown_tasks = [
             {"leg": "no task", "try": 1, "status": "running"},
             {"leg": "req-999999/0", "try": 1, "status": "dreaming"},
         ]
         heartbeat = worker._on_heartbeat()
-        heartbeat["legs"] = heartbeat["legs"] + odd
+        heartbeat["legs"] = heartbeat["legs"] + unknown_tasks
         assert (await world.call(leader_of(world), "POST", "/checkin", heartbeat))[0] == 200
         await world.wait_until_done(job)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file and the operators' script: what is read, and what is refused."""
+"""The platform's settings file and the operators' script: valid and invalid values."""
 
 from __future__ import annotations
 
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -1,4 +1,4 @@
-"""Price and carbon: checks of series, fallback of signals, holds and their limits."""
+"""Price and carbon signals: checks of series, fallback of signals, choice of start times."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def series_document(**changes: Any) -> dict[str, Any]:
-    found: dict[str, Any] = {
+    document: dict[str, Any] = {
         "zone": "north", "quantity": "price", "unit": "EUR/kWh", "source": "the grid",
         "issued": NOW.isoformat(), "valid_until": (NOW + 12 * HOUR).isoformat(),
         "measured_until": NOW.isoformat(), "interval_s": 3600,
@@ -53,16 +53,18 @@
             for i, v in enumerate([0.30, 0.28, 0.10, 0.08, 0.08, 0.20, 0.30, 0.35])
         ],
     }  # fmt: skip
-    return found | changes
+    return document | changes
 
 
-def read_document(changed: dict[str, Any], last: Series | None = None) -> Series:
-    body = msgspec.json.encode(changed)
-    return read_series(body, "north", Quantity(changed["quantity"]), NOW, DRIFT, last)
+def read_document(document: dict[str, Any], previous: Series | None = None) -> Series:
+    body = msgspec.json.encode(document)
+    return read_series(body, "north", Quantity(document["quantity"]), NOW, DRIFT, previous)
 
 
-def points(*values: float, first: datetime = NOW, apart: timedelta = HOUR) -> list[dict[str, Any]]:
-    return [{"start": (first + i * apart).isoformat(), "value": v} for i, v in enumerate(values)]
+def points(
+    *values: float, first: datetime = NOW, interval: timedelta = HOUR
+) -> list[dict[str, Any]]:
+    return [{"start": (first + i * interval).isoformat(), "value": v} for i, v in enumerate(values)]
 
 
 @pytest.mark.parametrize(
@@ -72,7 +74,7 @@
         ({"points": points(0.3) + points(0.2, first=NOW + HOUR / 2)}, SeriesOverlapError),
         ({"points": points(0.3, 0.2)[::-1]}, SeriesOverlapError),
         ({"points": []}, MalformedSeriesError),
-        ({"points": points(*[0.1] * 2017, apart=timedelta(minutes=1))}, MalformedSeriesError),
+        ({"points": points(*[0.1] * 2017, interval=timedelta(minutes=1))}, MalformedSeriesError),
         ({"unit": "EUR/MWh"}, UnitMismatchError),
         ({"quantity": "carbon"}, UnitMismatchError),
         (
@@ -93,16 +95,16 @@
 def test_invalid_series_raises_the_error_of_its_fault(
     changes: dict[str, Any], error: type[SignalError]
 ) -> None:
-    last = read_document(series_document())
+    previous = read_document(series_document())
     with pytest.raises(error):
-        read_document(series_document(**changes), None if changes.get("quantity") else last)
+        read_document(series_document(**changes), None if changes.get("quantity") else previous)
 
 
 def test_negative_prices_and_other_time_zones_are_accepted() -> None:
-    last = read_document(series_document())
-    negative = read_document(series_document(points=points(-0.05, 0.10, 0.20)), last)
+    previous = read_document(series_document())
+    negative = read_document(series_document(points=points(-0.05, 0.10, 0.20)), previous)
     assert negative.at(NOW) == (-0.05, Quality.FORECAST)
-    # The same instants written in another zone, over the night in which clocks go back there.
+    # The same instants in another time zone, during the night in which clocks are set back there.
     berlin = ZoneInfo("Europe/Berlin")
     first = datetime(2026, 10, 24, 22, 0, tzinfo=UTC)
     body = msgspec.json.encode(
@@ -114,21 +116,21 @@
             ],
         )
     )  # fmt: skip
-    found = read_series(body, "north", Quantity.PRICE, first, DRIFT)
-    assert found.start == first and len(found.values) == 8 and found.end == first + 8 * HOUR
+    series = read_series(body, "north", Quantity.PRICE, first, DRIFT)
+    assert series.start == first and len(series.values) == 8 and series.end == first + 8 * HOUR
 
 
 @given(st.integers(0, 2000), st.binary(max_size=6))
-def test_damaged_body_raises_no_other_error_than_signal_error(cut: int, dirt: bytes) -> None:
+def test_damaged_body_raises_no_other_error_than_signal_error(cut: int, suffix: bytes) -> None:
     body = msgspec.json.encode(series_document())
-    damaged = body[: cut % len(body)] + dirt
+    damaged = body[: cut % len(body)] + suffix
     with pytest.raises(SignalError):
         read_series(damaged, "north", Quantity.PRICE, NOW, DRIFT)
 
 
 def test_missing_signal_falls_back_by_staleness() -> None:
     signal = Signal(Profile(UTC))
-    # A measured day teaches the profile; then a forecast for the night comes, and no more after it.
+    # The profile learns from a measured day; a forecast for the night follows, and then no series.
     day = series_document(
         points=points(*[0.2] * 20, 0.4, 0.4, 0.4, 0.4, first=NOW - 23 * HOUR),
         measured_until=(NOW + HOUR).isoformat(),
@@ -154,34 +156,34 @@
     )  # fmt: skip
     profile.learn(day)
     profile.learn(day)
-    # Cheap from 2 to 5 by the clock on the wall: an hour later in UTC once clocks went back.
+    # Cheap from 2 to 5 in local time, which is an hour later in UTC once clocks were set back.
     assert profile.at(datetime(2026, 10, 24, 0, 30, tzinfo=UTC)) == 0.1
     assert profile.at(datetime(2026, 10, 25, 3, 30, tzinfo=UTC)) == 0.1
     assert profile.at(datetime(2026, 10, 25, 4, 30, tzinfo=UTC)) == 0.3
 
 
 def decide_round(
-    keeper: HoldTracker,
+    tracker: HoldTracker,
     works: list[DeferrableJob],
     costs: CostCurve | None,
     now: datetime,
     pools: PoolCapacities = UNLIMITED,
 ) -> None:
-    keeper.begin_round({work.job_id for work in works}, costs, now, pools)
+    tracker.begin_round({work.job_id for work in works}, costs, now, pools)
     for work in sorted(works, key=lambda work: work.latest):
-        keeper.decide(work, now)
+        tracker.decide(work, now)
 
 
 def decide_holds(
     works: list[DeferrableJob], costs: CostCurve | None, now: datetime, capacity: float | None,
-    former: dict[str, Hold],
+    previous: dict[str, Hold],
 ) -> dict[str, Hold]:  # fmt: skip
-    keeper = HoldTracker()
-    keeper.holds = {name: hold for name, hold in former.items() if now < hold.until}
+    tracker = HoldTracker()
+    tracker.holds = {name: hold for name, hold in previous.items() if now < hold.until}
     decide_round(
-        keeper, works, costs, now, PoolCapacities({} if capacity is None else {"": capacity})
+        tracker, works, costs, now, PoolCapacities({} if capacity is None else {"": capacity})
     )
-    return keeper.holds
+    return tracker.holds
 
 
 def hourly_curve(*rates: float) -> CostCurve:
@@ -193,12 +195,12 @@
     work = DeferrableJob("a", 1.0, 2 * HOUR, NOW + 5 * HOUR)
     hold = decide_holds([work], costs, NOW, None, {})["a"]
     assert hold.until == NOW + 3 * HOUR and hold.saving == pytest.approx(1 - 0.16 / 0.58)
-    # A window that opens too late to finish in is not used.
+    # A window after the latest safe start is not used.
     short = DeferrableJob("b", 1.0, 2 * HOUR, NOW + HOUR / 2)
     assert decide_holds([short], costs, NOW, None, {})["b"].until == NOW + HOUR / 2
     assert decide_holds([DeferrableJob("c", 1.0, HOUR, NOW)], costs, NOW, None, {}) == {}
     assert decide_holds([work], None, NOW, None, {}) == {}
-    # A flat price holds nothing.
+    # At a constant price no job is held.
     assert decide_holds([work], hourly_curve(*[0.2] * 9), NOW, None, {}) == {}
 
 
@@ -217,7 +219,7 @@
     holds = decide_holds([late, *early], costs, NOW, 2.0, {})
     assert {holds[w.job_id].until for w in early} == {NOW + 2 * HOUR}
     assert holds["late"].until == NOW + 4 * HOUR
-    # All want one hour, and most can't have it: the rest is spread, or begins at once.
+    # The cheapest hour has capacity for two jobs: the others get other windows or start now.
     many = [DeferrableJob(f"w{i}", 1.0, HOUR * 0.9, NOW + 5 * HOUR) for i in range(12)]
     holds = decide_holds(many, costs, NOW, 2.0, {})
     taken: dict[datetime, int] = {}
@@ -229,27 +231,27 @@
 def test_alternating_forecast_does_not_move_holds() -> None:
     one = hourly_curve(0.30, 0.30, 0.100, 0.30, 0.104, 0.30)
     other = hourly_curve(0.30, 0.30, 0.104, 0.30, 0.100, 0.30)
-    keeper = HoldTracker()
+    tracker = HoldTracker()
     work = DeferrableJob("a", 1.0, HOUR, NOW + 5 * HOUR)
     seen = set()
     for turn in range(6):
-        decide_round(keeper, [work], other if turn % 2 else one, NOW + turn * timedelta(minutes=5))
-        seen.add(keeper.holds["a"].until)
+        decide_round(tracker, [work], other if turn % 2 else one, NOW + turn * timedelta(minutes=5))
+        seen.add(tracker.holds["a"].until)
     assert seen == {NOW + 2 * HOUR}
-    # A job that was released is not held again, however cheap a later hour becomes.
-    decide_round(keeper, [work], one, NOW + 2 * HOUR)
-    assert keeper.active_hold("a", NOW + 2 * HOUR) is None
-    decide_round(keeper, [work], hourly_curve(0.3, 0.3, 0.3, 0.3, 0.01, 0.3), NOW + 2 * HOUR)
-    assert keeper.active_hold("a", NOW + 2 * HOUR) is None
+    # A released job is not held again, even if a later hour becomes cheaper.
+    decide_round(tracker, [work], one, NOW + 2 * HOUR)
+    assert tracker.active_hold("a", NOW + 2 * HOUR) is None
+    decide_round(tracker, [work], hourly_curve(0.3, 0.3, 0.3, 0.3, 0.01, 0.3), NOW + 2 * HOUR)
+    assert tracker.active_hold("a", NOW + 2 * HOUR) is None
 
 
 def test_lost_signal_releases_held_jobs() -> None:
-    keeper = HoldTracker()
+    tracker = HoldTracker()
     work = DeferrableJob("a", 1.0, HOUR, NOW + 5 * HOUR)
-    decide_round(keeper, [work], hourly_curve(0.3, 0.3, 0.1, 0.3, 0.3, 0.3), NOW)
-    assert keeper.active_hold("a", NOW) is not None
-    decide_round(keeper, [work], None, NOW + HOUR)
-    assert keeper.active_hold("a", NOW + HOUR) is None
+    decide_round(tracker, [work], hourly_curve(0.3, 0.3, 0.1, 0.3, 0.3, 0.3), NOW)
+    assert tracker.active_hold("a", NOW) is not None
+    decide_round(tracker, [work], None, NOW + HOUR)
+    assert tracker.active_hold("a", NOW + HOUR) is None
 
 
 WORKS = st.lists(
@@ -264,26 +266,26 @@
     st.floats(0.0, 8.0),
 )
 def test_holds_are_safe_no_dearer_and_within_capacity(
-    rough: list[tuple[float, float, float]], rates: list[float], capacity: float | None, past: float
+    drawn: list[tuple[float, float, float]], rates: list[float], capacity: float | None, past: float
 ) -> None:
     works = [
         DeferrableJob(f"w{i}", units, HOUR * hours, NOW + HOUR * latest)
-        for i, (units, hours, latest) in enumerate(rough)
+        for i, (units, hours, latest) in enumerate(drawn)
     ]
     costs = hourly_curve(*rates)
-    former = {w.job_id: Hold(NOW + HOUR * past, w.latest, 0.5) for w in works[::2]}
-    holds = decide_holds(works, costs, NOW, capacity, former)
+    previous = {w.job_id: Hold(NOW + HOUR * past, w.latest, 0.5) for w in works[::2]}
+    holds = decide_holds(works, costs, NOW, capacity, previous)
     for work in works:
         hold = holds.get(work.job_id)
         if hold is not None:
             assert NOW < hold.until <= work.latest
-            start = costs.cost(hold.until, work.duration)
-            assert start <= costs.cost(NOW, work.duration) + 1e-9
+            cost = costs.cost(hold.until, work.duration)
+            assert cost <= costs.cost(NOW, work.duration) + 1e-9
     if capacity is not None:
         for i in range(15):
             instant = NOW + i * HOUR
-            held = sum(
+            used = sum(
                 w.units for w in works if w.job_id in holds
                 and holds[w.job_id].until <= instant < holds[w.job_id].until + w.duration
             )  # fmt: skip
-            assert held <= capacity + 1e-9
+            assert used <= capacity + 1e-9
