--- a/micadeal/scheduling/arrivals.py
+++ b/micadeal/scheduling/arrivals.py
@@ -81,7 +81,7 @@
         tasks = job.spec.tasks
         if job.is_gang:
             # Warm capacity rarely suffices for a large gang: it counts as one machine's worth.
-            tasks = min(tasks, self._offers.most_on_one(job.spec))
+            tasks = min(tasks, self._offers.max_tasks_per_machine(job.spec))
         history.arrivals.append(_Arrival(max(job.submitted, now - MAX_ARRIVAL_AGE), tasks))
         history.spec = job.spec
         history.images.append(job.spec.image)
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -83,13 +83,13 @@
         """Add new prices or carbon intensities of a zone."""
         key = (series.zone, series.quantity)
         signal = self._signals.setdefault(key, Signal(Profile(self._local)))
-        signal.take(series)
+        signal.update(series)
         self._refreshed_at = None
 
     def record_run_times(self, ended_tasks: Iterable[tuple[str, float]]) -> None:
         """Record ended tasks: their class, and the ratio of running time to estimate."""
         for job_class, ratio in ended_tasks:
-            self._estimate_errors.ended(job_class, ratio)
+            self._estimate_errors.record(job_class, ratio)
 
     # -- deciding --------------------------------------------------------------------------
 
@@ -122,7 +122,7 @@
             job = self._queue.pop()
             tracker = self._hold_trackers.get(job.spec.job_class)
             if tracker is not None and _is_deferrable(job):
-                tracker.consider(self._to_deferrable_job(job), utc_now)
+                tracker.decide(self._to_deferrable_job(job), utc_now)
 
     def _begin_refresh(self, urgent_classes: frozenset[str]) -> None:
         policy, utc_now = self._policy, self._refreshed_utc
@@ -152,7 +152,7 @@
             curve = cost_curve(
                 self._weighted_signals(policy.flexible[name]), utc_now, utc_now + HORIZON
             )
-            self._hold_trackers[name].begin({job.id for job in jobs}, curve, utc_now, pools)
+            self._hold_trackers[name].begin_round({job.id for job in jobs}, curve, utc_now, pools)
         # Reversed, because jobs are taken from the end: the one that must finish first comes first.
         self._queue = sorted(all_jobs, key=lambda job: (job.latest, job.id), reverse=True)
 
@@ -254,10 +254,10 @@
         tracker = self._hold_trackers.get(job.spec.job_class)
         if tracker is None or self._refreshed_at is None:
             return None
-        if not tracker.decided(job.id) and _is_deferrable(job) and not self._is_starved(job):
+        if not tracker.is_decided(job.id) and _is_deferrable(job) and not self._is_starved(job):
             # It arrived, or its dependencies completed, after windows were chosen.
-            tracker.consider(self._to_deferrable_job(job), self._to_utc(now))
-        return tracker.held(job.id, self._to_utc(now))
+            tracker.decide(self._to_deferrable_job(job), self._to_utc(now))
+        return tracker.active_hold(job.id, self._to_utc(now))
 
 
 def _is_deferrable(job: Job) -> bool:
--- a/micadeal/scheduling/machine_monitor.py
+++ b/micadeal/scheduling/machine_monitor.py
@@ -88,7 +88,11 @@
         ):
             self._cluster.pending_direct_commands.add(machine.name)
         reachability = machine.reachability
-        if reachability.missed and reachability.receives_nothing and reachability.may_probe(now):
+        if (
+            reachability.ineffective_responses
+            and reachability.receives_nothing
+            and reachability.may_probe(now)
+        ):
             # An answer proves that it receives messages again.
             self._cluster.pending_probes.add(machine.name)
 
--- a/micadeal/scheduling/reservations.py
+++ b/micadeal/scheduling/reservations.py
@@ -149,10 +149,10 @@
         cluster = inputs.cluster
         usage: dict[str, Amounts] | None = None
         result: list[Job] = []
-        earliest = min(inputs.policy.gather_after, inputs.policy.minimum_timeout)
+        earliest = min(inputs.policy.reserve_after, inputs.policy.minimum_timeout)
         for job in cluster.live_jobs():
             # The cheapest test comes first: there may be many jobs.
-            if inputs.now - job.ready < earliest or not job.not_begun or job.errors:
+            if inputs.now - job.ready < earliest or not job.not_started or job.errors:
                 continue
             if not self._has_waited_enough(job, inputs) or not _wants_reservation(job, inputs):
                 continue
@@ -172,9 +172,9 @@
             return True
         # Preemption may free machines for a gang of a team below its guarantee, but only machines
         # that are reserved for the gang.
-        if waited < policy.gather_after and not (job.is_gang and team in inputs.below_guarantee):
+        if waited < policy.reserve_after and not (job.is_gang and team in inputs.below_guarantee):
             return False
-        return team not in inputs.satisfied or waited >= policy.gather_late
+        return team not in inputs.satisfied or waited >= policy.reserve_after_at_fair_share
 
     # -- machines --------------------------------------------------------------------------
 
@@ -203,10 +203,10 @@
     def _rentable(self, job: Job, zone: str | None, slots: int, inputs: ReservationInputs) -> bool:
         """Return whether machines for ``slots`` slots may be rented; zone None: in any zone."""
         offers = inputs.instance_offers
-        machines = -(-slots // offers.most_on_one(job.spec))
-        for offer, _ in offers.choices(job.spec, inputs.now, Counter()):
+        machines = -(-slots // offers.max_tasks_per_machine(job.spec))
+        for offer, _ in offers.available(job.spec, inputs.now, Counter()):
             if zone in (None, offer.zone):
-                rentable = offers.left(offer, self._existing[offer], inputs.now)
+                rentable = offers.remaining(offer, self._existing[offer], inputs.now)
                 if rentable is None or rentable >= machines:
                     return True
         return False
@@ -243,7 +243,7 @@
     if job.production or not job.waiting_count() or job.spec.team not in inputs.cluster.teams:
         return False
     # A single task that shares a machine with other tasks can use any slot that becomes free.
-    return slots_needed(job) > 1 or inputs.instance_offers.most_on_one(job.spec) <= 1
+    return slots_needed(job) > 1 or inputs.instance_offers.max_tasks_per_machine(job.spec) <= 1
 
 
 def _within_limits(job: Job, cluster: ClusterState, usage: dict[str, Amounts]) -> bool:
--- a/micadeal/scheduling/scheduling_cycle.py
+++ b/micadeal/scheduling/scheduling_cycle.py
@@ -35,7 +35,7 @@
         self.pool = CapacityPool(
             cluster,
             build_capacities(cluster, now, inputs.pending_rentals),
-            inputs.instance_offers.spot_refused(now),
+            inputs.instance_offers.all_spot_backing_off(now),
         )
         self._bookings = Bookings(cluster, self.plan, now)
         self._scale_out = ScaleOut(inputs, self.pool, self.plan)
@@ -128,6 +128,6 @@
         """
         if queue[0].spec.team in self._inputs.served_by_age:
             return None
-        min_wait, now = self._inputs.policy.gather_late, self._inputs.now
-        waiting = [job for job in queue[1:] if job.not_begun and now - job.ready >= min_wait]
+        min_wait, now = self._inputs.policy.reserve_after_at_fair_share, self._inputs.now
+        waiting = [job for job in queue[1:] if job.not_started and now - job.ready >= min_wait]
         return min(waiting, key=lambda job: (job.ready, job.id), default=None)
