--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -15,99 +15,102 @@
 
 
 async def start_two_jobs(world: World) -> tuple[str, str]:
-    """Start a job that is to stay and one that is to be cancelled, and let time settle them."""
-    stays = await world.run_job("daemon", 3, scatter=True, rank="production")
+    """Start a service to keep and a job to cancel; wait until followers may renew their leases."""
+    service = await world.run_job("daemon", 3, scatter=True, rank="production")
     cancelled_job = await world.run_job("daemon", 4, crew="blue")
-    await world.wait_until(lambda: world.running(stays) == 3 and world.running(cancelled_job) == 4)
+    await world.wait_until(
+        lambda: world.running(service) == 3 and world.running(cancelled_job) == 4
+    )
     await curio.sleep(FOLLOWERS_RENEW_AFTER_S)
-    return stays, cancelled_job
+    return service, cancelled_job
 
 
-async def wait_out_an_outage(world: World, stays: str, cancelled_job: str) -> None:
-    """Begin an outage and wait for longer than a cancellation may take."""
+async def wait_through_outage(world: World, service: str, cancelled_job: str) -> None:
+    """Begin an outage of the state service and wait until the cancel timeout has passed."""
     world.state.outage = True
     await curio.sleep(CANCEL_S + 8)
     assert not world.tasks_on_machines(cancelled_job)
-    assert world.running(stays) == 3
+    assert world.running(service) == 3
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_random_fault_histories_break_no_rule_and_serve_every_accepted_job(
     seed: int,
 ) -> None:
-    """Some of what ``python -m bench.fault_histories`` plays: gaps, and pairs of other faults."""
+    """Play some histories of ``python -m bench.fault_histories``: gaps, pairs of other faults."""
     kinds = [("gap",), ("gap at an election",), PAIRS[seed * 37 % len(PAIRS)], ()][seed % 4]
     assert History(seed, kinds).play() == []
 
 
-# -- the gap: the leader alone is refused, "cancelled" is told, then the state service is out ------
+# -- gap: the state service refuses the leader, a cancellation is confirmed, an outage begins ------
 
 
-@pytest.mark.parametrize("late_by", [1.5, 60.0])
+@pytest.mark.parametrize("delay_s", [1.5, 60.0])
 def test_a_leader_that_is_still_loading_learns_of_a_cancellation(
-    monkeypatch: pytest.MonkeyPatch, late_by: float
+    monkeypatch: pytest.MonkeyPatch, delay_s: float
 ) -> None:
-    """Guards ``ran_cancelled``: the notice reaches a leader that has no records yet.
+    """Guards ``ran_cancelled``: the notice reaches a leader that has not loaded its records yet.
 
-    The records that were read before the job was over come late, or not at all during the outage.
+    Its reads, sent before the job was cancelled, are answered late, or not at all during the
+    outage.
     """
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
-        gone = leader_of(world)
+        service, cancelled_job = await start_two_jobs(world)
+        crashed = leader_of(world)
 
-        def slow(source: str, address: str, request: Request) -> float:
+        def delay_job_reads(source: str, address: str, request: Request) -> float:
             reads_jobs = request.path == "/keys" and "starts=job/" in request.query
-            return late_by if reads_jobs and address == state_fake.ADDRESS else 0.0
+            return delay_s if reads_jobs and address == state_fake.ADDRESS else 0.0
 
-        world.network.answer_delay = slow
-        world.crash(gone)
-        await world.wait_until(lambda: world.leader() not in (None, gone))
+        world.network.answer_delay = delay_job_reads
+        world.crash(crashed)
+        await world.wait_until(lambda: world.leader() not in (None, crashed))
         leader = leader_of(world)
         await curio.sleep(0.1)
-        assert await world.cancel(cancelled_job, 3 - gone - leader) == "cancelled"
+        assert await world.cancel(cancelled_job, 3 - crashed - leader) == "cancelled"
         await curio.sleep(1.3)
         world.network.cut(f"c{leader}", "state", REFUSE)
         await curio.sleep(0.3)
-        await wait_out_an_outage(world, stays, cancelled_job)
+        await wait_through_outage(world, service, cancelled_job)
 
     World().play(monkeypatch, scenario)
 
 
-@pytest.mark.parametrize("peers", [True, False])
+@pytest.mark.parametrize("reaches_peers", [True, False])
 def test_a_leader_without_state_service_resigns_when_a_later_leader_pings(
-    monkeypatch: pytest.MonkeyPatch, peers: bool
+    monkeypatch: pytest.MonkeyPatch, reaches_peers: bool
 ) -> None:
-    """Two leaders that answer workers: the earlier one can't read that it was replaced.
+    """Two leaders answer workers, since the earlier one can't read that it was replaced.
 
-    It learns so from the later one and redirects workers.  ``peers`` False: cut off from it as
-    well, it stops answering in time for what is cancelled through the later one, though workers of
-    one zone reach nobody else.
+    It learns this from the later leader's ping and redirects workers.  If it is cut off from its
+    peers as well, it stops answering in time for jobs cancelled through the later leader, although
+    one worker reaches no other controller.
     """
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
+        service, cancelled_job = await start_two_jobs(world)
         old = leader_of(world)
         world.network.cut(f"c{old}", "state", REFUSE)
-        if not peers:
+        if not reaches_peers:
             for other in range(3):
                 if other != old:
                     world.network.cut(f"c{old}", f"c{other}")
-        apart = world.tasks_on_machines(cancelled_job)[0][0]
+        worker = world.tasks_on_machines(cancelled_job)[0][0]
         for other in range(3):
             if other != old:
-                world.network.cut(apart.name, f"c{other}")
+                world.network.cut(worker.name, f"c{other}")
         await world.wait_until(lambda: world.leader() not in (None, old))
         leader = leader_of(world)
         assert await world.cancel(cancelled_job, leader) == "cancelled"
-        if peers:
+        if reaches_peers:
             await world.wait_until(lambda: world.nodes[old]._leader.name == f"c{leader}", limit=4)
         await curio.sleep(CANCEL_S)
         assert not world.tasks_on_machines(cancelled_job)
-        if peers:
-            # Over the mesh.
-            assert apart.token == world.state.keys["seat/held"][1]
-        await world.wait_until(lambda: world.running(stays) == 3)
+        if reaches_peers:
+            # The token reached the worker through a relay between controllers.
+            assert worker.token == world.state.keys["seat/held"][1]
+        await world.wait_until(lambda: world.running(service) == 3)
 
     World().play(monkeypatch, scenario)
 
@@ -115,14 +118,14 @@
 def test_a_leader_without_state_service_goes_on_while_a_later_one_is_loading(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards running work: the outage begins with the later leader's first reads.
+    """Guards running tasks: the outage begins with the later leader's first reads.
 
-    The later leader was just started, so it can't answer by the cancellation lists either.  Found
-    in fault histories with gaps at elections, where 250 tasks ended at once.
+    The later leader has just started, so it can't rely on cancellation lists either.  In fault
+    histories with gaps at elections 250 tasks ended at the same time.
     """
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
+        service, cancelled_job = await start_two_jobs(world)
         old = leader_of(world)
         world.network.answer_delay = lambda source, address, request: (
             60.0 if request.path == "/keys" and "starts=job/" in request.query else 0.0
@@ -136,11 +139,11 @@
             world.network.cut(f"c{number}", "state", REFUSE)
         await world.wait_until(lambda: world.leader() == later)
         assert await world.cancel(cancelled_job, later) == "cancelled"
-        await wait_out_an_outage(world, stays, cancelled_job)
+        await wait_through_outage(world, service, cancelled_job)
         await world.network.heal_all()
         world.state.outage = False
         await curio.sleep(LEASE_S)
-        assert {world.rules.starts[f"{stays}/{index}"] for index in range(3)} == {1}
+        assert {world.rules.starts[f"{service}/{index}"] for index in range(3)} == {1}
 
     World().play(monkeypatch, scenario)
 
@@ -148,13 +151,13 @@
 def test_a_just_started_leader_answers_by_its_peers_cancellation_lists(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards running work: a leader elected after a crash can read nothing in an outage.
+    """Guards running tasks: a leader elected after a crash can read no records in an outage.
 
-    Its peers have kept lists of cancellations for long enough, whoever has heard them do so.
+    Its peers have kept cancellation lists for long enough, no matter which controller observed it.
     """
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
+        service, cancelled_job = await start_two_jobs(world)
         old = leader_of(world)
         later, other = (old + 1) % 3, (old + 2) % 3
         world.network.answer_delay = lambda source, address, request: (
@@ -173,7 +176,7 @@
         await world.start(old)
         await curio.sleep(CANCEL_S + 2)
         assert not world.tasks_on_machines(cancelled_job)
-        assert world.running(stays) == 3
+        assert world.running(service) == 3
 
     World().play(monkeypatch, scenario)
 
@@ -181,15 +184,15 @@
 def test_a_cancellation_before_an_outage_right_after_all_controllers_restarted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards running work: no cancellation list is complete so soon after a restart.
+    """Guards running tasks: no cancellation list is complete shortly after a restart.
 
-    The leader's last answered watch was opened before the cancellation.  But what no list holds was
-    recorded before that.  Found in fault histories with gaps at elections, where 366 tasks ended at
-    once.
+    The leader's last answered watch was opened before the cancellation, but a cancellation that is
+    on no list was recorded before that watch.  In fault histories with gaps at elections 366 tasks
+    ended at the same time.
     """
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
+        service, cancelled_job = await start_two_jobs(world)
         for number in range(3):
             world.crash(number)
         await curio.sleep(0.3)
@@ -199,10 +202,10 @@
         await curio.sleep(1)
         leader = leader_of(world)
         assert await world.cancel(cancelled_job, (leader + 1) % 3) == "cancelled"
-        await wait_out_an_outage(world, stays, cancelled_job)
+        await wait_through_outage(world, service, cancelled_job)
         world.state.outage = False
         await curio.sleep(LEASE_S)
-        assert {world.rules.starts[f"{stays}/{index}"] for index in range(3)} == {1}
+        assert {world.rules.starts[f"{service}/{index}"] for index in range(3)} == {1}
 
     World().play(monkeypatch, scenario)
 
@@ -220,8 +223,8 @@
         assert (await world.call(0, "POST", "/settings", {"script": "# older"}))[0] == 503
         assert (await world.call(1, "POST", "/settings", {"script": "# newer"}))[0] == 200
         await curio.sleep(10)
-        status, found = await world.call(2, "GET", "/settings")
-        assert (status, found["script"]) == (200, "# newer")
+        status, reply = await world.call(2, "GET", "/settings")
+        assert (status, reply["script"]) == (200, "# newer")
 
     World().play(monkeypatch, scenario)
 
@@ -229,18 +232,18 @@
 # -- failover while machines are unreachable, or don't receive the next leader's answers -----------
 
 
-@pytest.mark.parametrize("for_s", [4.5, LEASE_S + 14])
-@pytest.mark.parametrize("how", ["out of reach", "receives nothing", "held"])
+@pytest.mark.parametrize("unreachable_s", [4.5, LEASE_S + 14])
+@pytest.mark.parametrize("fault", ["out of reach", "receives nothing", "held"])
 def test_failover_while_machines_with_long_tasks_are_unreachable(
-    monkeypatch: pytest.MonkeyPatch, how: str, for_s: float
+    monkeypatch: pytest.MonkeyPatch, fault: str, unreachable_s: float
 ) -> None:
-    """Within a lease nothing is lost; after it each task is started once more.
+    """No task is lost within a lease; after it each is started at most once more.
 
-    What was cancelled meanwhile is gone in time.  The machines are used again, or returned.
+    The job that is cancelled meanwhile ends in time.  The machines are used again, or returned.
     """
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
+        service, cancelled_job = await start_two_jobs(world)
         array = await world.run_job("array", 3, run_s=50.0, crew="red")
         await world.wait_until(lambda: world.running(array) == 3)
         leader = leader_of(world)
@@ -252,26 +255,26 @@
             )
         }
         pairs = [(name, f"c{n}") for name in machines for n in range(3)]
-        if how == "receives nothing":
+        if fault == "receives nothing":
             world.network.receives_nothing |= machines
         else:
             for pair in pairs:
-                world.network.cut(*pair, HOLD if how == "held" else SILENT)
+                world.network.cut(*pair, HOLD if fault == "held" else SILENT)
         world.crash(leader)
         await curio.sleep(2)
         assert await world.cancel(cancelled_job, (leader + 1) % 3) == "cancelled"
-        await curio.sleep(for_s - 2)
+        await curio.sleep(unreachable_s - 2)
         world.network.receives_nothing.clear()
         for pair in pairs:
             await world.network.heal(*pair)
         await world.wait_until_done(array)
         await world.wait_until(
-            lambda: world.running(stays) == 3 and not world.tasks_on_machines(cancelled_job)
+            lambda: world.running(service) == 3 and not world.tasks_on_machines(cancelled_job)
         )
-        after = await world.run_job("array", 4, run_s=5.0, crew="blue")
-        await world.wait_until_done(after)
-        lost = {world.rules.starts[f"{array}/{index}"] for index in range(3)}
-        assert lost == {1} if for_s < LEASE_S else lost <= {1, 2}
+        later_job = await world.run_job("array", 4, run_s=5.0, crew="blue")
+        await world.wait_until_done(later_job)
+        start_counts = {world.rules.starts[f"{array}/{index}"] for index in range(3)}
+        assert start_counts == {1} if unreachable_s < LEASE_S else start_counts <= {1, 2}
 
     World().play(monkeypatch, scenario)
 
@@ -279,36 +282,36 @@
 # -- repeated failovers ----------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("back_in", [0.05, 0.6])
+@pytest.mark.parametrize("down_s", [0.05, 0.6])
 def test_failovers_within_a_second_start_no_task_twice(
-    monkeypatch: pytest.MonkeyPatch, back_in: float
+    monkeypatch: pytest.MonkeyPatch, down_s: float
 ) -> None:
-    """Handing over and back, a crash during the election, all controllers at once.
+    """Leaders hand over, other controllers crash during the elections, and finally all crash.
 
-    Attempts, tokens, held heartbeats and answers of earlier processes mean nothing to later ones.
+    Later processes ignore attempts, tokens, held heartbeats and answers of earlier ones.
     """
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
+        service, cancelled_job = await start_two_jobs(world)
         jobs = [await world.run_job("array", 2, run_s=45.0, crew="red") for _ in range(2)]
         for number in (0, 1, 2, 0):
             leader = leader_of(world)
             await world.nodes[leader].retire()
             world.crash(leader)
-            await curio.sleep(back_in)
+            await curio.sleep(down_s)
             await world.start(leader)
             await curio.sleep(0.2)
-            # In the middle of the election that follows.
+            # During the election that follows.
             other = (leader + 1 + number % 2) % 3
             world.crash(other)
-            await curio.sleep(back_in)
+            await curio.sleep(down_s)
             await world.start(other)
             await world.wait_until(lambda: world.leader() is not None, limit=10)
         for number in range(3):
             world.crash(number)
         await world.start(1)
         await world.wait_until(lambda: world.leader() == 1, limit=10)
-        # Nobody else can know of it: it is not confirmed before its tasks are gone.
+        # No other controller can know of it: it is not confirmed before its tasks have ended.
         assert await world.cancel(cancelled_job, 1) is None or not world.tasks_on_machines(
             cancelled_job
         )
@@ -318,7 +321,7 @@
         assert await world.cancel(cancelled_job, 0) == "cancelled"
         for job in jobs:
             await world.wait_until_done(job)
-        assert world.running(stays) == 3 and not world.tasks_on_machines(cancelled_job)
+        assert world.running(service) == 3 and not world.tasks_on_machines(cancelled_job)
 
     world = World().play(monkeypatch, scenario)
     assert max(world.rules.starts.values()) == 1
@@ -330,29 +333,29 @@
 @pytest.mark.parametrize(
     "kind", ["job/", "end/", "placed/", "finished/", "images/", "seat/", "leader"]
 )
-def test_delayed_transactions_of_each_kind_do_no_harm(
+def test_delayed_transactions_of_each_kind_break_no_rule(
     monkeypatch: pytest.MonkeyPatch, kind: str
 ) -> None:
     """Half of the transactions that write a key of the kind are applied late, after newer ones.
 
-    They get no answer.  Meanwhile the leader changes twice and a job is cancelled.
+    The late ones get no answer.  Meanwhile the leader changes twice and a job is cancelled.
     """
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
-        count = 0
+        service, cancelled_job = await start_two_jobs(world)
+        writes = 0
 
-        def late(source: str, address: str, request: Request) -> float | None:
-            nonlocal count
+        def delay_write(source: str, address: str, request: Request) -> float | None:
+            nonlocal writes
             if request.path != "/txn":
                 return None
             changes = decode(dict, request.body)["then"]
             if not any(c.get("put", c.get("drop", "")).startswith(kind) for c in changes):
                 return None
-            count += 1
-            return 3.0 + count % 9 if count % 2 else None
+            writes += 1
+            return 3.0 + writes % 9 if writes % 2 else None
 
-        world.network.delivery_delay = late
+        world.network.delivery_delay = delay_write
         jobs = [
             await world.run_job("array", 3, run_s=4.0 + 9 * n, crew="red", image_gb=0.5)
             for n in range(3)
@@ -371,13 +374,13 @@
             await curio.sleep(1)
         for job in jobs:
             await world.wait_until_done(job)
-        assert count
+        assert writes
         await world.wait_until(lambda: not world.tasks_on_machines(cancelled_job), limit=CANCEL_S)
         await curio.sleep(15)
         for number in range(3):
             assert await world.status(cancelled_job, number) == "cancelled"
             assert {await world.status(job, number) for job in jobs} == {"done"}
-        assert world.running(stays) == 3
+        assert world.running(service) == 3
 
     World().play(monkeypatch, scenario)
 
@@ -388,10 +391,10 @@
 def test_delayed_commands_stop_only_what_they_name(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Stop commands arrive when their reason has passed, also under a later leader."""
+    """Stop commands arrive after their reason has passed, also under a later leader."""
 
     async def scenario(world: World) -> None:
-        stays, cancelled_job = await start_two_jobs(world)
+        service, cancelled_job = await start_two_jobs(world)
         gang = await world.run_job("gang", 2, run_s=30.0, bookmark_s=5.0, stow_s=1.0, crew="red")
         await world.wait_until(lambda: world.running(gang) == 2)
         leader = leader_of(world)
@@ -411,56 +414,57 @@
             worker.stalled = False
         await world.wait_until(lambda: not world.tasks_on_machines(cancelled_job), limit=8)
         await world.wait_until_done(gang)
-        await world.wait_until(lambda: world.running(stays) == 3)
+        await world.wait_until(lambda: world.running(service) == 3)
 
     World().play(monkeypatch, scenario)
 
 
-# -- tasks that end far apart ----------------------------------------------------------------------
+# -- tasks that end at long intervals --------------------------------------------------------------
 
 
 def test_a_job_whose_tasks_end_under_three_leaders_is_done_once_all_are(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """``done`` is answered neither before the last task has ended nor never.
+    """``done`` is answered once the last task has ended, and not before.
 
-    Results are kept by their machines, come in late records, or are computed again where the
+    Machines keep results, records of results are written late, and tasks run again where the
     machine is gone.
     """
 
     async def scenario(world: World) -> None:
-        stays = await world.run_job("daemon", 3, scatter=True, rank="production")
+        service = await world.run_job("daemon", 3, scatter=True, rank="production")
         job = await world.run_job("array", 3, run_s=9.0, crew="blue")
         await world.wait_until(lambda: world.running(job) == 3)
-        # The others take longer: their machines hang meanwhile.
-        slow = [worker for worker, _ in world.tasks_on_machines(job)][1:]
-        slow[1].stalled = True
-        gone = leader_of(world)
+        # The others take longer; the machine of one of them is stalled meanwhile.
+        slow_workers = [worker for worker, _ in world.tasks_on_machines(job)][1:]
+        slow_workers[1].stalled = True
+        first_leader = leader_of(world)
         await world.wait_until(lambda: f"{job}/0" in world.rules.finished_tasks, limit=20)
         world.network.delivery_delay = lambda source, address, request: (
             7.0 if request.path == "/txn" and b"finished/" in request.body else None
         )
         await curio.sleep(2)
-        world.crash(gone)
-        await world.start(gone)
-        first = world.tasks_on_machines(job)
-        assert await world.status(job, (gone + 1) % 3) != "done"
+        world.crash(first_leader)
+        await world.start(first_leader)
+        tasks_at_failover = world.tasks_on_machines(job)
+        assert await world.status(job, (first_leader + 1) % 3) != "done"
         await curio.sleep(4)
-        slow[1].stalled = False
+        slow_workers[1].stalled = False
         await world.wait_until(lambda: world.leader() is not None, limit=10)
-        second = leader_of(world)
+        second_leader = leader_of(world)
         await world.wait_until(
             lambda: (
-                not world.tasks_on_machines(job) or len(world.tasks_on_machines(job)) < len(first)
+                not world.tasks_on_machines(job)
+                or len(world.tasks_on_machines(job)) < len(tasks_at_failover)
             )
         )
-        world.crash(second)
+        world.crash(second_leader)
         await curio.sleep(1)
-        await world.start(second)
+        await world.start(second_leader)
         world.network.delivery_delay = None
         await world.wait_until_done(job)
         for number in range(3):
             assert await world.status(job, number) == "done"
-        assert world.running(stays) == 3
+        assert world.running(service) == 3
 
     World().play(monkeypatch, scenario)
