--- a/tests/test_follower_lease_messages.py
+++ b/tests/test_follower_lease_messages.py
@@ -1,4 +1,4 @@
-"""Renewal of leases by followers: invalid messages, lost cancellations, the model of its rules."""
+"""Lease renewal by followers: invalid messages, lost cancellations, the model of its rules."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
     # The pings of the past term start no renewal promise, so the controller may vote.
     ping = peers.Ping("c1", wants_consent=9, wants_cancellations=True)
     assert follower_leases.promise(ping, False, False, seconds(110)).consent == 9
-    for unknown in (4, -1):
-        ping = peers.Ping("c1", wants_consent=unknown, wants_cancellations=True)
+    for past_token in (4, -1):
+        ping = peers.Ping("c1", wants_consent=past_token, wants_cancellations=True)
         assert follower_leases.promise(ping, False, False, seconds(110)).consent == 0
 
 
@@ -54,21 +54,24 @@
             )
     assert all(view.asked_at is None for view in follower_leases.views())
     cancellations = {"../../etc": 0.0, "req-1": 5000.0}
-    new = follower_leases.on_ping_answer(
+    new_cancellations = follower_leases.on_ping_answer(
         "c1",
         peers.RenewalPromise(1e6, True, cancellations=cancellations),
         seconds(1),
         seconds(1),
         0,
     )
-    assert new == ["req-1"]
+    assert new_cancellations == ["req-1"]
 
 
 def test_cancellation_is_kept_if_leader_mailbox_is_full(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``: the cancellation is on the controller's list, so no peer reports it
-    again, and the leader would continue to answer workers as if it knew every cancellation."""
+    """Guards ``ran_cancelled``: a cancellation that the leader's mailbox refuses is sent again.
+
+    It is on the controller's list, so no peer reports it again.  Unless it is resent, the leader
+    continues to answer workers as if it knew every cancellation.
+    """
 
     async def scenario(world: World) -> None:
         await curio.sleep(3)
@@ -94,16 +97,16 @@
 
 
 def test_no_vote_after_list_of_cancellations_overflowed() -> None:
-    """Guards ``ran_cancelled``: tasks of a job dropped from the list could be kept alive."""
+    """Guards ``ran_cancelled``: tasks of a job dropped from the list could keep their leases."""
     follower_leases = _follower_leases()
-    at = seconds(1000)
+    now = seconds(1000)
     ping = peers.Ping("c1", wants_consent=3, wants_cancellations=True)
     for number in range(MAX_CANCELLATIONS):
-        assert follower_leases.add_cancellation(f"req-{number}", at)
-    assert follower_leases.promise(ping, False, False, at).consent == 3
-    follower_leases.add_cancellation("req-999999", at)
-    assert follower_leases.promise(ping, False, False, at).consent == 0
-    assert follower_leases.promise(ping, False, False, at + seconds(36)).consent == 3
+        assert follower_leases.add_cancellation(f"req-{number}", now)
+    assert follower_leases.promise(ping, False, False, now).consent == 3
+    follower_leases.add_cancellation("req-999999", now)
+    assert follower_leases.promise(ping, False, False, now).consent == 0
+    assert follower_leases.promise(ping, False, False, now + seconds(36)).consent == 3
 
 
 @pytest.mark.parametrize(
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -51,8 +51,11 @@
 def test_tasks_survive_until_last_controller_with_token_crashes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """No task is lost while a controller that knows the token is up.  After the last of these has
-    crashed, the tasks end with their leases; none is started twice."""
+    """No task is lost while a controller that knows the token is up.
+
+    After the last of these has crashed, the tasks end when their leases expire; none is started
+    twice.
+    """
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -83,8 +86,11 @@
 def test_tasks_of_partitioned_zone_are_restarted_elsewhere(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_twice``: the zone's controller reaches neither leader, state service nor peers,
-    so it does not renew leases.  The tasks are started elsewhere after their leases expired."""
+    """Guards ``ran_twice``: a controller that reaches no other one does not renew leases.
+
+    The zone's controller reaches neither its peers nor the state service.  The tasks are started
+    elsewhere after their leases have expired.
+    """
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -96,11 +102,11 @@
             world.network.cut(worker.name, f"c{number}")
         world.network.cut(f"c{inside}", "state")
         await curio.sleep(1)
-        moved = await world.wait_until(
+        restarted_after_s = await world.wait_until(
             lambda: sum(other is not worker for other, _ in world.tasks_on_machines(service)) == 3,
             limit=LEASE_S + 14,
         )
-        assert moved > LEASE_S - 4
+        assert restarted_after_s > LEASE_S - 4
 
     World(boot_s=2.0).play(monkeypatch, scenario)
 
@@ -109,8 +115,11 @@
 def test_leader_does_not_restart_tasks_whose_leases_followers_renew(
     monkeypatch: pytest.MonkeyPatch, reaches_state: bool
 ) -> None:
-    """Guards ``ran_twice``: some workers reach the leader, others only the two followers, which
-    renew their leases.  In one case the leader reaches the state service throughout."""
+    """Guards ``ran_twice``: one worker reaches only the two followers, which renew its lease.
+
+    The other workers reach the leader.  In one case the leader reaches the state service
+    throughout.
+    """
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -138,23 +147,26 @@
 def test_followers_enforce_cancellation_from_before_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled`` (checked by the world): the leader confirms a cancellation without
-    reaching the machines, then crashes.  Only one of the followers has received its notice."""
+    """Guards ``ran_cancelled``, which ``World`` checks.
+
+    The leader confirms a cancellation without reaching the machines, then crashes.  Only one
+    follower has received its cancellation notice.
+    """
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
-        cancelled_by_dependency = await world.run_job("daemon", 2, crew="blue")
-        await world.wait_until(lambda: world.running(cancelled_by_dependency) == 2)
+        cancelled_job = await world.run_job("daemon", 2, crew="blue")
+        await world.wait_until(lambda: world.running(cancelled_job) == 2)
         leader = leader_of(world)
-        for worker, _ in world.tasks_on_machines(cancelled_by_dependency):
+        for worker, _ in world.tasks_on_machines(cancelled_job):
             world.network.cut(worker.name, f"c{leader}")
-        # Its notice reaches one of the followers only.
+        # The leader's cancellation notice reaches only one of the followers.
         world.network.cut(f"c{leader}", f"c{(leader + 2) % 3}")
-        assert await world.cancel(cancelled_by_dependency, leader) == "cancelled"
+        assert await world.cancel(cancelled_job, leader) == "cancelled"
         world.crash(leader)
         world.state.outage = True
         await curio.sleep(CANCEL_S + 20)
-        assert not world.tasks_on_machines(cancelled_by_dependency)
+        assert not world.tasks_on_machines(cancelled_job)
         assert world.running(service) == 3
         world.state.outage = False
         await curio.sleep(10)
@@ -165,8 +177,11 @@
 def test_cancellation_unknown_to_peers_is_not_confirmed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It is recorded and its tasks are stopped immediately.  A leader confirms it to the user when
-    no task is left, a follower when the peers can learn of it."""
+    """The cancellation is recorded, and the job's tasks are stopped immediately.
+
+    A leader confirms it to the user when no task is left, a follower when its peers can learn of
+    it.
+    """
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
@@ -193,7 +208,7 @@
 def test_outage_ends_during_partition_between_controllers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Transactions and heartbeats from before the outage arrive when the partition heals."""
+    """Transactions and heartbeats from before the outage arrive when the partition ends."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -223,7 +238,7 @@
 def test_machine_stalls_during_handover_from_follower_to_new_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It resumes within its lease when a new leader takes over; spot machines end before that."""
+    """It resumes within its lease under the new leader; spot machines are reclaimed before that."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
@@ -253,8 +268,11 @@
 def test_no_follower_renews_leases_beside_earlier_version(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``: the earlier version confirms cancellations alone.  Once it has been
-    replaced and those cancellations are too old to matter, followers may renew leases."""
+    """Guards ``ran_cancelled``: the earlier version confirms cancellations alone.
+
+    Once it has been replaced and those cancellations are too old to matter, followers may renew
+    leases.
+    """
 
     async def scenario(world: World) -> None:
         await world.wait_until(lambda: world.leader() is not None, limit=10)
--- a/tests/test_lost_responses.py
+++ b/tests/test_lost_responses.py
@@ -1,6 +1,6 @@
-"""The state service carries a request out at once, and only its answer is lost.
+"""The state service applies a write immediately, but its answer is lost.
 
-The writer does not know that, and others read what it wrote (docs/fault-interactions.md).
+The writer does not know the outcome, while others read what it wrote (docs/fault-interactions.md).
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def writes(request: Request, kind: str) -> bool:
-    """Return whether a request changes a key of a kind, or for ``permit`` a lease."""
+    """Return whether a request changes a key of a kind; for ``permit``, a lease."""
     if kind == "permit":
         return request.path.startswith("/leases") and request.method != "GET"
     if request.path != "/txn":
@@ -42,7 +42,7 @@
 def lose_every_other_answer(
     world: World, kind: str, on_loss: Callable[[str], None] = lambda writer: None
 ) -> list[str]:
-    """Lose every other answer to what writes keys of a kind; returns their writers, as it goes."""
+    """Lose every other answer to writes of a kind; return the list to which writers are added."""
     lost: list[str] = []
     writes_seen = 0
 
@@ -62,7 +62,7 @@
 
 
 async def run_job_stored_in_parts(world: World, kind: str, run_s: float) -> str:
-    """Submit a short job; for ``part/`` one whose long list is stored in parts."""
+    """Submit a short job; for ``part/``, one whose description is stored in parts."""
     fields: dict[str, Any] = STORED_IN_PARTS if kind == "part/" else {}
     return await world.run_job("array", 3, run_s=run_s, image_gb=0.5, **fields)
 
@@ -74,7 +74,7 @@
 
 
 async def fail_over_while_all_workers_are_cut_off(world: World) -> None:
-    """Let the next leader miss many machines at once, so that it returns them."""
+    """Make all machines unreachable during a failover, so that the next leader returns them."""
     for worker in world.fleet.workers.values():
         for controller in range(3):
             world.network.cut(worker.name, f"c{controller}")
@@ -84,12 +84,12 @@
 async def run_jobs_through_failovers(
     world: World, kind: str, crash_writer: bool, writers: list[int]
 ) -> list[str]:
-    """Run four jobs, with failovers; ``writers`` are those whose answers were lost, as it goes."""
+    """Run four jobs with failovers; ``writers`` collects the controllers whose answers are lost."""
     jobs: list[str] = []
     for turn in range(4):
         jobs.append(await run_job_stored_in_parts(world, kind, run_s=3.0 + 5 * turn))
         leader = leader_of(world) if world.leader() is not None else turn % 3
-        # A failover in each turn, of the leader or of the writer right after a lost answer.
+        # The leader crashes, or the writer right after an answer to it was lost.
         controller = writers[0] if crash_writer and writers else leader
         writers.clear()
         if crash_writer or turn == 2:
@@ -105,10 +105,9 @@
 def test_jobs_are_served_while_answers_to_writes_of_each_kind_are_lost(
     monkeypatch: pytest.MonkeyPatch, kind: str, crash_writer: bool
 ) -> None:
-    """All that was accepted is served, nothing runs twice, and no answer is taken back by others.
+    """All accepted jobs are served, no task runs twice, and no controller revokes an answer.
 
-    ``crash_writer``: the writer crashes, once in a while, before it has read back what became of
-    its write.
+    ``crash_writer``: sometimes the writer crashes before it has read back the outcome of its write.
     """
 
     async def scenario(world: World) -> None:
@@ -119,7 +118,7 @@
             writers.append(int(writer[1:]))
 
         if kind == "seat/level":
-            # It is raised once all controllers have shown that they know it.
+            # The level is raised once all controllers have shown that they know it.
             lost = lose_every_other_answer(world, kind, on_loss)
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         cancelled = await world.run_job("daemon", 4, crew="blue")
@@ -150,7 +149,7 @@
 def test_controller_that_takes_the_leader_lock_without_an_answer_leads(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards work: else each lost answer costs an election, and leases may run out meanwhile."""
+    """Guards running tasks: otherwise each lost answer costs an election and leases may expire."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
@@ -159,9 +158,9 @@
         lost: list[str] = []
 
         def answer_lost(source: str, address: str, request: Request) -> bool:
-            taken = writes(request, "seat/held")
-            lost.extend([source] * taken)
-            return taken
+            takes_lock = writes(request, "seat/held")
+            lost.extend([source] * takes_lock)
+            return takes_lock
 
         world.network.answer_lost = answer_lost
         for _ in range(3):
@@ -193,10 +192,10 @@
     World().play(monkeypatch, scenario)
 
 
-def test_cancellation_whose_answer_was_lost_is_answered_by_others_and_never_taken_back(
+def test_cancellation_whose_answer_was_lost_is_answered_by_others_and_never_revoked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The writer knows nothing for two seconds, and everybody asks at once."""
+    """The writer does not know the outcome for two seconds, while all controllers are queried."""
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
--- a/tests/test_partition_scenarios.py
+++ b/tests/test_partition_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of network partitions and failovers on whole deployments, in memory."""
+"""Network partitions and failovers in whole deployments, in memory."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def test_running_work_survives_a_state_service_outage_longer_than_a_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The leader goes on renewing its workers' leases, since no other controller can lead."""
+    """The leader continues to renew its workers' leases, since no other controller can lead."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 2, rank="production")
@@ -40,10 +40,10 @@
 def test_a_leader_partitioned_from_the_state_service_is_replaced(
     monkeypatch: pytest.MonkeyPatch, mode: str
 ) -> None:
-    """Guards the records: its delayed writes arrive after those of its successor.
+    """Guards stored records: the old leader's delayed writes arrive after its successor's.
 
-    They must change nothing, and what is cancelled through other controllers meanwhile ends in
-    time although it still answers workers.
+    They must change nothing.  A job cancelled through another controller meanwhile ends in time,
+    although the old leader still answers workers.
     """
 
     async def scenario(world: World) -> None:
@@ -52,15 +52,15 @@
         await world.wait_until(lambda: world.running(array) == 3 and world.running(service) == 1)
         leader = leader_of(world)
         world.network.cut(f"c{leader}", "state", mode)
-        more = world.job("array", 2, run_s=10.0)
+        later_job = world.job("array", 2, run_s=10.0)
         await curio.sleep(1)
         assert await world.cancel(service, (leader + 1) % 3) == "cancelled"
-        await world.submit(more)
+        await world.submit(later_job)
         await new_leader(world, leader)
         await curio.sleep(40)
         await world.network.heal(f"c{leader}", "state")
         await world.wait_until_done(array)
-        await world.wait_until_done(more)
+        await world.wait_until_done(later_job)
         assert await world.status(service) == "cancelled"
 
     assert_each_task_started_once(World().play(monkeypatch, scenario))
@@ -88,8 +88,8 @@
 ) -> None:
     """Guards against waiting for a second lease expiry.
 
-    The records name tasks on machines that are gone, and the next leader could not tell them from
-    unreachable machines.
+    The records name tasks on machines that were returned, which the next leader could not tell from
+    unreachable ones.
     """
 
     async def scenario(world: World) -> None:
@@ -98,14 +98,14 @@
         await curio.sleep(5)
         for worker in world.fleet.workers.values():
             partition_from_controllers(world, worker.name)
-        gone = set(world.fleet.workers)
-        first = leader_of(world)
-        world.crash(first)
-        await world.wait_until(lambda: gone <= set(world.cloud.releases), limit=30)
+        unreachable = set(world.fleet.workers)
+        first_leader = leader_of(world)
+        world.crash(first_leader)
+        await world.wait_until(lambda: unreachable <= set(world.cloud.releases), limit=30)
         await curio.sleep(1)
-        second = leader_of(world)
+        second_leader = leader_of(world)
         assert not world.running(service)
-        world.crash(second)
+        world.crash(second_leader)
         assert await world.wait_until(lambda: world.running(service) == 4, limit=30) < 12
         await curio.sleep(60)
         assert not [key for key in world.state.keys if key.startswith("leaving/")]
@@ -116,16 +116,16 @@
 def test_a_new_leader_keeps_machines_partitioned_before_its_election(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against returning machines as never booted that are listed as running.
+    """Guards against returning machines as never booted although the cloud lists them as running.
 
-    They are reachable again within the minute, and cache images.
+    The machines are reachable again within a minute, and have images cached.
     """
 
     async def scenario(world: World) -> None:
-        first = await world.run_job("array", 4, run_s=70.0, accelerators=2.0)
-        await world.wait_until(lambda: world.running(first) == 4)
+        job = await world.run_job("array", 4, run_s=70.0, accelerators=2.0)
+        await world.wait_until(lambda: world.running(job) == 4)
         await curio.sleep(10)
-        unreachable = sorted({worker.name for worker, _ in world.tasks_on_machines(first)})
+        unreachable = sorted({worker.name for worker, _ in world.tasks_on_machines(job)})
         for name in unreachable:
             partition_from_controllers(world, name)
         # Their leases have expired, their tasks were restarted elsewhere, and no record names them.
@@ -136,7 +136,7 @@
         for name in unreachable:
             await heal_to_controllers(world, name)
         assert not set(unreachable) & set(world.cloud.releases)
-        await world.wait_until_done(first)
+        await world.wait_until_done(job)
 
     World(boot_s=4.0).play(monkeypatch, scenario)
 
@@ -144,27 +144,27 @@
 def test_a_worker_reporting_during_an_election_is_answered_by_the_new_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against seconds without capacity after a crash of the leader.
+    """Guards against seconds without capacity after the leader crashed.
 
-    A worker that is refused meanwhile turns to a controller that it can't reach, and waits for its
-    timeout there.
+    A worker that is refused during the election tries a controller that it can't reach, and waits
+    there for its timeout.
     """
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, rank="production", accelerators=2.0)
         await world.wait_until(lambda: world.running(service) == 4)
-        first = leader_of(world)
-        unreachable = (first + 2) % 3
+        first_leader = leader_of(world)
+        partitioned = (first_leader + 2) % 3
         for worker in world.fleet.workers.values():
-            world.network.cut(worker.name, f"c{unreachable}")
-        world.network.cut(f"c{unreachable}", state_fake.HOST)
+            world.network.cut(worker.name, f"c{partitioned}")
+        world.network.cut(f"c{partitioned}", state_fake.HOST)
         await curio.sleep(10)
-        world.crash(first)
-        await world.wait_until(lambda: world.leader() not in (None, first))
-        elected = monotonic().total_seconds()
+        world.crash(first_leader)
+        await world.wait_until(lambda: world.leader() not in (None, first_leader))
+        elected_at = monotonic().total_seconds()
         workers = {worker for worker, _ in world.tasks_on_machines(service)}
-        await world.wait_until(lambda: all(worker.renewed > elected - 3 for worker in workers))
-        assert monotonic().total_seconds() - elected < 3
+        await world.wait_until(lambda: all(worker.renewed > elected_at - 3 for worker in workers))
+        assert monotonic().total_seconds() - elected_at < 3
 
     World().play(monkeypatch, scenario)
 
@@ -174,12 +174,11 @@
 ) -> None:
     """Guards against redirects that take longer than a lease.
 
-    A worker that turned away from a leader which does not answer, and is redirected to it, waits
-    for two timeouts of 4 s.
+    A worker that left an unresponsive leader and is redirected to it waits for two timeouts of 4 s.
     """
 
     async def scenario(world: World) -> None:
-        # The longest interval that the protocol allows where heartbeats come every three seconds.
+        # The longest interval that the protocol allows if heartbeats are due every three seconds.
         world.fleet.report_s = 3.75
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
         await world.wait_until(lambda: world.running(service) == 4)
@@ -197,17 +196,17 @@
     assert_each_task_started_once(World().play(monkeypatch, scenario))
 
 
-@pytest.mark.parametrize("trouble", ["cut", "hang"])
+@pytest.mark.parametrize("fault", ["cut", "hang"])
 def test_tasks_of_an_unreachable_machine_restart_after_its_lease_expires(
-    monkeypatch: pytest.MonkeyPatch, trouble: str
+    monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
-    """Guards ``ran_twice``: not before the worker has certainly ended its tasks."""
+    """Guards ``ran_twice``: no task restarts before the worker has certainly ended it."""
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=60.0)
         await world.wait_until(lambda: world.running(job) == 1)
         worker, _ = world.tasks_on_machines(job)[0]
-        if trouble == "hang":
+        if fault == "hang":
             worker.stalled = True
         else:
             partition_from_controllers(world, worker.name, "hold")
@@ -222,9 +221,10 @@
 def test_a_delayed_heartbeat_does_not_make_a_new_leader_restart_a_task(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_twice``: a heartbeat from before the start reaches the next leader after it.
+    """Guards ``ran_twice``: a heartbeat sent before a task's start reaches the next leader late.
 
-    It does not show the task, but proves nothing: it was sent before its worker saw the new token.
+    The heartbeat does not show the task, but it proves nothing, since it was sent before its worker
+    received the new token.
     """
 
     async def scenario(world: World) -> None:
@@ -232,17 +232,19 @@
             await world.cloud.add("north", spot=False, up_in=0.5)
         await curio.sleep(8)
         leader = leader_of(world)
-        held = {name: worker._on_heartbeat() for name, worker in world.fleet.workers.items()}
+        old_heartbeats = {
+            name: worker._on_heartbeat() for name, worker in world.fleet.workers.items()
+        }
         job = await world.run_job("array", 1, run_s=60.0, accelerators=2.0)
         await world.wait_until(lambda: world.running(job) == 1)
         worker, _ = world.tasks_on_machines(job)[0]
-        # The next leader can't probe the worker: all that it knows of it is the old heartbeat.
+        # The next leader can't probe the worker: it receives only the old heartbeat.
         others = [(leader + 1) % 3, (leader + 2) % 3]
         for other in others:
             world.network.cut(worker.name, f"c{other}")
         world.crash(leader)
-        now = await new_leader(world, leader)
-        status, _ = await world.call(now, "POST", "/checkin", held[worker.name])
+        successor = await new_leader(world, leader)
+        status, _ = await world.call(successor, "POST", "/checkin", old_heartbeats[worker.name])
         assert status == 200
         await curio.sleep(8)
         assert world.rules.starts[f"{job}/0"] == 1
@@ -256,7 +258,7 @@
 def test_a_cancelled_job_ends_on_unreachable_machines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_cancelled``, which ``World`` checks all the time."""
+    """Guards ``ran_cancelled``, which ``World`` checks throughout."""
 
     async def scenario(world: World) -> None:
         job = await world.run_job("daemon", 2)
@@ -275,9 +277,9 @@
 def test_a_one_zone_gang_moves_to_another_zone_only_after_lease_expiry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``wrong_place``, which ``World`` checks all the time.
+    """Guards ``wrong_place``, which ``World`` checks throughout.
 
-    A member on an unreachable machine ties the gang to its zone until its lease has expired.
+    A task on an unreachable machine keeps the gang in that machine's zone until the lease expires.
     """
 
     async def scenario(world: World) -> None:
@@ -289,7 +291,7 @@
         partition_from_controllers(world, worker.name)
         world.cloud.take(world.tasks_on_machines(gang)[1][0].name)
         await world.wait_until_done(gang)
-        # The silent machine has been given back meanwhile.
+        # The unreachable machine has been returned meanwhile.
         assert {w.zone for w in world.fleet.workers.values()} == {"south"}
 
     world = World().play(monkeypatch, scenario)
@@ -299,9 +301,9 @@
 def test_a_delayed_write_of_a_former_leader_changes_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the records: a task ends while writes to the state service are delayed.
+    """Guards stored records: tasks end while the leader's writes are delayed.
 
-    So the write arrives when the job is long over.
+    The writes arrive long after the job is done.
     """
 
     async def scenario(world: World) -> None:
@@ -320,16 +322,16 @@
         await curio.sleep(20)
         await world.network.heal(f"c{leader}", "state")
         await curio.sleep(8)
-        left = [key for key in world.state.keys if key.startswith(("done/", "machine/"))]
-        assert left == []
+        remaining = [key for key in world.state.keys if key.startswith(("done/", "machine/"))]
+        assert remaining == []
 
     World().play(monkeypatch, scenario)
 
 
 def test_a_refused_first_direct_command_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a worker that stays with a former leader.
+    """Guards against a worker that keeps reporting to a former leader.
 
-    The first command is refused, since the record names an earlier incarnation.
+    The worker refuses the first command, since the machine's record names an earlier incarnation.
     """
 
     async def scenario(world: World) -> None:
@@ -337,13 +339,13 @@
         await world.wait_until(lambda: world.running(service) == 1)
         worker, _ = world.tasks_on_machines(service)[0]
         leader = leader_of(world)
-        for key, (data, stamp, lease) in world.state.keys.items():
+        for key, (value, revision, lease) in world.state.keys.items():
             if key.startswith("machine/"):
-                world.state.keys[key] = ({**data, "session": 0}, stamp, lease)
+                world.state.keys[key] = ({**value, "session": 0}, revision, lease)
         world.network.cut(f"c{leader}", "state")
         await new_leader(world, leader)
-        entry = world.state.keys["leader"]
-        await world.wait_until(lambda: worker.token == entry[1], limit=6)
+        leader_item = world.state.keys["leader"]
+        await world.wait_until(lambda: worker.token == leader_item[1], limit=6)
         assert world.running(service) == 1
 
     World().play(monkeypatch, scenario)
