--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -1,7 +1,7 @@
-"""Records of the leader under transactions that are applied, lost or applied late.
+"""The leader's records while transactions are applied, lost or applied late.
 
-What the state service holds always names all attempts that may be on a machine, and no finished
-task is lost when the layout of records changes.
+The stored records always name all attempts that may be on a machine, and no finished task is lost
+when the layout of records changes.
 """
 
 from __future__ import annotations
@@ -48,18 +48,18 @@
 
 @dataclass
 class Store:
-    """The state service as far as the record writer's transactions go."""
+    """The part of the state service that the record writer's transactions need."""
 
     keys: dict[str, Item] = field(default_factory=dict)
     revision: int = 100
 
-    def apply(self, changes: WriteBatch) -> int | None:
-        for condition in changes.conditions:
-            found = self.keys.get(condition.key)
-            if (found.version if found else 0) != condition.version:
+    def apply(self, batch: WriteBatch) -> int | None:
+        for condition in batch.conditions:
+            stored_item = self.keys.get(condition.key)
+            if (stored_item.version if stored_item else 0) != condition.version:
                 return None
         self.revision += 1
-        for operation in changes.operations:
+        for operation in batch.operations:
             if isinstance(operation, Put):
                 value = decode(dict, encode(operation.value))
                 self.keys[operation.key] = Item(operation.key, value, self.revision)
@@ -67,10 +67,10 @@
                 del self.keys[operation.key]
         return self.revision
 
-    def read(self, changes: WriteBatch) -> dict[str, Item | None]:
-        return {c.key: self.keys.get(c.key) for c in changes.conditions}
+    def read(self, batch: WriteBatch) -> dict[str, Item | None]:
+        return {c.key: self.keys.get(c.key) for c in batch.conditions}
 
-    def named(self) -> set[tuple[str, str, int, int]]:
+    def recorded_attempts(self) -> set[tuple[str, str, int, int]]:
         return {
             (entry.name, task.job_id, task.index, task.attempt)
             for record in self.placements().values()
@@ -79,7 +79,7 @@
         }
 
     def placements(self) -> dict[str, PlacedRecord]:
-        """Records of placements, also those that are empty."""
+        """Return the records of placements, also empty ones."""
         return {
             key: convert(PlacedRecord, item.value)
             for key, item in self.keys.items()
@@ -87,11 +87,11 @@
         }
 
 
-def started(picture: RandomDeployment) -> set[tuple[str, str, int, int]]:
-    """Attempts whose start was ordered: they may be on a machine."""
+def started_attempts(deployment: RandomDeployment) -> set[tuple[str, str, int, int]]:
+    """Return the attempts whose start was commanded: they may be on a machine."""
     return {
         (name, a.job_id, a.index, a.number)
-        for name, machine in picture.cluster.machines.items()
+        for name, machine in deployment.cluster.machines.items()
         for a in machine.attempts.values()
         if a.ordered is not None
     }
@@ -99,32 +99,37 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_records_name_all_started_attempts_whatever_the_outcome_of_writes(seed: int) -> None:
-    """Guards ``ran_twice`` after a change of leaders: transactions are applied, refused, or get
-    lost with their answer and are applied later or never, those that merge records among them."""
-    picture = RandomDeployment(30, 8, seed)
-    record_writer, store = RecordWriter(picture.cluster, LIMITS), Store()
-    late: list[WriteBatch] = []
+    """Guards ``ran_twice`` after a change of leaders.
+
+    Transactions are applied, refused, or not answered and then applied immediately, later or never.
+    Some of them merge records.
+    """
+    deployment = RandomDeployment(30, 8, seed)
+    record_writer, store = RecordWriter(deployment.cluster, LIMITS), Store()
+    delayed_batches: list[WriteBatch] = []
     for _ in range(120):
-        picture.scheduler.run_cycle(picture.now)
-        for batch in record_writer.next(picture.now):
-            fate = picture.random.choice(["applied", "applied", "unanswered", "late", "never"])
-            revision = None if fate in ("late", "never") else store.apply(batch)
-            if fate == "late":
-                late.append(batch)
-            if fate == "applied" and revision is not None:
-                record_writer.committed(batch, revision, picture.now)
+        deployment.scheduler.run_cycle(deployment.now)
+        for batch in record_writer.next(deployment.now):
+            outcome = deployment.random.choice(
+                ["applied", "applied", "unanswered", "late", "never"]
+            )
+            revision = None if outcome in ("late", "never") else store.apply(batch)
+            if outcome == "late":
+                delayed_batches.append(batch)
+            if outcome == "applied" and revision is not None:
+                record_writer.committed(batch, revision, deployment.now)
             else:
-                record_writer.failed(batch, store.read(batch), picture.now)
-            assert started(picture) <= store.named()
-        if late and picture.random.random() < 0.4:
-            store.apply(late.pop(picture.random.randrange(len(late))))
-        picture.now += seconds(1)
-        for name in picture.cluster.machines:
-            picture.heartbeat(name, done=picture.random.random() < 0.1)
-        if picture.random.random() < 0.2:
-            picture.submit()
-        assert started(picture) <= store.named()
-    assert len(started(picture)) > 10
+                record_writer.failed(batch, store.read(batch), deployment.now)
+            assert started_attempts(deployment) <= store.recorded_attempts()
+        if delayed_batches and deployment.random.random() < 0.4:
+            store.apply(delayed_batches.pop(deployment.random.randrange(len(delayed_batches))))
+        deployment.now += seconds(1)
+        for name in deployment.cluster.machines:
+            deployment.heartbeat(name, done=deployment.random.random() < 0.1)
+        if deployment.random.random() < 0.2:
+            deployment.submit()
+        assert started_attempts(deployment) <= store.recorded_attempts()
+    assert len(started_attempts(deployment)) > 10
 
 
 def test_damaged_record_read_back_after_a_write_leaves_its_attempts_to_another_key(
@@ -132,66 +137,70 @@
 ) -> None:
     """A placement record is damaged between a write without an answer and its reading back.
 
-    What happened: the error ended the handling of the outcome ("message failed: actor=Leader
-    message=WriteCompleted"), so that records that the same batch had dropped stayed known.  Why:
-    this was the only place where a stored record was decoded without regard to damage.
+    Guards against an error while the outcome is handled ("message failed: actor=Leader
+    message=WriteCompleted"), after which the leader still listed records that the same batch had
+    dropped.  Only this place decoded a stored record without handling damage.
     """
-    picture = RandomDeployment(30, 8, 1)
-    record_writer, store = RecordWriter(picture.cluster, LIMITS), Store()
-    picture.scheduler.run_cycle(picture.now)
-    (batch,) = [b for b in record_writer.next(picture.now) if b.placed]
+    deployment = RandomDeployment(30, 8, 1)
+    record_writer, store = RecordWriter(deployment.cluster, LIMITS), Store()
+    deployment.scheduler.run_cycle(deployment.now)
+    (batch,) = [b for b in record_writer.next(deployment.now) if b.placed]
     key = batch.placed[0].key
     store.apply(batch)
     damaged = Item(key, {"machines": "none"}, store.keys[key].version)
-    record_writer.failed(batch, {**store.read(batch), key: damaged}, picture.now)
+    record_writer.failed(batch, {**store.read(batch), key: damaged}, deployment.now)
     assert f"unreadable record: key={key}" in caplog.text
-    assert set(batch.placed[0].attempts) <= set(picture.cluster.unwritten)
-    again = [b for b in record_writer.next(picture.now) if b.placed]
-    assert key not in {write.key for b in again for write in b.placed}
-    revision = store.apply(again[0])
+    assert set(batch.placed[0].attempts) <= set(deployment.cluster.unwritten)
+    next_batches = [b for b in record_writer.next(deployment.now) if b.placed]
+    assert key not in {write.key for b in next_batches for write in b.placed}
+    revision = store.apply(next_batches[0])
     assert revision is not None
-    record_writer.committed(again[0], revision, picture.now)
-    assert all(a.record not in (None, key) for write in again[0].placed for a in write.attempts)
+    record_writer.committed(next_batches[0], revision, deployment.now)
+    assert all(
+        a.record not in (None, key) for write in next_batches[0].placed for a in write.attempts
+    )
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_late_transactions_leave_no_record_unknown_to_the_leader(seed: int) -> None:
-    """Guards against a team's limit that stays used until the next leader has heard of each machine
-    that such a record names: a key is used again and dropped, and then an earlier transaction under
-    it is carried out."""
-    picture = RandomDeployment(30, 8, seed)
-    record_writer, store = RecordWriter(picture.cluster, LIMITS), Store()
-    late: list[WriteBatch] = []
+    """Guards against a stored record that the leader does not know, which uses up a team's limit.
+
+    A key is reused and dropped, and then an earlier transaction under it is applied.  The next
+    leader would count the record's tasks until each machine that it names has sent a heartbeat.
+    """
+    deployment = RandomDeployment(30, 8, seed)
+    record_writer, store = RecordWriter(deployment.cluster, LIMITS), Store()
+    delayed_batches: list[WriteBatch] = []
     emptied: set[str] = set()
     for _ in range(160):
-        picture.scheduler.run_cycle(picture.now)
-        for batch in record_writer.next(picture.now):
-            fate = picture.random.choice(["applied", "applied", "late"])
-            revision = store.apply(batch) if fate == "applied" else None
-            if fate == "late":
-                late.append(batch)
+        deployment.scheduler.run_cycle(deployment.now)
+        for batch in record_writer.next(deployment.now):
+            outcome = deployment.random.choice(["applied", "applied", "late"])
+            revision = store.apply(batch) if outcome == "applied" else None
+            if outcome == "late":
+                delayed_batches.append(batch)
             if revision is not None:
-                record_writer.committed(batch, revision, picture.now)
+                record_writer.committed(batch, revision, deployment.now)
             else:
-                record_writer.failed(batch, store.read(batch), picture.now)
-        if len(late) > 8:
-            store.apply(late.pop(0))
+                record_writer.failed(batch, store.read(batch), deployment.now)
+        if len(delayed_batches) > 8:
+            store.apply(delayed_batches.pop(0))
         placements = store.placements()
         empty = {key for key, record in placements.items() if not record.machines}
         emptied |= empty
-        known = {*picture.cluster.records, *record_writer._keys.unconfirmed}
+        known = {*deployment.cluster.records, *record_writer._keys.unconfirmed}
         assert placements.keys() - empty <= known
-        picture.now += seconds(1)
-        for name in picture.cluster.machines:
-            picture.heartbeat(name, done=picture.random.random() < 0.3)
-        if picture.random.random() < 0.3:
-            picture.submit()
+        deployment.now += seconds(1)
+        for name in deployment.cluster.machines:
+            deployment.heartbeat(name, done=deployment.random.random() < 0.3)
+        if deployment.random.random() < 0.3:
+            deployment.submit()
     assert emptied
-    assert emptied <= dropped_by_next_leader(emptied, store, picture.now, seed)
+    assert emptied <= dropped_by_next_leader(emptied, store, deployment.now, seed)
 
 
 def dropped_by_next_leader(keys: set[str], store: Store, now: timedelta, seed: int) -> set[str]:
-    """Keys that a leader drops which has loaded the records of placements under ``keys``."""
+    """Return the keys that a leader drops after loading the placement records under ``keys``."""
     cluster = RandomDeployment(4, 1, seed).cluster
     record_writer = RecordWriter(cluster, LIMITS)
     for key in keys:
@@ -207,7 +216,7 @@
 
 
 def in_old_layout(machine: PlacedMachine) -> MachineRecord:
-    """The machine's record in the layout of the first versions, without tasks."""
+    """Return the machine's record in the layout of the first versions, without tasks."""
     return MachineRecord(
         machine.machine_type, machine.zone, machine.spot, machine.address, machine.incarnation, []
     )
@@ -216,7 +225,7 @@
 def test_placements_of_the_old_layout_are_loaded_and_rewritten(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards ``ran_twice`` after an upgrade: what an earlier version has written counts."""
+    """Guards ``ran_twice`` after an upgrade: records of an earlier version still count."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 2, rank="production", image_gb=0.1)
@@ -228,8 +237,10 @@
         by_machine: dict[str, MachineRecord] = {}
         for key in [key for key in world.state.keys if key.startswith("placed/")]:
             for entry in convert(PlacedRecord, world.state.keys.pop(key)[0]).machines:
-                old = by_machine.setdefault(entry.name, in_old_layout(entry))
-                old.tasks += [PlacedTask(t.job_id, t.index, t.attempt) for t in entry.tasks]
+                machine_record = by_machine.setdefault(entry.name, in_old_layout(entry))
+                machine_record.tasks += [
+                    PlacedTask(t.job_id, t.index, t.attempt) for t in entry.tasks
+                ]
         for name, record in by_machine.items():
             world.state.keys[f"machine/{name}"] = (decode(dict, encode(record)), 5, None)
         for key in [key for key in world.state.keys if key.startswith(("leader", "seat/"))]:
@@ -249,26 +260,29 @@
 
 
 def test_transactions_stay_below_64_kib_however_many_tasks_finished() -> None:
-    """Guards against a batch that the state service refuses for ever: 64 KiB hold some ten full
-    chunks of finished tasks, and fewer than the changes that a transaction may have."""
-    picture = RandomDeployment(2, 0)
+    """Guards against a batch that the state service refuses permanently.
+
+    64 KiB hold about ten full chunks of finished tasks, fewer than the operations that a
+    transaction may have.
+    """
+    deployment = RandomDeployment(2, 0)
     for _ in range(30):
-        job = picture.submit(shape=Shape.ARRAY, tasks=100_000)
+        job = deployment.submit(shape=Shape.ARRAY, tasks=100_000)
         for index in range(0, 72_000, 3):
             job.finish(index)
-        picture.cluster.jobs_with_unwritten_results.add(job.id)
-    record_writer = RecordWriter(picture.cluster, Limits(200, 80, 32, 8192))
-    record_writer.next(picture.now)
+        deployment.cluster.jobs_with_unwritten_results.add(job.id)
+    record_writer = RecordWriter(deployment.cluster, Limits(200, 80, 32, 8192))
+    record_writer.next(deployment.now)
     written = 0
     for _ in range(200):
-        picture.now += seconds(2)
-        for batch in record_writer.next(picture.now):
+        deployment.now += seconds(2)
+        for batch in record_writer.next(deployment.now):
             message = Transaction(list(batch.conditions), list(batch.operations))
             assert len(msgspec.json.encode(message)) < 64 * 1024
             written += len(batch.finished)
-            record_writer.committed(batch, 1, picture.now)
+            record_writer.committed(batch, 1, deployment.now)
     assert written == 90
-    assert not picture.cluster.jobs_with_unwritten_results
+    assert not deployment.cluster.jobs_with_unwritten_results
 
 
 class RecordHistories(RuleBasedStateMachine):
@@ -375,8 +389,10 @@
 
 
 def test_finished_tasks_survive_raising_and_lowering_the_level_in_one_term() -> None:
-    """Guards finished work: what a term wrote at a level before the last move is not taken for a
-    copy of what it has written since."""
+    """Guards finished tasks: records from before a level change are not copies of later ones.
+
+    Within one term the level is raised, lowered and raised again, with results in between.
+    """
     history = RecordHistories()
     history.finish(0, 6, 1)
     history.write(["done"] * 10)
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -15,8 +15,8 @@
 from tests.fakes.workers import FakeWorker
 from tests.fakes.world import World, leader_of
 
-#: A lease, the time after it until a silent machine is returned, and a start elsewhere.
-MOVE_LIMIT = LEASE_S + 10
+#: A lease, the time after it until a silent machine is returned, and a start elsewhere, in seconds.
+MOVE_LIMIT_S = LEASE_S + 10
 
 
 def workers_running(world: World, job: str) -> list[FakeWorker]:
@@ -39,16 +39,18 @@
         if fault == "crash":
             world.crash(leader)
         world.state.outage = fault == "outage"
-        more = [world.job("array", 2, run_s=5.0, crew="blue") for _ in range(3)]
+        later_jobs = [world.job("array", 2, run_s=5.0, crew="blue") for _ in range(3)]
         if fault == "outage":
             await curio.sleep(6)
             world.state.outage = False
-        for job in more:
+        for job in later_jobs:
             await world.submit(job)
         await world.wait_until(lambda: world.running(service) < 3, limit=LEASE_S + 8)
-        took = await world.wait_until(lambda: world.running(service) == 3, limit=MOVE_LIMIT)
-        assert took < MOVE_LIMIT
-        for job in more:
+        moved_after_s = await world.wait_until(
+            lambda: world.running(service) == 3, limit=MOVE_LIMIT_S
+        )
+        assert moved_after_s < MOVE_LIMIT_S
+        for job in later_jobs:
             await world.wait_until_done(job)
         assert unreachable not in workers_running(world, service)
         await world.wait_until(lambda: unreachable.name in world.cloud.releases, limit=60)
@@ -102,10 +104,10 @@
     World().play(monkeypatch, scenario)
 
 
-def test_leader_whose_responses_reach_nobody_returns_no_machine(
+def test_leader_whose_responses_reach_no_worker_returns_no_machine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its own responses are lost on the way, rather than those to single machines."""
+    """All responses of the leader are lost, rather than those to single machines."""
 
     async def scenario(world: World) -> None:
         array = await world.run_job("array", 6, run_s=60.0)
@@ -124,7 +126,7 @@
 
 
 def _copy_heartbeats(world: World, seed: int, delays: tuple[float, float]) -> None:
-    """From now on half of all heartbeats arrive again later, at any controller."""
+    """From now on deliver half of all heartbeats again later, to any controller."""
     rng = random.Random(seed)
     controllers = list(world.fleet.controllers.values())
 
@@ -139,7 +141,7 @@
 def test_late_copies_of_heartbeats_have_no_effect(
     monkeypatch: pytest.MonkeyPatch, delays: tuple[float, float]
 ) -> None:
-    """Heartbeats arrive again after a machine died, a spot machine was taken, a leader crashed."""
+    """Copies arrive after a machine ended, a spot machine was reclaimed, and the leader crashed."""
 
     async def scenario(world: World) -> None:
         _copy_heartbeats(world, 7, delays)
@@ -147,14 +149,14 @@
         array = await world.run_job("array", 4, run_s=40.0, crew="blue", loaners=True)
         await world.wait_until(lambda: world.running(service) == 4 and world.running(array) == 4)
         await curio.sleep(8)
-        dead = workers_running(world, service)[0]
-        world.cloud.take(dead.name)
-        await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT)
+        ended_machine = workers_running(world, service)[0]
+        world.cloud.take(ended_machine.name)
+        await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT_S)
         world.cloud.take(workers_running(world, array)[0].name)
         world.crash(leader_of(world))
-        await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT)
-        late = await world.run_job("array", 2, run_s=5.0)
-        await world.wait_until_done(late)
+        await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT_S)
+        later_job = await world.run_job("array", 2, run_s=5.0)
+        await world.wait_until_done(later_job)
         await world.wait_until_done(array)
 
     World().play(monkeypatch, scenario)
@@ -168,29 +170,33 @@
     async def scenario(world: World) -> None:
         first = await world.run_job("array", 2, run_s=15.0)
         await world.wait_until(lambda: world.running(first) == 2)
-        gone = workers_running(world, first)[0]
-        sent: list[Request] = []
-
-        def record(source: str, address: str, request: Request) -> Iterable[tuple[float, str]]:
-            if source == gone.name and request.path == "/checkin":
-                sent.append(request)
+        removed_machine = workers_running(world, first)[0]
+        heartbeats: list[Request] = []
+
+        def record_heartbeat(
+            source: str, address: str, request: Request
+        ) -> Iterable[tuple[float, str]]:
+            if source == removed_machine.name and request.path == "/checkin":
+                heartbeats.append(request)
             return ()
 
-        world.network.duplicates = record
+        world.network.duplicates = record_heartbeat
         await world.wait_until_done(first)
-        showing_it_run = [
+        with_running_task = [
             request
-            for request in sent
+            for request in heartbeats
             if any(task["status"] == "running" for task in decode(dict, request.body)["legs"])
         ]
-        await world.wait_until(lambda: gone.name in world.cloud.releases)
+        await world.wait_until(lambda: removed_machine.name in world.cloud.releases)
         old = leader_of(world)
         world.crash(old)
         await world.wait_until(lambda: world.leader() not in (None, old), limit=10)
         await curio.sleep(1)
         leader = f"10.0.0.{leader_of(world) + 1}:8080"
         for number in range(5):
-            await world.network.request("late", leader, showing_it_run[-1 - number % 2], seconds(4))
+            await world.network.request(
+                "late", leader, with_running_task[-1 - number % 2], seconds(4)
+            )
             await curio.sleep(2)
         overview = (await world.call(leader_of(world), "GET", "/overview"))[1]
         assert sum(line["up"] + line["booting"] for line in overview["machines"]) == len(
@@ -205,13 +211,13 @@
 
 
 @pytest.mark.parametrize("copied", [False, True])
-def test_tasks_of_a_restarted_worker_run_elsewhere_at_once(
+def test_tasks_of_a_restarted_worker_run_elsewhere_immediately(
     monkeypatch: pytest.MonkeyPatch, copied: bool
 ) -> None:
-    """Guards against tasks that seem to run though their worker process is gone.
+    """Guards against tasks that seem to run although their worker process has ended.
 
-    Without the restart being noticed they would, until the new process has sent as many heartbeats
-    as the old one, or as long as copies of the old one's arrive.
+    If the restart went unnoticed they would seem to, until the new process has sent as many
+    heartbeats as the old one, or while copies of the old one's heartbeats arrive.
     """
 
     async def scenario(world: World) -> None:
@@ -224,7 +230,7 @@
         machine = workers_running(world, service)[0]
         machine.begin_anew()
         await world.wait_until(lambda: machine.name in world.cloud.releases, limit=6)
-        # Another machine boots, and fetches the image.
+        # Another machine boots and fetches the image.
         await world.wait_until(lambda: world.running(service) == 3, limit=20)
 
     world = World().play(monkeypatch, scenario)
@@ -259,38 +265,38 @@
 
 @pytest.mark.parametrize("leads", [True, False])
 @pytest.mark.parametrize("mode", ["silent", "hold"])
-def test_controller_that_reaches_only_its_workers_delays_nobody(
+def test_controller_that_reaches_only_its_workers_delays_no_other(
     monkeypatch: pytest.MonkeyPatch, leads: bool, mode: str
 ) -> None:
-    """As leader it gives way to the next one, as follower it reports that it can't serve."""
+    """As leader it is replaced; as follower it reports that it can't serve users."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
         gang = await world.run_job("gang", 2, run_s=300.0, crew="blue")
         await world.wait_until(lambda: world.running(service) == 4 and world.running(gang) == 2)
-        # All know that it runs: else none can be sure, without its leader, that nothing starts.
+        # All know that the gang runs; without a leader no controller could rule out a later start.
         await curio.sleep(2)
         leader = leader_of(world)
-        alone = leader if leads else (leader + 1) % 3
-        rest = [n for n in range(3) if n != alone]
-        for other in ("state", *(f"c{n}" for n in rest)):
-            world.network.cut(f"c{alone}", other, mode)
+        isolated = leader if leads else (leader + 1) % 3
+        others = [n for n in range(3) if n != isolated]
+        for other in ("state", *(f"c{n}" for n in others)):
+            world.network.cut(f"c{isolated}", other, mode)
         await curio.sleep(1)
-        assert await world.cancel(gang, rest[0]) == "cancelled"
+        assert await world.cancel(gang, others[0]) == "cancelled"
         if not leads:
             world.crash(leader)
         await curio.sleep(8)
-        assert (await world.call(alone, "GET", "/ready"))[0] == 503
+        assert (await world.call(isolated, "GET", "/ready"))[0] == 503
         assert world.running(service) == 4
-        late = await world.run_job("array", 1, run_s=4.0, crew="blue")
+        later_job = await world.run_job("array", 1, run_s=4.0, crew="blue")
         if not leads:
             await world.start(leader)
-        began = monotonic()
-        while await world.status(late, rest[1]) != "done":
-            assert monotonic() - began < seconds(90)
+        started_at = monotonic()
+        while await world.status(later_job, others[1]) != "done":
+            assert monotonic() - started_at < seconds(90)
             await curio.sleep(1)
-        for other in ("state", *(f"c{n}" for n in rest)):
-            await world.network.heal(f"c{alone}", other)
+        for other in ("state", *(f"c{n}" for n in others)):
+            await world.network.heal(f"c{isolated}", other)
         await curio.sleep(20)
         assert world.running(service) == 4 and not world.tasks_on_machines(gang)
 
--- a/tests/test_reachability_rules.py
+++ b/tests/test_reachability_rules.py
@@ -1,4 +1,4 @@
-"""What messages of machines prove, its model, and malformed heartbeats."""
+"""What a machine's messages prove, the model of these rules, and malformed heartbeats."""
 
 from __future__ import annotations
 
@@ -43,12 +43,12 @@
 
 def test_model_of_one_worker_keeps_the_rule_and_breaks_it_without_each_guard() -> None:
     with small_margin():
-        _, course = explore(6)
-        assert course is None
+        _, counterexample = explore(6)
+        assert counterexample is None
         for guard in GUARDS:
             with without(guard):
-                _, course = explore(7)
-                assert course is not None, guard
+                _, counterexample = explore(7)
+                assert counterexample is not None, guard
 
 
 # -- malformed heartbeats ------------------------------------------------------------------
@@ -88,12 +88,12 @@
         job = await world.run_job("array", 1, run_s=20.0)
         await world.wait_until(lambda: world.running(job) == 1)
         worker = workers_running(world, job)[0]
-        odd = [
+        unknown_tasks = [
             {"leg": "no task", "try": 1, "status": "running"},
             {"leg": "req-999999/0", "try": 1, "status": "dreaming"},
         ]
         heartbeat = worker._on_heartbeat()
-        heartbeat["legs"] = heartbeat["legs"] + odd
+        heartbeat["legs"] = heartbeat["legs"] + unknown_tasks
         assert (await world.call(leader_of(world), "POST", "/checkin", heartbeat))[0] == 200
         await world.wait_until_done(job)
 
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -1,6 +1,6 @@
 """No answer is older than one that was given to an earlier request (docs/fault-interactions.md).
 
-The world checks the order of all answers; here requests overlap with changes of the job.
+``World`` checks the order of all answers; here requests overlap with changes of the job.
 """
 
 from __future__ import annotations
@@ -17,25 +17,27 @@
 from tests.fakes.network import SILENT
 from tests.fakes.world import World, leader_of
 
-#: So much later than they are made the reads of one controller arrive, in seconds.
-SLOW = 0.5
+#: Delay of the state service's answers to one controller, in seconds.
+ANSWER_DELAY_S = 0.5
 
 
 def reads_job_record(request: Request) -> bool:
-    """Whether a request reads a job's record, or compares its version with the one last read."""
+    """Return whether a request reads a job's record or compares its version with the known one."""
     if request.path == "/txn":
         return not decode(dict, request.body)["then"]
     return request.path.startswith("/keys/job/")
 
 
-def slow_state_service_answers(world: World, number: int, which: Callable[[Request], bool]) -> None:
-    """Delay the state service's answers to one controller."""
+def delay_state_service_answers(
+    world: World, number: int, is_delayed: Callable[[Request], bool]
+) -> None:
+    """Delay the state service's answers to some requests of one controller."""
 
-    def slow(source: str, address: str, request: Request) -> float:
-        ours = source == f"c{number}" and address == state_fake.ADDRESS
-        return SLOW if ours and which(request) else 0.0
+    def delay_answer(source: str, address: str, request: Request) -> float:
+        to_controller = source == f"c{number}" and address == state_fake.ADDRESS
+        return ANSWER_DELAY_S if to_controller and is_delayed(request) else 0.0
 
-    world.network.answer_delay = slow
+    world.network.answer_delay = delay_answer
 
 
 @pytest.mark.parametrize("version_known", [False, True])
@@ -56,15 +58,15 @@
         number, other = (leader + 1) % 3, (leader + 2) % 3
         if version_known:
             assert await world.status(job, number) == "running"
-        slow_state_service_answers(
+        delay_state_service_answers(
             world, number, lambda request: request.path == "/txn" or reads_job_record(request)
         )
-        ask = world.status if request_kind == "status" else world.submit_once
-        asking = await curio.spawn(ask, job, number)
-        await curio.sleep(SLOW / 2)
+        send_request = world.status if request_kind == "status" else world.submit_once
+        pending_request = await curio.spawn(send_request, job, number)
+        await curio.sleep(ANSWER_DELAY_S / 2)
         assert await world.cancel(job, other) == "cancelled"
-        assert not asking.terminated
-        assert await asking.join() in ("cancelled", 200)
+        assert not pending_request.terminated
+        assert await pending_request.join() in ("cancelled", 200)
         assert world.answers.overtaken == []
         assert world.answers.latest[job] == "cancelled"
 
@@ -74,23 +76,26 @@
 def test_submission_answered_after_its_cancellation_is_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer of the first submission's transaction is slow, the user repeats it elsewhere and
-    cancels at once: the 201 must not say that the job is pending."""
+    """Guards against a late 201 that says that a cancelled job is pending.
+
+    The answer to the first submission's transaction is slow.  Meanwhile the user submits the job at
+    another controller and cancels it immediately.
+    """
 
     async def scenario(world: World) -> None:
         await world.wait_until(lambda: world.leader() is not None)
         await curio.sleep(3)
         leader = leader_of(world)
         number, other = (leader + 1) % 3, (leader + 2) % 3
-        slow_state_service_answers(world, number, lambda request: request.path == "/txn")
+        delay_state_service_answers(world, number, lambda request: request.path == "/txn")
         job = world.job("daemon", 1)
-        submitting = await curio.spawn(world.submit_once, job, number)
-        await curio.sleep(SLOW / 5)
+        pending_submission = await curio.spawn(world.submit_once, job, number)
+        await curio.sleep(ANSWER_DELAY_S / 5)
         assert await world.submit_once(job, other) == 200
         while await world.cancel(job, other) is None:
             await curio.sleep(0.05)
-        assert not submitting.terminated
-        assert await submitting.join() == 200
+        assert not pending_submission.terminated
+        assert await pending_submission.join() == 200
         assert world.answers.overtaken == []
 
     World().play(monkeypatch, scenario)
@@ -100,8 +105,11 @@
 def test_status_polls_around_the_end_of_the_last_task_are_consistent(
     monkeypatch: pytest.MonkeyPatch, by_leader: bool
 ) -> None:
-    """The leader knows of the end that it wrote.  A follower may not: an answer that it gives after
-    another has answered "done" is as old as its read at most, and was asked for before."""
+    """The leader knows of the end that it wrote, while a follower may not.
+
+    A follower's answer that comes after another controller's "done" belongs to a request sent
+    before that, and is at most as old as the follower's read.
+    """
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, run_s=6.0, image_gb=0.1)
@@ -109,20 +117,20 @@
         await curio.sleep(5)
         leader = leader_of(world)
         number, other = (leader, (leader + 1) % 3) if by_leader else ((leader + 1) % 3, leader)
-        slow_state_service_answers(world, number, reads_job_record)
-        asked = 0
+        delay_state_service_answers(world, number, reads_job_record)
+        polls = 0
         while world.answers.latest.get(job) != "done":
-            # Each at a moment of its own around the end: questions of both overlap.
+            # Each request is sent at another time around the end, so that requests to both overlap.
             await curio.spawn(world.status, job, number, daemon=True)
             await world.status(job, other)
             await curio.sleep(0.02)
-            asked += 1
-        await curio.sleep(2 * SLOW + 0.1)
-        assert asked > 3
+            polls += 1
+        await curio.sleep(2 * ANSWER_DELAY_S + 0.1)
+        assert polls > 3
         assert await world.status(job, number) == "done"
         if by_leader:
             assert world.answers.overtaken == []
-        assert all(late <= SLOW + 0.05 for _, late in world.answers.overtaken)
+        assert all(delay_s <= ANSWER_DELAY_S + 0.05 for _, delay_s in world.answers.overtaken)
 
     World().play(monkeypatch, scenario)
 
@@ -130,13 +138,15 @@
 def test_all_controllers_answer_consistently_right_after_every_change(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Within milliseconds after a job was accepted, ended or confirmed as cancelled; some cancel at
-    once, some as the last task ends."""
+    """All are queried within milliseconds after a job is accepted, ends or is confirmed cancelled.
+
+    Some jobs are cancelled immediately, some as their last task ends.
+    """
 
     async def scenario(world: World) -> None:
         await curio.sleep(4)
         for turn in range(12):
-            # Alternately of a controller's own and of a follower's making.
+            # The submission is sent to each controller in turn.
             number = turn % 3
             job = world.job("array", 1, run_s=1.0, image_gb=0.1, crew="blue")
             assert await world.submit_once(job, number) == 201
@@ -185,7 +195,7 @@
 def test_cancellation_is_not_confirmed_while_a_task_may_start(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The images are being fetched, by machines that receive no stop, when the leader crashes.
+    """The leader crashes while machines that receive no stop command fetch the images.
 
     The cancellation is confirmed once the next leader knows that no task can start.
     """
@@ -203,11 +213,11 @@
         other = (leader + 1) % 3
         assert await world.cancel(job, other) is None
         assert world.state.keys[f"end/{job}"][0]["status"] == "cancelled"
-        began, confirmed = world.rules.starts.total(), None
+        starts, confirmed = world.rules.starts.total(), None
         for _ in range(60):
             confirmed = confirmed or await world.cancel(job, other)
             await curio.sleep(1)
         assert confirmed == "cancelled"
-        assert began == 0 and not world.tasks_on_machines(job)
+        assert starts == 0 and not world.tasks_on_machines(job)
 
     World().play(monkeypatch, scenario)
--- a/tests/test_refused_writes.py
+++ b/tests/test_refused_writes.py
@@ -1,7 +1,6 @@
-"""The state service refuses a write of each kind as too large, and takes the next ones.
+"""The state service refuses some writes of one kind as too large, and accepts later ones.
 
-Nothing that was accepted is lost by it, nothing refused is answered as if it were stored, and no
-handler fails.
+No accepted job is lost, no refused write is answered as if it were stored, and no handler fails.
 """
 
 from __future__ import annotations
@@ -18,17 +17,17 @@
 from tests.test_lost_responses import restart, run_job_stored_in_parts, writes
 
 KINDS = ["job/", "part/", "end/", "placed/", "finished/", "images/", "settings"]
-#: Writes of a kind that are refused in a row.
-REFUSED_AT_ONCE = 2
+#: Consecutive writes of a kind that are refused.
+REFUSED_IN_A_ROW = 2
 
 
 class RefusingState:
-    """The state service of a world, which refuses some writes of one kind."""
+    """A world's state service that refuses some writes of one kind."""
 
     def __init__(self, world: World, kind: str) -> None:
         self._world = world
         self._kind = kind
-        #: Writes that are still to be refused.
+        #: Number of writes still to be refused.
         self.to_refuse = 0
         self.refused = 0
         world.network.serve(state_fake.HOST, state_fake.ADDRESS, self.handle)
@@ -54,24 +53,24 @@
             world.state.txn_ops, world.state.value_bytes = 5, 2048
         jobs: list[str] = []
         for turn in range(3):
-            state.to_refuse = REFUSED_AT_ONCE
+            state.to_refuse = REFUSED_IN_A_ROW
             if kind == "settings":
                 answers = [
                     (await world.call(0, "POST", "/settings", {"script": "# mine"}))[0]
-                    for _ in range(REFUSED_AT_ONCE + 1)
+                    for _ in range(REFUSED_IN_A_ROW + 1)
                 ]
-                assert answers == [400] * REFUSED_AT_ONCE + [200]
-            # Users repeat what is refused with 503: nothing of it was stored.
+                assert answers == [400] * REFUSED_IN_A_ROW + [200]
+            # Users repeat a submission that is refused with 503, of which nothing was stored.
             jobs.append(await run_job_stored_in_parts(world, kind, run_s=2.0 + turn))
             if turn == 1:
                 await restart(world, leader_of(world), after_s=0.7)
             await curio.sleep(4)
-        state.to_refuse = REFUSED_AT_ONCE
+        state.to_refuse = REFUSED_IN_A_ROW
         assert await world.cancel_until_confirmed(cancelled) == "cancelled"
         await world.wait_until(lambda: not world.tasks_on_machines(cancelled), limit=CANCEL_S)
         for job in jobs:
             await world.wait_until_done(job)
-        assert state.refused >= REFUSED_AT_ONCE
+        assert state.refused >= REFUSED_IN_A_ROW
         assert world.running(service) == 3
 
     with caplog.at_level(logging.ERROR):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Versions side by side: each reads what the other writes, and limits may drop at any time."""
+"""Upgrades: each version reads what the other writes, and limits may drop at any time."""
 
 from __future__ import annotations
 
@@ -49,33 +49,36 @@
 
 @pytest.mark.parametrize("name", WRITTEN)
 def test_messages_and_records_round_trip_through_earlier_version(name: str) -> None:
-    """The earlier version's bytes decode; encoded again, they mean the same to it."""
-    before = bytes.fromhex(WRITTEN[name])
-    found = decode(MESSAGE_TYPES[name], before)
-    again = decode(Any, encode(found))
-    assert forget(again) == decode(Any, before)
+    """An earlier version's bytes decode; encoded again, they mean the same to that version."""
+    earlier_bytes = bytes.fromhex(WRITTEN[name])
+    message = decode(MESSAGE_TYPES[name], earlier_bytes)
+    encoded_again = decode(Any, encode(message))
+    assert forget(encoded_again) == decode(Any, earlier_bytes)
 
 
 def test_earlier_version_loses_only_dependency_fields() -> None:
     job = decode(records.JobRecord, bytes.fromhex(WRITTEN["job"]))
     assert job.submission.prerequisites is None
-    later = msgspec.structs.replace(job.submission, prerequisites=["req-000001"])
-    record = records.JobRecord(later, job.submitted_at)
-    read = decode(records.JobRecord, encode(forget(decode(Any, encode(record)))))
-    assert read == job
-    # Split records, which only lower limits make necessary, must not decode as anything else.
+    later_submission = msgspec.structs.replace(job.submission, prerequisites=["req-000001"])
+    record = records.JobRecord(later_submission, job.submitted_at)
+    read_by_earlier = decode(records.JobRecord, encode(forget(decode(Any, encode(record)))))
+    assert read_by_earlier == job
+    # Split records, which are written only under lower limits, must not decode as whole ones.
     parts = split(record, Limits(150, 18, 5, 256))
     assert parts is not None and len(parts) > 1
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert(decode(Any, encode(parts[0].value)), records.JobRecord)
     values = [decode(Any, encode(put.value)) for put in parts]
     assert join_parts(values[0], values[1:]) == record
-    assert part_keys(values[0], later.job_id) == [put.key for put in parts[1:]]
+    assert part_keys(values[0], later_submission.job_id) == [put.key for put in parts[1:]]
 
 
-def test_rolling_update_with_crashes_and_lower_limits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The version in production is replaced one controller after the other, old ones restart in
-    between, old and new leaders alternate; then limits drop and dependent jobs are submitted."""
+def test_rolling_upgrade_with_crashes_and_lower_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The version in production is replaced on one controller after the other.
+
+    Controllers of the old version restart in between, and leaders of both versions alternate.  Then
+    limits drop, and dependent jobs are submitted.
+    """
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 2, rank="production", crew="blue")
@@ -92,7 +95,7 @@
         for number in range(3):
             leader = world.leader()
             assert leader is not None
-            await restart(leader)  # not by the update: its version stays
+            await restart(leader)  # an ordinary restart: its version stays
             versions[number] = False
             await restart(number)
             await world.run_job("array", 1, run_s=3.0)
@@ -113,47 +116,54 @@
 def test_largest_jobs_survive_lower_limits_and_failover(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards finished work, and against a write that is refused for ever: chunks of a finished set
-    that were stored large, and a job that was accepted before, after limits have dropped."""
+    """Guards finished tasks, and against a write that is refused permanently.
+
+    Limits drop after large chunks of finished tasks were stored and the job was accepted.
+    """
     names = [hashlib.sha256(str(n).encode()).hexdigest()[:28] for n in range(200)]
 
     async def scenario(world: World) -> None:
-        big = await world.run_job("array", 30_000, crew="blue", vcpus=4.0, **SMALL_TASK)
+        large_job = await world.run_job("array", 30_000, crew="blue", vcpus=4.0, **SMALL_TASK)
         for number in range(3):
             world.crash(number)
-        # What an earlier version wrote, or this one before limits dropped.
-        stored = [index for index in range(29_980) if index % 2_000 != 1_999]
+        # Written by an earlier version, or by this one before limits dropped.
+        stored_indices = [index for index in range(29_980) if index % 2_000 != 1_999]
         for chunk in range(2):
             bits = to_bits(
-                [i for i in stored if i // TASKS_PER_CHUNK == chunk], chunk * TASKS_PER_CHUNK
+                [i for i in stored_indices if i // TASKS_PER_CHUNK == chunk],
+                chunk * TASKS_PER_CHUNK,
             )
-            world.state.keys[f"done/{big}/{chunk}"] = ({"bits": bits}, world.state.revision, None)
-        world.rules.finished_tasks |= {f"{big}/{index}" for index in stored}
+            world.state.keys[f"done/{large_job}/{chunk}"] = (
+                {"bits": bits},
+                world.state.revision,
+                None,
+            )
+        world.rules.finished_tasks |= {f"{large_job}/{index}" for index in stored_indices}
         world.state.txn_ops, world.state.value_bytes = 5, 2048
         for number in range(3):
             await world.start(number)
         await curio.sleep(3)
-        long = await world.run_job("array", 1, rigs=["box", *names], **SMALL_TASK)
-        assert f"part/{long}/1" in world.state.keys
-        await world.wait_until(lambda: len(world.rules.finished_tasks) > len(stored) + 12)
+        split_job = await world.run_job("array", 1, rigs=["box", *names], **SMALL_TASK)
+        assert f"part/{split_job}/1" in world.state.keys
+        await world.wait_until(lambda: len(world.rules.finished_tasks) > len(stored_indices) + 12)
         await world.wait_until(
-            lambda: any(k.startswith(f"finished/{big}/") for k in world.state.keys)
+            lambda: any(k.startswith(f"finished/{large_job}/") for k in world.state.keys)
         )
-        await world.wait_until_done(long)
+        await world.wait_until_done(split_job)
         leader = world.leader()
         assert leader is not None
         world.crash(leader)
-        read = Job(spec(tasks=30_000), ZERO, 1)
-        small = [key for key in world.state.keys if key.startswith(f"finished/{big}/")]
-        for key in small:
+        loaded_job = Job(spec(tasks=30_000), ZERO, 1)
+        small_chunks = [key for key in world.state.keys if key.startswith(f"finished/{large_job}/")]
+        for key in small_chunks:
             bits = world.state.keys[key][0]["bits"]
-            read.load_bits(int(key.rpartition("/")[2]) * TASKS_PER_SMALL_CHUNK, bits)
-        assert len(read.finished) > len(small)
+            loaded_job.load_bits(int(key.rpartition("/")[2]) * TASKS_PER_SMALL_CHUNK, bits)
+        assert len(loaded_job.finished) > len(small_chunks)
         await curio.sleep(5)
         await world.start(leader)
-        await world.wait_until_done(big)
-        assert all(world.rules.starts[f"{big}/{index}"] <= 1 for index in read.finished)
-        assert not any(world.rules.starts[f"{big}/{index}"] for index in stored)
+        await world.wait_until_done(large_job)
+        assert all(world.rules.starts[f"{large_job}/{index}"] <= 1 for index in loaded_job.finished)
+        assert not any(world.rules.starts[f"{large_job}/{index}"] for index in stored_indices)
         await curio.sleep(30)
         assert not [k for k in world.state.keys if k.startswith(("done/", "finished/", "part/"))]
 
@@ -163,48 +173,50 @@
 
 @pytest.mark.parametrize("operations", [5, 2])
 def test_record_writer_keeps_limits_for_large_gangs(operations: int) -> None:
-    """Guards against records of placements, images or finished tasks over the limits: a gang on
-    hundreds of machines, with names that are not ASCII."""
-    picture = RandomDeployment(520, 0, 3)
-    job = picture.submit(
+    """Guards against records of placements, images or finished tasks that exceed the limits.
+
+    The gang runs on hundreds of machines, and names are not ASCII.
+    """
+    deployment = RandomDeployment(520, 0, 3)
+    job = deployment.submit(
         shape=Shape.GANG, tasks=250, one_zone=False, spread=False, gpus=2.0, cpus=14.0,
-        memory_gb=51.0, image="görüntü-" + "ü" * 40, spot_allowed=False, team=picture.teams[0],
+        memory_gb=51.0, image="görüntü-" + "ü" * 40, spot_allowed=False, team=deployment.teams[0],
     )  # fmt: skip
     limits = Limits(150, 18, operations, 2048)
-    record_writer = RecordWriter(picture.cluster, limits)
-    picture.scheduler.run_cycle(picture.now)
+    record_writer = RecordWriter(deployment.cluster, limits)
+    deployment.scheduler.run_cycle(deployment.now)
     assert len(job.attempts) == 250
     for _ in range(400):
-        picture.now += seconds(0.5)
-        for batch in record_writer.next(picture.now):
+        deployment.now += seconds(0.5)
+        for batch in record_writer.next(deployment.now):
             assert len(batch.operations) <= operations
             for operation in batch.operations:
                 if isinstance(operation, records.Put):
                     assert json_size(operation.value) <= 2048
-            record_writer.committed(batch, 1, picture.now)
-    assert not picture.cluster.unwritten
+            record_writer.committed(batch, 1, deployment.now)
+    assert not deployment.cluster.unwritten
     assert all(attempt.durable for attempt in job.all_attempts())
 
 
 def test_rejected_record_size_is_not_retried() -> None:
-    """Guards against endless 400 responses, should the service measure sizes differently."""
-    picture = RandomDeployment(40, 60, 5)
-    record_writer = RecordWriter(picture.cluster, LOW_LIMITS)
+    """Guards against endless 400 responses if the state service measures sizes differently."""
+    deployment = RandomDeployment(40, 60, 5)
+    record_writer = RecordWriter(deployment.cluster, LOW_LIMITS)
     max_size = 900
     refused = 0
-    picture.scheduler.run_cycle(picture.now)
+    deployment.scheduler.run_cycle(deployment.now)
     for _ in range(600):
-        picture.now += seconds(0.5)
-        for batch in record_writer.next(picture.now):
+        deployment.now += seconds(0.5)
+        for batch in record_writer.next(deployment.now):
             sizes = [json_size(o.value) for o in batch.operations if isinstance(o, records.Put)]
             if any(size > max_size for size in sizes):
                 refused += 1
                 record_writer.rejected(batch)
-                record_writer.failed(batch, {c.key: None for c in batch.conditions}, picture.now)
+                record_writer.failed(batch, {c.key: None for c in batch.conditions}, deployment.now)
             else:
-                record_writer.committed(batch, 1, picture.now)
+                record_writer.committed(batch, 1, deployment.now)
     assert 0 < refused < 12
-    assert not picture.cluster.unwritten
+    assert not deployment.cluster.unwritten
 
 
 def test_end_record_states_outcome() -> None:
