--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rolling updates of controllers that change the stored state: whole deployments."""
+"""Rolling upgrades of controllers that change the stored state, in whole deployments."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 @pytest.mark.parametrize(
     "version", [BEFORE_PIPELINES, BEFORE_LEVELS], ids=["before pipelines", "before levels"]
 )
-def test_rolling_update_raises_level_once_all_controllers_know_it(
+def test_rolling_upgrade_raises_level_once_all_controllers_know_it(
     monkeypatch: pytest.MonkeyPatch, version: dict[str, Any]
 ) -> None:
-    """Under load, with a leader crash between updates; no task is started twice or lost."""
+    """Under load, with a leader crash before each replacement; no task is lost or started twice."""
 
     async def scenario(world: World) -> None:
         for number in range(3):
@@ -79,7 +79,7 @@
     assert all(count == 1 for count in world.rules.starts.values())
 
 
-def test_rolling_update_with_300_workers_and_leader_crashes_loses_no_task(
+def test_rolling_upgrade_with_300_workers_and_leader_crashes_loses_no_task(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(world: World) -> None:
@@ -124,18 +124,18 @@
         assert world.level() == 0 and "the settings hold the level at 0" in await pending_reasons(
             world
         )
-        # The leader and the third are partitioned: only the other controller reaches the third.
+        # The leader and one follower are partitioned: only the other follower reaches that one.
         leader = leader_of(world)
         for other in range(3):
             if other != leader:
                 world.network.cut(f"c{leader}", f"c{other}")
-                cut = other
+                partitioned = other
                 break
         await curio.sleep(4)
         await set_highest_level(world, None)
         await curio.sleep(6)
-        assert f"c{cut} is seen by others only" in await pending_reasons(world)
-        await world.network.heal(f"c{leader}", f"c{cut}")
+        assert f"c{partitioned} is seen by others only" in await pending_reasons(world)
+        await world.network.heal(f"c{leader}", f"c{partitioned}")
         await world.wait_until(lambda: world.level() == 1, limit=8)
 
     World().play(monkeypatch, scenario)
@@ -144,7 +144,7 @@
 def test_earlier_version_cannot_lead_after_raise(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the stored state: a version without levels must not lead with it."""
+    """Guards stored state: a version without levels must not lead after the level was raised."""
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 3, run_s=60.0)
@@ -153,7 +153,7 @@
         await replace_controller(world, 1, 1.0, **BEFORE_LEVELS)
         await world.wait_until(lambda: world.leader() == 2, limit=10)
         await curio.sleep(5)
-        # As followers they serve users by layouts that have not changed.
+        # As followers they serve users with record layouts that have not changed.
         for number in range(2):
             other = world.job("daemon", 1, run_s=0.0, crew="blue")
             status, _ = await world.call(number, "POST", "/work", world.fleet.jobs[other].spec)
@@ -166,12 +166,12 @@
         world.crash(2)
         token = world.state.keys["leader"][1]
         await curio.sleep(20)
-        # No controller may lead now: for both versions, an existing key ``leader`` is a taken lock.
+        # No controller may lead now: both versions take an existing key ``leader`` for a held lock.
         assert world.leader() is None and world.state.keys["leader"][1] == token
         await world.start(2)
         await world.wait_until(lambda: world.leader() == 2, limit=10)
         await world.wait_until_done(job)
-        assert "knows of no levels" not in await pending_reasons(world)  # nothing is to be raised
+        assert "knows of no levels" not in await pending_reasons(world)  # no raise is pending
         members = {m["name"]: m["build"] for m in (await overview(world))["level"]["members"]}
         assert members["c0"] == members["c1"] == "before levels"
 
@@ -181,19 +181,22 @@
 def test_records_do_not_make_earlier_version_poll_in_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the state service's rate: an earlier version watches all keys with prefix ``leader``,
-    and repeats the request immediately while any of them is newer than the leader's record."""
+    """Guards the state service's rate limit.
+
+    An earlier version watches all keys with prefix ``leader``, and repeats the request immediately
+    while any of them is newer than the leader's record.
+    """
 
     async def scenario(world: World) -> None:
         handle = world.state.handle
         watches = 0
 
-        async def counted(request: Request) -> Answer:
+        async def count_watches(request: Request) -> Answer:
             nonlocal watches
             watches += request.path == "/changes" and "starts=leader&" in request.query
             return await handle(request)
 
-        world.network.serve("state", "10.2.0.1:2379", counted)
+        world.network.serve("state", "10.2.0.1:2379", count_watches)
         await replace_controller(world, 2, 0.1, **BEFORE_LEVELS)
         await curio.sleep(4)
         leader = leader_of(world)
@@ -255,7 +258,7 @@
         await world.wait_until(lambda: world.level() == 0, limit=60)
         assert not any(k.startswith("finished/") for k in world.state.keys)
         assert "seat/held" not in world.state.keys
-        # Only after the lowering may an earlier version be started; it leads with these records.
+        # An earlier version may be started only after the lowering; it leads with these records.
         for number in range(3):
             await replace_controller(world, number, 1.0, **BEFORE_LEVELS)
         await world.wait_until(lambda: world.leader() is not None, limit=10)
@@ -279,27 +282,27 @@
 
     async def scenario(world: World) -> None:
         handle = world.state.handle
-        swallowed: list[int] = []
+        lost_requests: list[int] = []
 
-        async def once(request: Request) -> Answer:
-            raising = request.path == "/txn" and b"seat/level" in request.body
-            if raising and b"members" in request.body and not swallowed:
-                swallowed.append(1)
+        async def lose_first_raise(request: Request) -> Answer:
+            writes_level = request.path == "/txn" and b"seat/level" in request.body
+            if writes_level and b"members" in request.body and not lost_requests:
+                lost_requests.append(1)
                 if lost == "after":
                     await handle(request)
                 await curio.sleep(8)
                 if lost == "before":
-                    # Delivered late: the conditions still hold, or it changes nothing.
+                    # Delivered late: its conditions still hold, or it changes nothing.
                     await handle(request)
                 raise AssertionError("the request for this response has timed out")
             return await handle(request)
 
-        world.network.serve("state", "10.2.0.1:2379", once)
+        world.network.serve("state", "10.2.0.1:2379", lose_first_raise)
         job = await world.run_job("array", 3, run_s=30.0)
         await world.wait_until(lambda: world.level() == 1, limit=20)
         token = world.state.keys["leader"][0]["term"]
         await curio.sleep(10)
-        assert swallowed and world.state.keys["leader"][0]["term"] == token
+        assert lost_requests and world.state.keys["leader"][0]["term"] == token
         await world.wait_until_done(job)
 
     world = World().play(monkeypatch, scenario)
@@ -380,7 +383,7 @@
 def test_level_is_raised_after_lost_controller_leaves_settings(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The level does not wait permanently, nor rise without the agreement of every controller."""
+    """The level neither waits permanently nor rises without every configured controller."""
 
     async def scenario(world: World) -> None:
         for number in range(3):
@@ -411,17 +414,17 @@
         assert world.level() == 0 and "seat/member/c1 can't be read" in await pending_reasons(world)
         await replace_controller(world, 1, 1.0)
         await world.wait_until(lambda: world.level() == 1, limit=12)
-        good = world.state.keys["seat/level"]
+        intact = world.state.keys["seat/level"]
         world.state.keys["seat/level"] = ({"level": -3}, world.state.revision + 1, None)
         world.state.revision += 1
         leader = leader_of(world)
         await replace_controller(world, leader, 1.0)
         await curio.sleep(10)
         assert "seat/held" not in world.state.keys
-        refused = [r for r in caplog.records if "seat/level can't be read" in r.message]
-        assert 1 <= len(refused) <= 3  # once each
+        refusals = [r for r in caplog.records if "seat/level can't be read" in r.message]
+        assert 1 <= len(refusals) <= 3  # once each
         world.state.revision += 1
-        world.state.keys["seat/level"] = (good[0], world.state.revision, None)
+        world.state.keys["seat/level"] = (intact[0], world.state.revision, None)
         await world.wait_until(lambda: world.leader() is not None, limit=10)
         await world.wait_until_done(job)
 
@@ -431,7 +434,7 @@
 def test_unreadable_level_record_is_not_overwritten(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards stored records: this one may come from a later version."""
+    """Guards stored records: a later version may have written the unreadable one."""
 
     async def scenario(world: World) -> None:
         await set_highest_level(world, 0)
@@ -442,22 +445,24 @@
         await set_highest_level(world, None)
         await curio.sleep(10)
         assert world.state.keys["seat/level"] == damaged
-        leader = await overview(world)
-        assert "seat/level can't be read" in "; ".join(leader["level"]["waits"])
+        reply = await overview(world)
+        assert "seat/level can't be read" in "; ".join(reply["level"]["waits"])
 
     world = World()
     monkeypatch.setattr(world, "level", lambda: 0)
     world.play(monkeypatch, scenario)
 
 
-def test_rolling_update_survives_state_outage_and_lower_limits(
+def test_rolling_upgrade_survives_state_outage_and_lower_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(world: World) -> None:
         for number in range(3):
             await replace_controller(world, number, 0.1, **BEFORE_LEVELS)
-        big = await world.run_job("array", 6_000, **SMALL_TASK, crew="blue", vcpus=4.0)
-        await world.wait_until(lambda: any(k.startswith(f"done/{big}") for k in world.state.keys))
+        large_job = await world.run_job("array", 6_000, **SMALL_TASK, crew="blue", vcpus=4.0)
+        await world.wait_until(
+            lambda: any(k.startswith(f"done/{large_job}") for k in world.state.keys)
+        )
         for number in range(3):
             if number == 2:
                 world.state.outage = True
@@ -478,7 +483,7 @@
 
 
 def test_retiring_leader_hands_over_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two leaders in turn, as in a rolling update: under a second without leader, no task lost."""
+    """Two leaders retire in turn: less than a second without a leader, and no task is lost."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, rank="production")
@@ -488,7 +493,7 @@
         for _ in range(2):
             leader = leader_of(world)
             await curio.spawn(world.nodes[leader].retire, daemon=True)
-            await world.wait_until(lambda led=leader: world.leader() != led, limit=10)  # type: ignore[misc]
+            await world.wait_until(lambda retired=leader: world.leader() != retired, limit=10)  # type: ignore[misc]
             gaps.append(await world.wait_until(lambda: world.leader() is not None, limit=10))
             world.crash(leader)
             await curio.sleep(5)
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of rolling updates: presence, levels, damaged leader locks, and the model of them."""
+"""Decisions of rolling upgrades: presence, levels, damaged leader locks, and their model."""
 
 from __future__ import annotations
 
@@ -40,71 +40,71 @@
 
 
 def test_presence_is_dated_by_pings_and_distinguishes_partition_from_crash() -> None:
-    one, two = Process("1", Build("b")), Process("2", Build("b"))
+    process, restarted_process = Process("1", Build("b")), Process("2", Build("b"))
     observation = PeerObservation().with_answer(
-        one, seconds(10), seconds(10.1), seconds(5), ZERO, ["z"]
+        process, seconds(10), seconds(10.1), seconds(5), ZERO, ["z"]
     )
     assert observation.first_asked_at == seconds(10) and observation.started_at == seconds(5.1)
     # An answer to an earlier ping is ignored.
-    assert observation.with_answer(two, seconds(9), seconds(12)) is observation
-    assert observation.with_answer(one, seconds(12), seconds(12.1)).present_for(
+    assert observation.with_answer(restarted_process, seconds(9), seconds(12)) is observation
+    assert observation.with_answer(process, seconds(12), seconds(12.1)).present_for(
         seconds(12.5)
     ) == seconds(2)
-    restarted = observation.with_answer(two, seconds(13), seconds(13.1))
+    restarted = observation.with_answer(restarted_process, seconds(13), seconds(13.1))
     assert restarted.restarts == 1 and restarted.present_for(seconds(13.2)) == ZERO
     observations = {
         "x": observation,
-        "y": observation.with_answer(one, seconds(19), seconds(19)),
+        "y": observation.with_answer(process, seconds(19), seconds(19)),
         "z": PeerObservation(),
     }
     presences = {name: presence(name, observations, seconds(20)) for name in observations}
     assert presences == {"x": Presence.UNREACHABLE, "y": Presence.PRESENT, "z": Presence.UNSEEN}
-    reaching = observations["y"].with_answer(one, seconds(20), seconds(20), reaches=["x"])
-    assert presence("x", {**observations, "y": reaching}, seconds(20)) is Presence.SEEN_BY_OTHERS
+    reaching_x = observations["y"].with_answer(process, seconds(20), seconds(20), reaches=["x"])
+    assert presence("x", {**observations, "y": reaching_x}, seconds(20)) is Presence.SEEN_BY_OTHERS
 
 
-def test_free_lock_is_left_to_replaced_processes() -> None:
-    old, fresh = NOW - seconds(500), NOW - seconds(30)
+def test_free_lock_is_left_to_recently_started_processes() -> None:
+    old, recent = NOW - seconds(500), NOW - seconds(30)
 
     def delay(own_started_at: Any, **fields: Any) -> Any:
-        values = {"started_at": fresh, "state_age": ZERO, **fields}
+        values = {"started_at": recent, "state_age": ZERO, **fields}
         observation = observed(Process("2", fields.pop("build", Build("b", 0, 2))), 20, **values)
         return election_delay(OWN_PROCESS, own_started_at, [observation], seconds(3), NOW)
 
     assert delay(old) == ELECTION_DELAY
-    assert delay(fresh) == ZERO
-    assert delay(old, state_age=seconds(9)) == ZERO  # it could not be elected
+    assert delay(recent) == ZERO
+    assert delay(old, state_age=seconds(9)) == ZERO  # the other process could not be elected
     assert election_delay(OWN_PROCESS, old, [PeerObservation()], seconds(3), NOW) == ZERO
 
 
 def test_plan_raises_level_if_all_know_it_and_lowers_in_steps() -> None:
     peer = Process("p", Build("b", 0, 2))
-    late = MIN_PRESENCE.total_seconds() + 1
+    present_s = MIN_PRESENCE.total_seconds() + 1
 
     def step(
         record: LevelRecord,
         ceiling: int | None = None,
         migration_backlog: Any = MigrationBacklog(),
-        **by: Any,
+        **changed: Any,
     ) -> Any:
-        observations = {"x": observed(peer, late), "y": observed(peer, late), **by}
+        observations = {"x": observed(peer, present_s), "y": observed(peer, present_s), **changed}
         return plan(record, OWN_PROCESS, observations, ceiling, migration_backlog, NOW)
 
     assert step(LevelRecord()).next_record.level == 2
     assert step(LevelRecord(), 1).next_record.level == 1
-    mixed = step(LevelRecord(), y=observed(Process("q", Build("a", 0, 1)), late))
+    mixed = step(LevelRecord(), y=observed(Process("q", Build("a", 0, 1)), present_s))
     assert mixed.next_record.level == 1 and mixed.next_record.oldest == 0
     for observation in (
         observed(peer, 1),
-        observed(peer, late, last_answer=9),
-        observed(None, late),
+        observed(peer, present_s, last_answer=9),
+        observed(None, present_s),
         PeerObservation(),
     ):
         assert step(LevelRecord(), y=observation).next_record is None
     raised = LevelRecord(2, 2, 0)
     assert step(raised, migration_backlog=MigrationBacklog(older=3)).next_record is None
     assert step(raised).next_record.oldest == 2
-    # A later build leads: the migration at the level in force does not wait for the peers.
+    # A later build leads: migration to the level in force does not wait for the peers.
     next_step = plan(
         LevelRecord(1, 1, 0), OWN_PROCESS, {"x": PeerObservation()}, None, MigrationBacklog(), NOW
     )
@@ -116,14 +116,16 @@
     assert step(lowering, 1).next_record.level == 1
     # A lowering is reversed before its last step.
     assert step(lowering).next_record.writes == 2
-    new = Process("n", Build("n", 1, 2))
-    assert "writes no level below 1" in step(raised, 0, y=observed(new, late)).waits[0]
+    later_process = Process("n", Build("n", 1, 2))
+    assert (
+        "writes no level below 1" in step(raised, 0, y=observed(later_process, present_s)).waits[0]
+    )
 
 
 def test_level_change_is_dropped_if_level_changed_since_plan(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards stored records: a change of the leader with unknown outcome may be applied late."""
+    """Guards stored records: a leader's write with unknown outcome may be applied late."""
     level = LevelRecord(1, 1, 0)
     feature_levels = FeatureLevels("c0", [], NOW)
     feature_levels.on_leader_lock_read(
--- a/tests/test_split_jobs_at_takeover.py
+++ b/tests/test_split_jobs_at_takeover.py
@@ -1,4 +1,4 @@
-"""A job whose description is stored in several parts is accepted while a new leader reads."""
+"""Jobs whose description is stored in several parts, while the leader changes."""
 
 from __future__ import annotations
 
@@ -14,21 +14,20 @@
 from tests.fakes.fault_histories import History
 from tests.fakes.world import World, leader_of
 
-#: Names that hardly compress: more than one value holds.
-MANY_NAMES = [hashlib.sha256(bytes([number])).hexdigest() for number in range(80)]
+#: Names that hardly compress; together they exceed the size limit of one stored value.
+MANY_MACHINE_TYPES = [hashlib.sha256(bytes([number])).hexdigest() for number in range(80)]
 
 
 def test_split_job_accepted_between_two_reads_of_a_new_leader_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The job is accepted after the leader's read of jobs and before its read of parts.
+    """Guards against the loss of a job accepted between a new leader's reads of jobs and parts.
 
-    What is seen: the job stays pending for ever, "unreadable record: key=job/... reason=Input data
-    was truncated" is logged, and the parts of its description are gone.
-    How it comes about: the new leader deletes all parts whose job it has not read.
-    Cause: action on stale knowledge; the jobs were read before the parts.
+    The leader deleted all parts whose job it had not read, although it had read the jobs before the
+    parts.  The job stayed pending permanently, and "unreadable record: key=job/... reason=Input
+    data was truncated" was logged.
     """
-    fields: dict[str, Any] = {"rigs": ["box", *MANY_NAMES]}
+    fields: dict[str, Any] = {"rigs": ["box", *MANY_MACHINE_TYPES]}
 
     async def scenario(world: World) -> None:
         world.state.value_bytes = 2048
@@ -56,14 +55,14 @@
 
 
 def hide_parts(world: World, job: str) -> dict[str, Any]:
-    """Remove the parts of a job's description; return what ``world.state.keys`` held."""
+    """Remove the parts of a job's description; return the removed items of ``world.state.keys``."""
     keys = [key for key in world.state.keys if key.startswith(f"part/{job}/")]
     assert keys
     return {key: world.state.keys.pop(key) for key in keys}
 
 
 async def change_leader(world: World) -> None:
-    """End the leader, and start it again once another controller leads."""
+    """Crash the leader, and start it again once another controller leads."""
     old = leader_of(world)
     world.crash(old)
     await world.wait_until(lambda: world.leader() not in (None, old))
@@ -72,26 +71,29 @@
 
 
 def test_jobs_accepted_between_the_pages_of_a_listing_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the same loss where a listing has several pages: a job before the edge of the
-    pages read is not listed, one after it is, and both are accepted between two pages."""
+    """Guards against the same loss if a listing has several pages.
+
+    Two jobs are accepted between two pages: one whose key lies in the pages already read, so that
+    it is not listed, and one whose key lies after them.
+    """
     monkeypatch.setattr("micadeal.state.service.PAGE_SIZE", 2)
-    fields: dict[str, Any] = {"rigs": ["box", *MANY_NAMES], "crew": "blue"}
+    fields: dict[str, Any] = {"rigs": ["box", *MANY_MACHINE_TYPES], "crew": "blue"}
 
     async def scenario(world: World) -> None:
         world.state.value_bytes = 2048
-        early = world.job("array", 1, run_s=5.0, image_gb=0.1, **fields)
+        lowest_job = world.job("array", 1, run_s=5.0, image_gb=0.1, **fields)
         listed = [
             await world.run_job("array", 1, run_s=400.0, image_gb=0.1, accelerators=0.0, **fields)
             for _ in range(3)
         ]
-        late = world.job("array", 1, run_s=5.0, image_gb=0.1, **fields)
+        highest_job = world.job("array", 1, run_s=5.0, image_gb=0.1, **fields)
         old = leader_of(world)
         accepted: list[str] = []
 
         async def accept_between_pages(request: Request) -> Answer:
             is_second_page = request.path == "/keys" and "starts=job/&most=2&after" in request.query
             if is_second_page and not accepted:
-                for job in (early, late):
+                for job in (lowest_job, highest_job):
                     while await world.submit_once(job, (old + 1) % 3) != 201:
                         await curio.sleep(0.1)
                     accepted.append(job)
@@ -113,10 +115,12 @@
 def test_records_of_a_job_that_a_leader_cannot_read_are_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against the loss of a live job: the record can't be read when a term begins, as where
-    another version has written it.  Its parts and finished tasks stay, the overview names it, and
-    it goes on in the same term once it can be read."""
-    fields: dict[str, Any] = {"rigs": ["box", *MANY_NAMES]}
+    """Guards against the loss of a live job whose record can't be read when a term begins.
+
+    Another version may have written the record, for example.  The job's parts and finished tasks
+    stay stored, the overview names it, and it continues in the same term once it can be read.
+    """
+    fields: dict[str, Any] = {"rigs": ["box", *MANY_MACHINE_TYPES]}
 
     async def scenario(world: World) -> None:
         world.state.value_bytes = 2048
@@ -124,13 +128,13 @@
         await world.wait_until(lambda: len(world.rules.finished_tasks) >= 8)
         await curio.sleep(2)
         key = f"job/{job}"
-        belonging = {key for key in world.state.keys if job in key} - {key}
-        assert {key.split("/")[0] for key in belonging} >= {"part", "finished"}
+        other_keys_of_job = {key for key in world.state.keys if job in key} - {key}
+        assert {key.split("/")[0] for key in other_keys_of_job} >= {"part", "finished"}
         readable = world.state.keys[key]
         world.state.keys[key] = ({"parts": "other"}, readable[1], None)
         await change_leader(world)
         await curio.sleep(20)
-        assert belonging <= world.state.keys.keys()
+        assert other_keys_of_job <= world.state.keys.keys()
         _, overview = await world.call(leader_of(world), "GET", "/overview")
         assert [note for note in overview["notes"] if "unreadable" in note and key in note]
         world.state.keys[key] = readable
@@ -143,9 +147,11 @@
 def test_job_whose_parts_are_lost_can_be_cancelled_at_each_controller(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a job without a description that stays pending for ever: its user can end it,
-    whichever controller is asked, and nothing of it stays behind."""
-    fields: dict[str, Any] = {"rigs": ["box", *MANY_NAMES]}
+    """Guards against a job without a description that stays pending permanently.
+
+    Its user can cancel it at each controller, and no record of it remains.
+    """
+    fields: dict[str, Any] = {"rigs": ["box", *MANY_MACHINE_TYPES]}
 
     async def scenario(world: World) -> None:
         world.state.value_bytes = 2048
@@ -169,8 +175,8 @@
 
 
 def test_parts_of_a_job_that_is_over_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is proven to belong to a job that is over does not stay in the state service."""
-    fields: dict[str, Any] = {"rigs": ["box", *MANY_NAMES]}
+    """Parts that certainly belong to a job that is over are removed from the state service."""
+    fields: dict[str, Any] = {"rigs": ["box", *MANY_MACHINE_TYPES]}
 
     async def scenario(world: World) -> None:
         world.state.value_bytes = 2048
@@ -187,9 +193,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_split_jobs_run_whatever_happens_to_leaders(seed: int) -> None:
-    """Guards against the loss of parts in any order of events: all jobs are split, and leaders end
-    and hand over at instants drawn from the seed."""
+def test_split_jobs_run_through_random_changes_of_the_leader(seed: int) -> None:
+    """Guards against the loss of parts in any order of events.
+
+    All jobs are split, and leaders crash and hand over at times drawn from the seed.
+    """
     history = History(seed, ["leader crash", "hand over"], split_jobs=True)
     assert history.play() == []
     assert history.world.state.refused > 0
