--- a/tests/test_bin_packing.py
+++ b/tests/test_bin_packing.py
@@ -1,4 +1,4 @@
-"""Which machines tasks are placed on."""
+"""Bin packing: the choice of machines for tasks and gangs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return MachineCapacity(name, "box", zone, **values)  # type: ignore[arg-type]
 
 
-def test_machine_is_chosen_by_rule_then_image_then_fullness() -> None:
+def test_machine_is_chosen_by_zone_rule_then_image_then_fullness() -> None:
     capacities = [
         capacity("a"),
         capacity("b", images=frozenset({"img"})),
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -1,4 +1,4 @@
-"""Machines that come up late or never, or all of them slowly: no fixed time limit decides."""
+"""Machines that boot late or never, or all boot slowly: no fixed time limit decides."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def test_no_machine_is_late_while_all_boots_are_slow() -> None:
-    """Guards against many rentals at once, each as slow as the machine it was to replace."""
+    """Guards against renting many replacements that boot as slowly as the machines they replace."""
     boot_times = BootTimes()
     for number in range(5):
         boot_times.record_boot(_booting(f"before{number}", 10), seconds(40))
@@ -46,7 +46,7 @@
     async def scenario(world: World) -> None:
         world.cloud.never_boot = {2}
         job = await world.run_job("array", 8, run_s=60.0, accelerators=2.0)
-        # If it were given up after three boot times only, this would take ten seconds longer.
+        # If the machine were only given up after three boot times, this would take 10 s longer.
         await world.wait_until(lambda: world.running(job) == 4, limit=36)
         await world.wait_until_done(job)
         await world.wait_until(lambda: "i-000002" in world.cloud.releases, limit=60)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""What heartbeats, leases and lost machines prove about attempts, on the cluster state alone."""
+"""Effects of heartbeats, lease expiry and lost machines on attempts in the cluster state."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def cluster_with_ordered_start() -> tuple[ClusterState, Job, Machine, Attempt]:
-    """Return a cluster with a task whose start was ordered in the response to heartbeat 1."""
+    """Return a cluster with a task whose start command was sent in the response to heartbeat 1."""
     cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
     job = Job(spec(), ZERO, 1)
     cluster.add_job(job)
@@ -57,7 +57,7 @@
 
 
 def test_command_answer_does_not_disprove_a_start_in_flight() -> None:
-    """Guards ``ran_twice``: the worker may have answered before the start reached it."""
+    """Guards ``ran_twice``: the worker may have answered before the start command reached it."""
     cluster, job, _, attempt = cluster_with_ordered_start()
     cluster.stop(attempt, ZERO, seconds(2))
     reconcile_heartbeat(cluster, heartbeat(2), seconds(2), is_heartbeat=False)
@@ -66,7 +66,7 @@
     assert job.attempts == {} and job.next_waiting() == 0
 
 
-def test_start_without_effect_is_ordered_again() -> None:
+def test_start_command_without_effect_is_sent_again() -> None:
     cluster, job, machine, attempt = cluster_with_ordered_start()
     reconcile_heartbeat(cluster, heartbeat(2), seconds(3), is_heartbeat=True)
     again = commands_for(cluster, machine, full_authority=True)
@@ -78,14 +78,14 @@
 
 def test_older_heartbeat_is_ignored() -> None:
     cluster, job, _, attempt = cluster_with_ordered_start()
-    shown = TaskStatus("req-1/0", attempt.number, "running")
-    reconcile_heartbeat(cluster, heartbeat(5, shown), seconds(4), is_heartbeat=True)
+    running = TaskStatus("req-1/0", attempt.number, "running")
+    reconcile_heartbeat(cluster, heartbeat(5, running), seconds(4), is_heartbeat=True)
     assert reconcile_heartbeat(cluster, heartbeat(4), seconds(5), is_heartbeat=True) is None
     assert job.attempts == {0: [attempt]}
 
 
 def test_completed_task_is_forgotten_only_after_it_is_recorded() -> None:
-    """Guards finished work: forgotten before the record is written, a crash would lose it."""
+    """Guards finished work: the leader may crash before it has recorded that the task is done."""
     cluster, job, machine, attempt = cluster_with_ordered_start()
     done = TaskStatus("req-1/0", attempt.number, "exited", "done")
     reconcile_heartbeat(cluster, heartbeat(2, done), seconds(9), is_heartbeat=True)
@@ -98,21 +98,21 @@
 
 def test_silent_worker_keeps_its_tasks_until_its_lease_has_expired() -> None:
     cluster, job, machine, attempt = cluster_with_ordered_start()
-    shown = TaskStatus("req-1/0", attempt.number, "running")
-    reconcile_heartbeat(cluster, heartbeat(2, shown), seconds(10), is_heartbeat=True)
+    running = TaskStatus("req-1/0", attempt.number, "running")
+    reconcile_heartbeat(cluster, heartbeat(2, running), seconds(10), is_heartbeat=True)
     expire_leases(cluster, seconds(10) + WORKERS.lease)
     assert job.attempts and not machine.lease_expired
     expire_leases(cluster, seconds(10) + WORKERS.lease + timedelta(seconds=2))
     assert not job.attempts and machine.lease_expired
 
 
-def test_lease_does_not_expire_before_the_worker_has_shown_our_token() -> None:
-    """Guards ``ran_twice``: another leader may answer it, nobody knows until when."""
+def test_lease_does_not_expire_before_the_worker_has_shown_the_leaders_token() -> None:
+    """Guards ``ran_twice``: until then, another leader may still renew the worker's lease."""
     cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
     job = Job(spec(), ZERO, 1)
     cluster.add_job(job)
-    shown = TaskStatus("req-1/0", 3, "running")
-    reconcile_heartbeat(cluster, heartbeat(1, shown, token=3), seconds(1), is_heartbeat=True)
+    running = TaskStatus("req-1/0", 3, "running")
+    reconcile_heartbeat(cluster, heartbeat(1, running, token=3), seconds(1), is_heartbeat=True)
     expire_leases(cluster, seconds(100))
     assert [attempt.number for attempt in job.attempts[0]] == [3]
 
@@ -120,8 +120,8 @@
 def test_unknown_reported_task_counts_until_it_is_gone() -> None:
     """Guards limits and the worker's lease.
 
-    A heartbeat that a partition held up shows a task of ours whose machine was taken to be silent
-    past its lease, of a job that is over meanwhile.
+    A partition delays a heartbeat until the machine's lease has expired and a job has ended.  The
+    heartbeat then shows a running task of that job.
     """
     cluster, job, machine, attempt = cluster_with_ordered_start()
     running = TaskStatus("req-1/0", attempt.number, "running")
@@ -138,11 +138,11 @@
 
 
 def test_loss_of_an_earlier_gang_attempt_leaves_the_running_one_alone() -> None:
-    """Guards work that runs.
+    """Guards running gangs.
 
-    A placement that was carried out late, after its key had been used and dropped, names an attempt
-    that never started.  The next leader takes it for one that may be there, and its machine is
-    gone.
+    A delayed write stores a placement again after its key was used and deleted.  The placement
+    names an attempt that never started.  The next leader has to assume that this attempt may be
+    running, and then its machine is removed.
     """
     cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
     job = Job(spec(shape=Shape.GANG, tasks=2), ZERO, 1)
@@ -152,8 +152,8 @@
         task = PlacedTask(job.id, index, number)
         return PlacedMachine(name, f"{name}:9000", "box", "north", False, 1, [task])
 
-    runs = PlacedRecord([placed("m", 0, 6), placed("n", 1, 6)])
-    load_placements(cluster, "placed/6/2", runs, ZERO)
+    current = PlacedRecord([placed("m", 0, 6), placed("n", 1, 6)])
+    load_placements(cluster, "placed/6/2", current, ZERO)
     load_placements(cluster, "placed/6/1", PlacedRecord([placed("gone", 0, 5)]), ZERO)
     remove_machine(cluster, "gone", seconds(20))
     assert [(attempt.number, attempt.stop) for attempt in job.all_attempts()] == [
--- a/tests/test_decision_trace.py
+++ b/tests/test_decision_trace.py
@@ -1,10 +1,11 @@
-"""The leader's decisions, in order, are those that were recorded in `tests/golden/decisions.json`.
+"""The leader's decisions, in order, match those recorded in `tests/golden/decisions.json`.
 
-Guards changes that are to alter no behaviour, as renaming and splitting code: placements, kills,
-rentals, returns, orders to workers and transactions are compared in their outside forms.
+Guards refactorings, such as renaming or splitting code, against changes of behaviour.  Placements,
+preemptions, rentals, returns, commands to workers and transactions are compared in their external
+form.
 
-Never record the file anew to make this test pass.  After a decision was changed on purpose, record
-it (`tests/fakes/decision_recording.py` says how) and explain each difference in the commit.
+Never record the file again to make this test pass.  After an intended change of decisions, record
+it (see `tests/fakes/decision_recording.py`) and explain each difference in the commit.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 from tests.fakes.decision_scenarios import LARGE, SMALL
 
 Steps = list[dict[str, Any]]
-MOST_BYTES = 1_500_000
-#: Each must have happened in some scenario; see ``kinds_of``.
+MAX_GOLDEN_BYTES = 1_500_000
+#: Kinds of events that must occur in the small scenarios; see ``kinds_of``.
 KINDS = {
     "placed", "killed", "kept", "rented", "returned", "ordered", "commanded", "written",
     "killed a task", "killed a gang", "ordered run", "ordered halt", "ordered reap",
@@ -38,27 +39,27 @@
 
 @pytest.fixture(scope="module")
 def golden() -> dict[str, Steps]:
-    found: dict[str, Steps] = json.loads(GOLDEN.read_text())
-    return found
+    traces: dict[str, Steps] = json.loads(GOLDEN.read_text())
+    return traces
 
 
-def first_difference(recorded: Steps, found: Steps) -> str | None:
-    for before, after in zip_longest(recorded, found):
-        if before == after:
+def first_difference(recorded: Steps, actual: Steps) -> str | None:
+    for recorded_step, actual_step in zip_longest(recorded, actual):
+        if recorded_step == actual_step:
             continue
-        if before is None or after is None:
-            return f"one trace ends early\n recorded: {before}\n found:    {after}"
-        if before["at"] != after["at"]:
-            return f"at {before['at']} s was recorded a step, found one at {after['at']} s"
+        if recorded_step is None or actual_step is None:
+            return f"one trace ends early\n recorded: {recorded_step}\n actual:   {actual_step}"
+        if recorded_step["at"] != actual_step["at"]:
+            return f"step recorded at {recorded_step['at']} s, but played at {actual_step['at']} s"
         for name in ("counts", "sha256"):
-            if before.get(name) != after.get(name):
+            if recorded_step.get(name) != actual_step.get(name):
                 return (
-                    f"at {before['at']} s, {name}\n"
-                    f" recorded: {before.get(name)}\n found:    {after.get(name)}"
+                    f"at {recorded_step['at']} s, {name}\n"
+                    f" recorded: {recorded_step.get(name)}\n actual:   {actual_step.get(name)}"
                 )
-        pairs = zip_longest(before["events"], after["events"])
+        pairs = zip_longest(recorded_step["events"], actual_step["events"])
         number, (old, new) = next((i, pair) for i, pair in enumerate(pairs) if pair[0] != pair[1])
-        return f"at {before['at']} s, event {number}\n recorded: {old}\n found:    {new}"
+        return f"at {recorded_step['at']} s, event {number}\n recorded: {old}\n actual:   {new}"
     return None
 
 
@@ -87,9 +88,9 @@
 
 
 def test_every_kind_of_decision_is_recorded(golden: dict[str, Steps]) -> None:
-    """Guards against a trace that pins nothing."""
+    """Guards against traces that cover too little to detect a change."""
     assert set(golden) == set(SMALL) | set(LARGE)
-    assert GOLDEN.stat().st_size < MOST_BYTES
+    assert GOLDEN.stat().st_size < MAX_GOLDEN_BYTES
     seen = Counter(
         kind
         for name in SMALL
@@ -106,13 +107,13 @@
 
 
 def test_the_trace_is_the_same_in_every_process(tmp_path: Path) -> None:
-    """Guards the other tests against an order that hashes decide: such a trace proves nothing."""
+    """Guards against an order of decisions that depends on the hash seed of the process."""
     script = (
         "import json, sys; from tests.fakes.decision_recording import play;"
         "print(json.dumps([play(name) for name in sys.argv[1:]]))"
     )
     names = ["all_shapes", "failures", "lost_answers", "traffic_20"]
-    found = {
+    traces = {
         subprocess.run(
             [sys.executable, "-c", script, *names],
             env={**os.environ, "PYTHONHASHSEED": seed},
@@ -122,4 +123,4 @@
         ).stdout
         for seed in ("1", "4242")
     }
-    assert len(found) == 1
+    assert len(traces) == 1
--- a/tests/test_faulty_jobs.py
+++ b/tests/test_faulty_jobs.py
@@ -1,4 +1,4 @@
-"""Scenarios of jobs that fail on every machine by their own mistake, until they are cancelled."""
+"""Jobs that fail on every machine because of their own errors, as opposed to faulty machines."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
             await world.run_job("array", 4, fails=True, crew="blue"),
         ]
         await curio.sleep(90)
-        tries = sum(
+        starts = sum(
             world.rules.starts[task] for task in world.rules.starts if task.split("/")[0] in bad
         )
-        assert tries < 60
+        assert starts < 60
         leader = leader_of(world)
         notes = (await world.call(leader, "GET", "/overview"))[1]["notes"]
         assert not any("failed tasks of several jobs" in note for note in notes)
@@ -49,9 +49,10 @@
 def test_a_service_regains_all_replicas_after_failures_on_faulty_machines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards replicas: with errors on two machines one task was tried at a time.
+    """Guards the number of replicas of a service after errors on two machines.
 
-    A service is never done, so a replica lost later was not replaced while another one ran.
+    After such errors, only one task of a job was tried at a time.  A service is never done, so a
+    replica lost later was not replaced while another one ran.
     """
 
     async def scenario(world: World) -> None:
--- a/tests/test_finished_tasks.py
+++ b/tests/test_finished_tasks.py
@@ -1,4 +1,4 @@
-"""Finished tasks of a job as stored records hold them."""
+"""Finished tasks of a job in stored records."""
 
 from __future__ import annotations
 
--- a/tests/test_heartbeat_routing.py
+++ b/tests/test_heartbeat_routing.py
@@ -1,4 +1,4 @@
-"""Which controller a follower sends a worker's heartbeat to."""
+"""Routing of workers' heartbeats by followers: redirect or relay to the leader."""
 
 from __future__ import annotations
 
