--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -38,7 +38,7 @@
     )
 
 
-def cluster_with_ordered_start() -> tuple[ClusterState, Job, Machine, Attempt]:
+def cluster_with_start_command() -> tuple[ClusterState, Job, Machine, Attempt]:
     """Return a cluster with a task whose start command was sent in the response to heartbeat 1."""
     cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
     job = Job(spec(), ZERO, 1)
@@ -58,7 +58,7 @@
 
 def test_command_answer_does_not_disprove_a_start_in_flight() -> None:
     """Guards ``ran_twice``: the worker may have answered before the start command reached it."""
-    cluster, job, _, attempt = cluster_with_ordered_start()
+    cluster, job, _, attempt = cluster_with_start_command()
     cluster.stop(attempt, ZERO, seconds(2))
     reconcile_heartbeat(cluster, heartbeat(2), seconds(2), is_heartbeat=False)
     assert job.attempts == {0: [attempt]}
@@ -67,7 +67,7 @@
 
 
 def test_start_command_without_effect_is_sent_again() -> None:
-    cluster, job, machine, attempt = cluster_with_ordered_start()
+    cluster, job, machine, attempt = cluster_with_start_command()
     reconcile_heartbeat(cluster, heartbeat(2), seconds(3), is_heartbeat=True)
     again = commands_for(cluster, machine, full_authority=True)
     assert [(command.verb, command.attempt) for command in again] == [
@@ -77,7 +77,7 @@
 
 
 def test_older_heartbeat_is_ignored() -> None:
-    cluster, job, _, attempt = cluster_with_ordered_start()
+    cluster, job, _, attempt = cluster_with_start_command()
     running = TaskStatus("req-1/0", attempt.number, "running")
     reconcile_heartbeat(cluster, heartbeat(5, running), seconds(4), is_heartbeat=True)
     assert reconcile_heartbeat(cluster, heartbeat(4), seconds(5), is_heartbeat=True) is None
@@ -86,7 +86,7 @@
 
 def test_completed_task_is_forgotten_only_after_it_is_recorded() -> None:
     """Guards finished work: the leader may crash before it has recorded that the task is done."""
-    cluster, job, machine, attempt = cluster_with_ordered_start()
+    cluster, job, machine, attempt = cluster_with_start_command()
     done = TaskStatus("req-1/0", attempt.number, "exited", "done")
     reconcile_heartbeat(cluster, heartbeat(2, done), seconds(9), is_heartbeat=True)
     assert job.complete and not machine.attempts
@@ -97,7 +97,7 @@
 
 
 def test_silent_worker_keeps_its_tasks_until_its_lease_has_expired() -> None:
-    cluster, job, machine, attempt = cluster_with_ordered_start()
+    cluster, job, machine, attempt = cluster_with_start_command()
     running = TaskStatus("req-1/0", attempt.number, "running")
     reconcile_heartbeat(cluster, heartbeat(2, running), seconds(10), is_heartbeat=True)
     expire_leases(cluster, seconds(10) + WORKERS.lease)
@@ -123,7 +123,7 @@
     A partition delays a heartbeat until the machine's lease has expired and a job has ended.  The
     heartbeat then shows a running task of that job.
     """
-    cluster, job, machine, attempt = cluster_with_ordered_start()
+    cluster, job, machine, attempt = cluster_with_start_command()
     running = TaskStatus("req-1/0", attempt.number, "running")
     reconcile_heartbeat(cluster, heartbeat(2, running), seconds(3), is_heartbeat=True)
     expire_leases(cluster, seconds(40))
--- a/tests/test_start_invariants.py
+++ b/tests/test_start_invariants.py
@@ -13,7 +13,7 @@
 from micadeal.jobs.model import Job
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.worker_commands import commands_for
-from tests.test_cluster import cluster_with_ordered_start
+from tests.test_cluster import cluster_with_start_command
 
 
 def over(_: ClusterState, job: Job, __: Machine) -> None:
@@ -54,7 +54,7 @@
 def test_start_that_would_break_a_rule_is_withheld(
     change: Callable[[ClusterState, Job, Machine], None],
 ) -> None:
-    cluster, job, machine, attempt = cluster_with_ordered_start()
+    cluster, job, machine, attempt = cluster_with_start_command()
     change(cluster, job, machine)
     assert attempt.stop is None
     assert commands_for(cluster, machine, full_authority=True) == []
