--- a/tests/test_malformed_requests.py
+++ b/tests/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are malformed, can never run, or repeat a known job, at every controller."""
+"""Answers of every controller to malformed, unschedulable and repeated submissions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from tests.fakes.world import World, leader_of
 
-#: What may be null may be left out.
+#: Fields that may be null; these may be omitted as well.
 OPTIONAL = {"rigs", "depot", "due_s"}
 #: Values of a wrong type or out of range, by field.
 INVALID_VALUES: dict[str, list[Any]] = {
@@ -36,7 +36,8 @@
     "due_s": [-1.0, math.nan, "soon"],
     "waits_on": ["req-000001", [7], ["job-1"]],
 }
-#: Fits no allowed machine type, or none in its zone, or is more than its team may use.
+#: Jobs that fit no allowed machine type in their zone, exceed the limits of their team, or name an
+#: unknown team or job.
 UNSCHEDULABLE: list[dict[str, Any]] = [
     {"crew": "green"},
     {"vcpus": 8.5},
@@ -55,7 +56,7 @@
 
 
 async def assert_rejected_by_all(world: World, status: int, **fields: Any) -> None:
-    """Each controller answers the same, and the job is known to none."""
+    """Submit a job to each controller; assert that all answer ``status`` and none stores it."""
     job = world.job()
     for number in range(3):
         assert await world.submit_once(job, number, **fields) == status, fields
@@ -74,8 +75,8 @@
                 status, _ = await world.call(number, "POST", "/work", spec)
                 expected = {201, 200} if field in OPTIONAL else {400}
                 assert status in expected, field
-            known = f"job/{job}" in world.state.keys
-            assert known == (field in OPTIONAL), field
+            is_stored = f"job/{job}" in world.state.keys
+            assert is_stored == (field in OPTIONAL), field
 
     World().play(monkeypatch, scenario)
 
@@ -100,14 +101,16 @@
     World().play(monkeypatch, scenario)
 
 
-def test_repeats_with_other_content_get_200_whatever_the_state_of_the_job(
+def test_repeated_submission_with_changed_fields_gets_200_in_every_job_state(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """While the job runs, is done or cancelled, also after a crash of the leader; cancelling a job
-    that is done is answered "done"."""
+    """Cover running, done and cancelled jobs, before and after a crash of the leader.
+
+    Cancelling a job that is done is answered "done".
+    """
 
     async def scenario(world: World) -> None:
-        odd = [
+        changed_fields = [
             *UNSCHEDULABLE,
             *({f: v[-1]} for f, v in INVALID_VALUES.items() if f != "name_id"),
             {},
@@ -121,15 +124,15 @@
         while await world.cancel(jobs["cancelled"], 1) is None:
             await curio.sleep(0.5)
         await world.wait_until_done(jobs["done"])
-        for ends in (False, True):
-            if ends:
+        for crash_leader in (False, True):
+            if crash_leader:
                 world.crash(leader_of(world))
-            for became, job in jobs.items():
-                for turn, fields in enumerate(odd):
-                    number = turn % 3
+            for job_state, job in jobs.items():
+                for index, fields in enumerate(changed_fields):
+                    number = index % 3
                     if world.is_up(number):
                         assert await world.submit_once(job, number, **fields) == 200, (
-                            became,
+                            job_state,
                             fields,
                         )
             for number in range(3):
--- a/tests/test_peer_api.py
+++ b/tests/test_peer_api.py
@@ -1,4 +1,4 @@
-"""What a controller answers its peers when its own leader's actor is overloaded."""
+"""Answers of a controller to its peers while the actor of its leader is overloaded."""
 
 from __future__ import annotations
 
--- a/tests/test_start_invariants.py
+++ b/tests/test_start_invariants.py
@@ -1,4 +1,4 @@
-"""A start that would break a rule is withheld and reported, whoever has decided on it."""
+"""A start command that would break a rule is withheld and reported, whatever decided on it."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from tests.test_cluster import cluster_with_ordered_start
 
 
-def over(_: ClusterState, job: Job, __: Machine) -> None:
-    # Whoever ends a job stops its attempts; this one was left out.
+def mark_job_as_over(_: ClusterState, job: Job, __: Machine) -> None:
+    # Ending a job normally stops its attempts; here one was missed.
     job.over = True
 
 
-def on_another_machine(_: ClusterState, job: Job, __: Machine) -> None:
+def add_attempt_on_another_machine(_: ClusterState, job: Job, __: Machine) -> None:
     job.add(Attempt(job.id, 0, 1, "another", seconds(0)))
 
 
-def in_another_zone(_: ClusterState, job: Job, __: Machine) -> None:
+def require_another_zone(_: ClusterState, job: Job, __: Machine) -> None:
     job.spec = msgspec.structs.replace(job.spec, zone="south")
 
 
-def on_spot(_: ClusterState, job: Job, machine: Machine) -> None:
+def forbid_spot_on_a_spot_machine(_: ClusterState, job: Job, machine: Machine) -> None:
     job.spec = msgspec.structs.replace(job.spec, spot_allowed=False)
     machine.spot = True
 
 
-def before_its_prerequisite(_: ClusterState, job: Job, __: Machine) -> None:
+def add_unfinished_prerequisite(_: ClusterState, job: Job, __: Machine) -> None:
     job.needs.add("req-7")
 
 
@@ -43,15 +43,15 @@
     [
         pytest.param(change, marks=pytest.mark.violates_invariant(invariant))
         for change, invariant in (
-            (over, Invariant.RAN_CANCELLED),
-            (on_another_machine, Invariant.RAN_TWICE),
-            (in_another_zone, Invariant.WRONG_PLACE),
-            (on_spot, Invariant.WRONG_PLACE),
-            (before_its_prerequisite, Invariant.TOO_EARLY),
+            (mark_job_as_over, Invariant.RAN_CANCELLED),
+            (add_attempt_on_another_machine, Invariant.RAN_TWICE),
+            (require_another_zone, Invariant.WRONG_PLACE),
+            (forbid_spot_on_a_spot_machine, Invariant.WRONG_PLACE),
+            (add_unfinished_prerequisite, Invariant.TOO_EARLY),
         )
     ],
 )
-def test_start_that_would_break_a_rule_is_withheld(
+def test_start_command_that_would_break_a_rule_is_withheld(
     change: Callable[[ClusterState, Job, Machine], None],
 ) -> None:
     cluster, job, machine, attempt = cluster_with_ordered_start()
--- a/tests/test_unexplained_jobs.py
+++ b/tests/test_unexplained_jobs.py
@@ -1,12 +1,13 @@
-"""What ``GET /why/{id}`` says where there is nothing to explain, and where nobody can tell.
+"""Answers to ``GET /why/{id}`` if there is nothing to explain, or if the job's state is not known.
 
-What happened: at a follower, ``why`` of an unknown job was 503, at the leader 404.  The leader
-answered its peer's ``POST /why`` with 200 and an empty body, which the follower could not decode:
+Guards against wrong answers about a job that the leader can't explain.  For an unknown job, the
+leader answered 404, but followers answered 503.  The leader had answered their ``POST /why`` with
+200 and an empty body, which they could not decode:
 
     question to the leader failed: controller=c0 path=/why reason=c0: Input data was truncated
 
-A leader that had not read its records, or whose watch was behind, had nothing to explain either:
-users were told 404 of a job that they had submitted.
+A leader that had not read its records yet, or whose watch lagged behind, had nothing to explain
+either.  Users then received 404 for a job that they had submitted.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 def _replace_peer_handler(
     world: World, number: int, replacement: Callable[[Handler, Request], Awaitable[Answer]]
 ) -> None:
-    """Let ``replacement`` answer what the peers of a controller ask it; it gets the handler."""
+    """Let ``replacement`` answer requests of a controller's peers; it receives the old handler."""
     host, handler = world.network._servers[_peer_address(number)]
 
     async def replaced(request: Request) -> Answer:
@@ -46,10 +47,10 @@
 
 
 async def _answers_with_an_empty_body(handler: Handler, request: Request) -> Answer:
-    """Answer as versions before: nothing to explain was an empty body."""
+    """Answer as earlier versions do: with an empty body if there is nothing to explain."""
     reply = await handler(request)
-    nothing = request.path == "/why" and reply.status == 200 and reply.body == encode(None)
-    return Answer(200) if nothing else reply
+    is_nil = request.path == "/why" and reply.status == 200 and reply.body == encode(None)
+    return Answer(200) if is_nil else reply
 
 
 async def _ask_leader_as_peer(world: World, job_id: str) -> Answer:
@@ -58,7 +59,7 @@
 
 
 def _delay_watch_of_jobs(world: World) -> None:
-    """Let the leader hear of new jobs four seconds late."""
+    """Delay the leader's watch of jobs by four seconds."""
     world.network.answer_delay = lambda _source, _address, request: (
         4.0 if request.path == "/changes" and "starts=job/" in request.query else 0.0
     )
@@ -79,7 +80,7 @@
     World().play(monkeypatch, scenario)
 
 
-def test_job_that_is_over_is_404_at_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ended_job_is_404_at_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
         done = await world.run_job(legs=1, run_s=1.0)
         await world.wait_until_done(done)
@@ -91,17 +92,17 @@
     World().play(monkeypatch, scenario)
 
 
-def test_peer_that_knows_no_such_job_answers_nil_which_earlier_versions_decode(
+def test_leader_answers_nil_for_an_unknown_job_which_earlier_versions_decode(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An earlier follower gets its right answer, 404, from a leader of this version."""
+    """A follower of an earlier version can answer 404, the right status."""
 
     async def scenario(world: World) -> None:
         await curio.sleep(3)
         reply = await _ask_leader_as_peer(world, "req-999999")
         assert (reply.status, reply.body) == (200, b"\xc0")
-        as_earlier: Any = WhyAnswer | None
-        assert decode(as_earlier, reply.body) is None
+        earlier_type: Any = WhyAnswer | None
+        assert decode(earlier_type, reply.body) is None
 
     World().play(monkeypatch, scenario)
 
@@ -130,7 +131,7 @@
 def test_accepted_job_is_never_404_before_the_leader_has_read_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The leader's watch of jobs is late by seconds, and a job is asked about at once."""
+    """Ask about a job right after its submission, while the leader's watch lags by seconds."""
 
     async def scenario(world: World) -> None:
         await curio.sleep(3)
@@ -144,10 +145,10 @@
     World().play(monkeypatch, scenario)
 
 
-def test_leader_tells_followers_of_all_versions_nothing_of_a_job_it_has_not_read(
+def test_leader_answers_503_to_followers_of_all_versions_about_a_job_it_has_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An earlier follower makes 404 of nil, so a leader whose watch is late may not answer nil."""
+    """An earlier follower turns nil into 404, so a leader whose watch lags must not answer nil."""
 
     async def scenario(world: World) -> None:
         await curio.sleep(3)
@@ -163,8 +164,8 @@
 def test_accepted_job_is_never_404_and_unknown_one_never_200_while_leaders_change(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Asked all the time over a crash, an election, and first reads that take two seconds."""
-    seen: dict[str, set[int]] = {"accepted": set(), "unknown": set()}
+    """Ask continuously during a crash, an election, and initial reads that take two seconds."""
+    statuses: dict[str, set[int]] = {"accepted": set(), "unknown": set()}
 
     async def scenario(world: World) -> None:
         job = await world.run_job(legs=40, run_s=300.0)
@@ -177,21 +178,21 @@
         others = [number for number in ALL if number != former]
         for _ in range(60):
             for number in others:
-                seen["accepted"].add((await world.call(number, "GET", f"/why/{job}"))[0])
-                seen["unknown"].add((await world.call(number, "GET", UNKNOWN))[0])
+                statuses["accepted"].add((await world.call(number, "GET", f"/why/{job}"))[0])
+                statuses["unknown"].add((await world.call(number, "GET", UNKNOWN))[0])
             await curio.sleep(0.1)
         assert world.term() != term
         assert await _ask_each(world, f"/why/{job}") != [404] * CONTROLLERS
 
     World().play(monkeypatch, scenario)
-    assert seen["accepted"] == {200, 503}
-    assert seen["unknown"] == {404, 503}
+    assert statuses["accepted"] == {200, 503}
+    assert statuses["unknown"] == {404, 503}
 
 
-def test_leader_without_state_service_tells_nobody_404_of_a_job_it_has_not_heard_of(
+def test_no_controller_answers_404_for_an_unknown_job_during_a_state_service_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nobody can tell: the state service refuses all controllers."""
+    """The state service refuses all controllers, so none can know whether the job exists."""
 
     async def scenario(world: World) -> None:
         await curio.sleep(3)
@@ -205,7 +206,7 @@
 def test_overloaded_leader_is_503_at_every_controller(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, failure: str
 ) -> None:
-    """A follower waits longer than the leader's actor may take, and so hears its reason."""
+    """A follower waits longer than the leader's actor may take, so it receives the reason."""
 
     async def scenario(world: World) -> None:
         await curio.sleep(3)
