--- a/tests/test_repeatable_histories.py
+++ b/tests/test_repeatable_histories.py
@@ -1,14 +1,15 @@
-"""A seed plays the same history in every process.
+"""A seed gives the same fault history in every process.
 
-What happened: of five runs of ``python3 -m bench.fault_histories --guards`` one found the first
-guard's fault.  Histories of equal seeds differed in the order of requests sent in the same instant,
-and from there on in everything.  The order came from sets: of texts (``PYTHONHASHSEED``), of
-attempts and of curio's tasks (their memory addresses).  Seed 8 in two processes:
+Guards against a history that depends on the process.  Only one of five runs of
+``python3 -m bench.fault_histories --guards`` detected the fault behind the first guard.  Histories
+of one seed differed first in the order of requests sent at the same time, and then in everything
+after.  The order came from iterating over sets: of strings (``PYTHONHASHSEED``), and of attempts
+and curio tasks (memory addresses).  Seed 8 in two processes:
 
     44.431811 c0 10.1.0.6:9000 POST /commands    44.431811 c0 10.1.0.5:9000 POST /commands
     44.431811 c0 10.1.0.5:9000 POST /commands    44.431811 c0 10.1.0.8:9000 POST /commands
 
-4,228 and 4,438 requests were sent in all.
+The two processes sent 4,228 and 4,438 requests in total.
 """
 
 from __future__ import annotations
@@ -38,9 +39,9 @@
 
 
 @pytest.mark.parametrize("seed", [5, 8])
-def test_a_seed_plays_the_same_history_in_every_process(tmp_path: Path, seed: int) -> None:
+def test_a_seed_gives_the_same_history_in_every_process(tmp_path: Path, seed: int) -> None:
     first = _events_in_a_new_process(seed, "0", tmp_path / "first")
     assert len(first) > 500
     for number, hash_seed in enumerate(["0", "7", "random"]):
-        again = _events_in_a_new_process(seed, hash_seed, tmp_path / f"again-{number}")
-        assert again == first
+        repeated = _events_in_a_new_process(seed, hash_seed, tmp_path / f"repeated-{number}")
+        assert repeated == first
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Large deployments: caches must not change decisions, and counts bound the work of a cycle."""
+"""Large deployments: caches change no decision, and the work of a scheduling cycle is bounded."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ExhaustivePool(CapacityPool):
-    """Ranks every machine for every task, in the order of the design."""
+    """Ranks every machine for every task, in the order that the design specifies."""
 
     def best(self, job: Job) -> MachineCapacity | None:
         return choose_machine(job.spec, self.candidates(job), self.zone_rule(job), self.spot_scarce)
@@ -49,16 +49,16 @@
 
 
 def choose_gang_exhaustively(
-    spec: Submission, capacities: Sequence[MachineCapacity], batch: bool
+    spec: Submission, capacities: Sequence[MachineCapacity], spot_scarce: bool
 ) -> list[MachineCapacity] | None:
-    found: list[tuple[tuple[float, ...], list[MachineCapacity]]] = []
-    zones = sorted({r.zone for r in capacities}) if spec.one_zone else [None]
+    options: list[tuple[tuple[float, ...], list[MachineCapacity]]] = []
+    zones = sorted({c.zone for c in capacities}) if spec.one_zone else [None]
     for zone in zones:
         chosen: list[MachineCapacity] = []
         rule = ZoneRule(spec)
         for _ in range(spec.tasks):
             capacity = choose_machine(
-                spec, [r for r in capacities if zone in (None, r.zone)], rule, batch
+                spec, [c for c in capacities if zone in (None, c.zone)], rule, spot_scarce
             )
             if capacity is None:
                 break
@@ -66,34 +66,34 @@
             rule.zones[capacity.zone] += 1
             chosen.append(capacity)
         if len(chosen) == spec.tasks:
-            stages = [2 if r.planned else 0 if r.up else 1 for r in chosen]
-            missing = sum(1 for r in chosen if spec.image not in r.images)
-            cost = (float(max(stages)), float(sum(1 for s in stages if s)), float(missing))
-            found.append((cost, chosen))
+            stages = [2 if c.planned else 0 if c.up else 1 for c in chosen]
+            missing_images = sum(1 for c in chosen if spec.image not in c.images)
+            cost = (float(max(stages)), float(sum(1 for s in stages if s)), float(missing_images))
+            options.append((cost, chosen))
         for capacity in chosen:
             capacity.unbook(spec)
-    if not found:
+    if not options:
         return None
-    best = min(found, key=lambda entry: entry[0])[1]
+    best = min(options, key=lambda option: option[0])[1]
     for capacity in best:
         capacity.book(spec)
     return best
 
 
 def run_cycles(deployment: RandomDeployment) -> tuple[object, ...]:
-    """Run cycles with heartbeats and ended tasks between them; return all that they decided."""
-    result: list[object] = []
+    """Run cycles with heartbeats and ended tasks between them; return all their decisions."""
+    decisions: list[object] = []
     for job in deployment.cluster.live_jobs():
         if deployment.random.random() < 0.2:
-            # It failed on some machines, and avoids them as long as there are others.
+            # The job failed on some machines, and avoids them while there are others.
             job.errors.update(list(deployment.cluster.machines)[::2])
     for _ in range(3):
         deployment.scheduler.run_cycle(deployment.now)
-        decided = deployment.scheduler.plan
-        result.append([(p.job_id, p.index, p.attempt) for p in decided.placed])
-        result.append(sorted((str(offer), n) for offer, n in decided.rentals.items()))
-        result.append(sorted(decided.reserved))
-        result.append({job.id: dict(job.reasons) for job in deployment.cluster.live_jobs()})
+        plan = deployment.scheduler.plan
+        decisions.append([(p.job_id, p.index, p.attempt) for p in plan.placed])
+        decisions.append(sorted((str(offer), n) for offer, n in plan.rentals.items()))
+        decisions.append(sorted(plan.reserved))
+        decisions.append({job.id: dict(job.reasons) for job in deployment.cluster.live_jobs()})
         record_writer = RecordWriter(deployment.cluster, LIMITS)
         while batches := record_writer.next(deployment.now):
             for batch in batches:
@@ -103,9 +103,9 @@
             deployment.heartbeat(name)
             deployment.heartbeat(name, done=deployment.random.randrange(2))
         deployment.submit()
-    where = sorted((a.task, a.number, m.name) for m in deployment.cluster.machines.values()
-                   for a in m.attempts.values())  # fmt: skip
-    return (*result, where)
+    placements = sorted((a.task, a.number, m.name) for m in deployment.cluster.machines.values()
+                        for a in m.attempts.values())  # fmt: skip
+    return (*decisions, placements)
 
 
 @settings(derandomize=True, deadline=None, max_examples=25)
@@ -144,7 +144,7 @@
 
 
 def refuse_rentals(deployment: RandomDeployment, *, spot: bool, existing: int) -> None:
-    """Have the cloud refuse more than the existing machines in every zone."""
+    """Make the cloud refuse, in every zone, to rent more than the existing machines."""
     for zone in ZONES:
         offer = InstanceOffer("box", zone, spot)
         deployment.scheduler.instance_offers.refused(offer, existing, deployment.now)
@@ -160,9 +160,9 @@
 
     class CountingCycle(SchedulingCycle):
         def run(self) -> Plan:
-            result = super().run()
+            plan = super().run()
             examined.append(self.pool.examined)
-            return result
+            return plan
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("micadeal.scheduling.scheduler.SchedulingCycle", CountingCycle)
@@ -183,7 +183,7 @@
 
 
 def test_a_burst_of_placements_is_persisted_whole_in_few_operations() -> None:
-    """Guards the limit on operations: a record per machine took seconds for a large array."""
+    """Guards the limit on operations: with a record per machine, a large array took seconds."""
     deployment = RandomDeployment(400, 60)
     record_writer = RecordWriter(deployment.cluster, LIMITS)
     deployment.scheduler.run_cycle(deployment.now)
@@ -192,22 +192,22 @@
     assert placed > 400
     assert sum(len(batch.operations) for batch in written) <= placed / 40
     assert all(a.durable for m in deployment.cluster.machines.values() for a in m.attempts.values())
-    # As tasks end, records are dropped or merged: what is left names what is left.
-    kept: set[str] = {op.key for b in written for op in b.operations}
+    # As tasks end, records are deleted or merged: those stored are those of the attempts left.
+    stored: set[str] = {op.key for b in written for op in b.operations}
     for _ in range(40):
         for name in deployment.cluster.machines:
             deployment.heartbeat(name, done=1)
             deployment.heartbeat(name)
         deployment.now += seconds(5)
         for batch in write_all(record_writer, deployment):
-            kept |= {op.key for op in batch.operations if isinstance(op, Put)}
-            kept -= {op.key for op in batch.operations if isinstance(op, Delete)}
-    left = {a.record for m in deployment.cluster.machines.values() for a in m.attempts.values()}
-    assert {key for key in kept if key.startswith("placed/")} == left
+            stored |= {op.key for op in batch.operations if isinstance(op, Put)}
+            stored -= {op.key for op in batch.operations if isinstance(op, Delete)}
+    needed = {a.record for m in deployment.cluster.machines.values() for a in m.attempts.values()}
+    assert {key for key in stored if key.startswith("placed/")} == needed
 
 
 def test_the_overview_of_a_large_failing_deployment_stays_short() -> None:
-    """Guards the overview: the longest stuck first, with counts instead of endless lists."""
+    """Guards the overview: the longest stuck jobs come first, and counts replace long lists."""
     deployment = RandomDeployment(300, 0)
     for name in list(deployment.cluster.machines)[:200]:
         deployment.cluster.machines[name].reclaim_expected_at = deployment.now + seconds(20)
@@ -218,20 +218,22 @@
         deployment.scheduler.instance_offers.refused(offer, 0, deployment.now + seconds(85))
     deployment.now += seconds(90)
     deployment.scheduler.run_cycle(deployment.now)
-    found = explanations.overview(deployment.scheduler, "c0", deployment.now, state_reachable=True)
-    text = show_overview(decode(dict, encode(found)))
-    waits = [job.waiting_s for job in found.stuck]
+    overview = explanations.overview(
+        deployment.scheduler, "c0", deployment.now, state_reachable=True
+    )
+    text = show_overview(decode(dict, encode(overview)))
+    waits = [job.waiting_s for job in overview.stuck]
     assert waits == sorted(waits, reverse=True) and len(waits) == 20
-    assert found.stuck_in_all > 50
-    assert f"and {found.stuck_in_all - 20} more" in text
+    assert overview.stuck_in_all > 50
+    assert f"and {overview.stuck_in_all - 20} more" in text
     assert "about to be taken by the cloud: i-000000" in text and "and 195 more" in text
     assert len(text.splitlines()) < 60
 
 
 def test_nothing_is_preempted_on_machines_where_the_preemptor_failed() -> None:
-    """Guards against tasks that are started and stopped again in every cycle.
+    """Guards against tasks that are started and preempted again in every cycle.
 
-    Production work that failed on a machine does not go there again.
+    A production job is not placed again on a machine where it failed.
     """
     deployment = RandomDeployment(3, 0, 2)
     for _ in range(3):
@@ -241,22 +243,26 @@
         )  # fmt: skip
     refuse_rentals(deployment, spot=True, existing=0)
     deployment.scheduler.run_cycle(deployment.now)
-    live = deployment.submit(
+    service = deployment.submit(
         shape=Shape.SERVICE, priority=Priority.PRODUCTION, spot_allowed=False, tasks=1, gpus=1.0,
         team=deployment.teams[1], spread=False, one_zone=False,
     )  # fmt: skip
-    ordinary = [m.name for m in deployment.cluster.machines.values() if not m.spot]
-    assert all(deployment.cluster.machines[name].attempts for name in ordinary)
-    live.errors.update(ordinary[:1])
+    on_demand = [m.name for m in deployment.cluster.machines.values() if not m.spot]
+    assert all(deployment.cluster.machines[name].attempts for name in on_demand)
+    service.errors.update(on_demand[:1])
     deployment.scheduler.run_cycle(deployment.now)
-    killed = {entry[0] for _, victim in deployment.scheduler.plan.kills for entry in victim.freed}
-    assert killed and ordinary[0] not in killed
+    preempted_on = {
+        freed[0] for _, victim in deployment.scheduler.plan.kills for freed in victim.freed
+    }
+    assert preempted_on and on_demand[0] not in preempted_on
 
 
 def test_nothing_is_preempted_on_an_on_demand_machine_that_only_victims_need() -> None:
-    """Guards against the same: an array that may use spot does not use on-demand machines alone.
+    """Guards against preempting the same gang in every cycle.
 
-    Once the gang bound to them was stopped, the gang would take its place again.
+    An array that may use spot uses an on-demand machine only if a task that must not run on spot is
+    there.  Once the gang on it were preempted, the array would not start there, and the gang would
+    take its place again.
     """
     deployment = RandomDeployment(3, 0, 2)
     refuse_rentals(deployment, spot=False, existing=2)
@@ -284,9 +290,10 @@
 
 
 def test_preempted_capacity_is_kept_for_the_preemptor() -> None:
-    """Guards against the same while a task beside the victim is still saving.
+    """Guards against preempting in every cycle while one of two victims still saves its progress.
 
-    The victim, or another of its kind, would take the capacity again, and be stopped every cycle.
+    Otherwise the victim that has ended, or a similar task, would take the freed capacity again, and
+    would be preempted again.
     """
     deployment = RandomDeployment(1, 0, 2)
     refuse_rentals(deployment, spot=False, existing=1)
@@ -307,7 +314,7 @@
     deployment.heartbeat(machine.name)
     deployment.heartbeat(machine.name)
     assert written == 1 and len(machine.attempts) == 2
-    live = deployment.submit(
+    service = deployment.submit(
         **(fields | {"cpus": 10.0, "gpus": 2.0, "priority": Priority.PRODUCTION}),
         shape=Shape.SERVICE, tasks=1,
     )  # fmt: skip
@@ -317,11 +324,11 @@
     for step in range(20):
         deployment.now += seconds(0.2)
         if step == 5:
-            # One of the two has ended, the other one still saves.
+            # One of the two victims has ended, the other one still saves its progress.
             deployment.cluster.release(next(iter(machine.attempts.values())), deployment.now)
         if step == 15:
             deployment.cluster.release(next(iter(machine.attempts.values())), deployment.now)
         deployment.scheduler.run_cycle(deployment.now)
         kills += len(deployment.scheduler.plan.kills)
-    assert len(live.attempts) == 1
+    assert len(service.attempts) == 1
     assert kills == 2
--- a/tests/test_scale_site.py
+++ b/tests/test_scale_site.py
@@ -1,4 +1,4 @@
-"""The command that writes site files of other sizes, on a site file of our own."""
+"""Tests of ``bench.scale_site``, which scales a site file to another number of machines."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
         (EMPTY_SITE, ["--machines", "9"], "no machines"),
     ],
 )  # fmt: skip
-def test_bad_input_is_told_and_nothing_is_written(
+def test_bad_input_is_reported_and_nothing_is_written(
     source: Path, tmp_path: Path, content: str, arguments: list[str], problem: str
 ) -> None:
     source.write_text(content)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios on whole deployments: three controllers, workers, cloud and state service in memory."""
+"""Scenarios on a deployment in memory: three controllers, workers, cloud and state service."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
         await world.wait_until(lambda: sum(map(world.running, jobs)) >= 4)
         leader = leader_of(world)
         world.crash(leader)
-        late = await world.run_job("array", 1, crew="blue", run_s=5.0)
+        later_job = await world.run_job("array", 1, crew="blue", run_s=5.0)
         await new_leader(world, leader)
         await curio.sleep(5)
         await world.start(leader)
-        for job in [*jobs, late]:
+        for job in [*jobs, later_job]:
             await world.wait_until_done(job)
 
     assert_each_task_started_once(World().play(monkeypatch, scenario))
@@ -64,8 +64,8 @@
 
 def test_a_cancellation_wins_over_a_start_in_progress(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
-        warm = await world.run_job("daemon", 1, run_s=1.0)
-        await world.wait_until(lambda: world.running(warm) == 1)
+        warm_up = await world.run_job("daemon", 1, run_s=1.0)
+        await world.wait_until(lambda: world.running(warm_up) == 1)
         for wait in (0.0, 0.02, 0.1, 0.5, 1.0, 2.0):
             job = await world.run_job("array", 1, run_s=90.0)
             await curio.sleep(wait)
@@ -77,7 +77,7 @@
 
 
 def test_a_team_never_exceeds_its_quota(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards ``quota``, which ``World`` checks all the time, over a failover and a cancellation."""
+    """Guards ``quota`` during a failover and a cancellation; ``World`` checks it continuously."""
 
     async def scenario(world: World) -> None:
         jobs = [await world.run_job("array", 6, run_s=20.0) for _ in range(4)]
@@ -126,34 +126,37 @@
 def test_a_job_that_fails_everywhere_backs_off(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the weakness that the design names: such a job stays below its share for ever."""
+    """Guards against a weakness that the design names.
+
+    A job that fails on every machine stays permanently below its fair share.
+    """
 
     async def scenario(world: World) -> None:
-        bad = await world.run_job("array", 8, fails=True, accelerators=2.0)
-        good = [await world.run_job("array", 4, crew="blue", run_s=15.0) for _ in range(3)]
-        for job in good:
+        failing = await world.run_job("array", 8, fails=True, accelerators=2.0)
+        healthy = [await world.run_job("array", 4, crew="blue", run_s=15.0) for _ in range(3)]
+        for job in healthy:
             await world.wait_until_done(job)
         await curio.sleep(60)
-        assert await world.status(bad) in ("pending", "running")
-        assert await world.cancel(bad) == "cancelled"
+        assert await world.status(failing) in ("pending", "running")
+        assert await world.cancel(failing) == "cancelled"
 
     world = World().play(monkeypatch, scenario)
-    tries = sum(
+    starts = sum(
         count for task, count in world.rules.starts.items() if task.startswith("req-000001/")
     )
-    assert 3 <= tries <= 16
+    assert 3 <= starts <= 16
 
 
 def test_a_faulty_machine_is_drained_and_returned(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
-        keep = await world.run_job("daemon", 1, accelerators=1.0)
-        await world.wait_until(lambda: world.running(keep) == 1)
-        worker, _ = world.tasks_on_machines(keep)[0]
+        service = await world.run_job("daemon", 1, accelerators=1.0)
+        await world.wait_until(lambda: world.running(service) == 1)
+        worker, _ = world.tasks_on_machines(service)[0]
         world.fleet.faulty.add(worker.name)
         jobs = [await world.run_job("array", 1, crew="blue", run_s=10.0) for _ in range(3)]
         for job in jobs:
             await world.wait_until_done(job)
-        assert await world.cancel(keep) == "cancelled"
+        assert await world.cancel(service) == "cancelled"
         await world.wait_until(lambda: worker.name in world.cloud.releases, limit=30)
 
     World().play(monkeypatch, scenario)
@@ -179,7 +182,9 @@
     World().play(monkeypatch, scenario)
 
 
-def test_an_idle_machine_that_nobody_rented_is_returned(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_machine_that_no_controller_rented_is_returned(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario(world: World) -> None:
         await curio.sleep(5)
         name = await world.cloud.add("north", spot=False, up_in=1.0)
@@ -188,15 +193,15 @@
     World().play(monkeypatch, scenario)
 
 
-def test_production_preempts_batch_work_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_production_preempts_batch_work_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
         world.cloud.capacity.update(dict.fromkeys(world.cloud.capacity, 0))
         for _ in range(3):
             await world.cloud.add("north", spot=False, up_in=0.5)
         batch = await world.run_job("array", 6, run_s=300.0, bookmark_s=5.0, stow_s=1.0)
         await world.wait_until(lambda: world.running(batch) == 6)
-        live = await world.run_job("daemon", 1, rank="production", crew="blue")
-        assert await world.wait_until(lambda: world.running(live) == 1, limit=20) < 12
+        service = await world.run_job("daemon", 1, rank="production", crew="blue")
+        assert await world.wait_until(lambda: world.running(service) == 1, limit=20) < 12
 
     World().play(monkeypatch, scenario)
 
@@ -206,14 +211,14 @@
         world.cloud.capacity.update(dict.fromkeys(world.cloud.capacity, 0))
         for _ in range(4):
             await world.cloud.add("north", spot=False, up_in=0.5)
-        greedy = await world.run_job("array", 8, run_s=400.0, crew="blue")
-        await world.wait_until(lambda: world.running(greedy) == 8)
-        poor = await world.run_job("array", 8, run_s=400.0)
+        over_guarantee = await world.run_job("array", 8, run_s=400.0, crew="blue")
+        await world.wait_until(lambda: world.running(over_guarantee) == 8)
+        starved = await world.run_job("array", 8, run_s=400.0)
         await curio.sleep(10)
-        assert world.running(poor) == 0
-        await world.wait_until(lambda: world.running(poor) == 4, limit=40)
+        assert world.running(starved) == 0
+        await world.wait_until(lambda: world.running(starved) == 4, limit=40)
         await curio.sleep(40)
-        assert (world.running(poor), world.running(greedy)) == (4, 4)
+        assert (world.running(starved), world.running(over_guarantee)) == (4, 4)
 
     World().play(monkeypatch, scenario)
 
@@ -261,13 +266,14 @@
 def test_tasks_of_a_reclaimed_machine_restart_before_its_lease_expires(
     monkeypatch: pytest.MonkeyPatch, notice: float | None, limit: float
 ) -> None:
-    """Guards against waiting for a lease of 14 s where the machine is certainly gone.
+    """Guards against waiting for the lease of 14 s although the machine is certainly gone.
 
-    It had a reclaim notice, or the cloud lists it no more; the cloud's confirmation makes it sure.
+    The machine had a reclaim notice, or the cloud no longer lists it.  The cloud's confirmation
+    makes it certain.
     """
 
     async def scenario(world: World) -> None:
-        # By its owner's estimate it would be done before the machine goes, so it stays.
+        # By its owner's estimate the task ends before the machine is reclaimed, so it is not moved.
         job = await world.run_job("array", 1, run_s=60.0, expect_s=1.0, loaners=True, image_gb=0.5)
         await world.wait_until(lambda: world.running(job) == 1)
         await curio.sleep(15)
@@ -294,7 +300,7 @@
         await curio.sleep(5)
         worker.reclaim_expected_at = monotonic().total_seconds() + 25
         await curio.sleep(8)
-        # The long one is on its way elsewhere, the short one goes on and ends in time.
+        # The long task restarts on another machine.  The short one goes on and ends in time.
         assert all(w is not worker for w, _ in world.tasks_on_machines(long))
         assert world.running(short) == 1
         await world.wait_until(lambda: world.running(long) == 1, limit=12)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,6 @@
-"""Two short seeded histories on real processes over loopback (``tests/soak``), and their checker.
+"""Short seeded histories on real processes over loopback (``tests/soak``), and their checker.
 
-The verdict rests on the protocol's bounds; how long the run takes has no part in it.
+The result depends on the bounds of the protocol, not on how long the run takes.
 """
 
 from __future__ import annotations
@@ -36,19 +36,19 @@
     assert "3 seeds in" in result.stdout and ", 0 with a rule broken" in result.stdout
 
 
-def test_state_service_that_lies_is_found(tmp_path: Path) -> None:
-    """The checker sees real processes: reads of all records of one job find nothing."""
+def test_wrong_answers_of_the_state_service_are_detected(tmp_path: Path) -> None:
+    """The checker covers real processes: each read of a record of one job is answered 404."""
     world = SoakWorld(tmp_path, seed=1, workers=0, boot_s=1.0)
 
     async def scenario(world: World) -> None:
         job = await world.run_job("array", 1, image_gb=0.1)
 
-        async def lie(request: Request) -> Answer:
+        async def answer_not_found(request: Request) -> Answer:
             if request.method == "GET" and request.path.endswith(job):
                 return answer(404, {"ledger": world.state.revision})
             return await world.state.handle(request)
 
-        world.network.serve(state_fake.HOST, state_fake.ADDRESS, lie)
+        world.network.serve(state_fake.HOST, state_fake.ADDRESS, answer_not_found)
         for number in range(3):
             await world.status(job, number)
         world.network.serve(state_fake.HOST, state_fake.ADDRESS, world.state.handle)
@@ -58,7 +58,7 @@
     assert not any(process.running for process in world.controllers.values())
 
 
-def test_controller_that_ends_by_itself_is_found(tmp_path: Path) -> None:
+def test_controller_that_exits_unexpectedly_is_detected(tmp_path: Path) -> None:
     world = SoakWorld(tmp_path, seed=1, workers=0, boot_s=1.0)
 
     async def scenario(world: World) -> None:
@@ -74,7 +74,7 @@
     "arguments",
     [["--seeds", "0"], ["--jobs", "x"], ["--workers", "-1"], ["--first", "-2"], ["--nothing"]],
 )
-def test_bad_arguments_are_told_and_nothing_is_started(arguments: list[str]) -> None:
+def test_bad_arguments_are_reported_and_nothing_is_started(arguments: list[str]) -> None:
     result = soak(*arguments)
     assert result.returncode == 2
     assert arguments[0] in result.stdout and "Usage:" in result.stdout
