--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -1,4 +1,4 @@
-"""The client of the state service: rate limiting, and the errors that callers tell apart."""
+"""The client of the state service: rate limiting, and the errors that callers distinguish."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 LIMITS = Limits(requests_per_s=100, changes_per_s=50, operations=16, value_bytes=8192)
 
 
-def with_state_service(
+def run_with_state_service(
     check: Callable[[StateService, FakeState], Awaitable[None]],
     handler: Callable[[Request], Awaitable[Answer]] | None = None,
     limits: Limits = LIMITS,
 ) -> None:
-    """Run ``check`` with a client of a state service in memory, or of ``handler``."""
+    """Run ``check`` with a client of a state service in memory, or of ``handler`` if given."""
 
     async def run() -> None:
         fake = FakeState()
@@ -47,14 +47,14 @@
     curio.run(run)
 
 
-def answers(status: int) -> Callable[[Request], Awaitable[Answer]]:
+def handler_answering(status: int) -> Callable[[Request], Awaitable[Answer]]:
     async def handler(request: Request) -> Answer:
-        return error(status, "trouble")
+        return error(status, "test error")
 
     return handler
 
 
-def test_token_bucket_saves_up_a_burst_and_keeps_a_reserve_for_the_urgent() -> None:
+def test_token_bucket_accumulates_a_burst_and_keeps_a_reserve_for_urgent_requests() -> None:
     budget = TokenBucket(rate=10, burst=10, now=ZERO)
     assert all(budget.take(1, ZERO) == ZERO for _ in range(10))
     assert budget.take(1, ZERO) > ZERO
@@ -73,7 +73,7 @@
         assert fake.requests == sent + 1
 
     slow = Limits(requests_per_s=2, changes_per_s=2, operations=16, value_bytes=8192)
-    with_state_service(check, limits=slow)
+    run_with_state_service(check, limits=slow)
 
 
 def test_conflict_names_the_keys_that_have_another_version() -> None:
@@ -87,19 +87,19 @@
         assert changed == {"a"}
         assert await state.changed_keys([Condition("a", revision)], Urgency.USER) == set()
 
-    with_state_service(check)
+    run_with_state_service(check)
 
 
-def test_conflict_is_certain_even_if_its_answer_names_no_keys() -> None:
+def test_answer_409_is_a_conflict_even_if_it_names_no_keys() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         with pytest.raises(ConflictError) as conflict:
             await state.commit([Condition("a", 1)], [Delete("a")], Urgency.REST)
         assert conflict.value.failed_keys == ()
 
-    with_state_service(check, handler=answers(409))
+    run_with_state_service(check, handler=handler_answering(409))
 
 
-def test_expired_lease_and_too_large_transaction_are_told_apart() -> None:
+def test_expired_lease_and_too_large_transaction_raise_different_errors() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         lease = await state.grant_lease(seconds(5))
         await state.commit([], [Put("a", 1, lease)], Urgency.LEASE)
@@ -115,14 +115,14 @@
             await state.commit([], [Put("a", "x" * 9000)], Urgency.REST)
         assert rejected.value.status == 400
 
-    with_state_service(check)
+    run_with_state_service(check)
 
 
 @pytest.mark.parametrize(
     ("status", "kind"),
     [(429, UnavailableError), (503, UnavailableError), (500, StateServiceError)],
 )
-def test_status_without_result_says_whether_the_request_may_have_been_executed(
+def test_error_shows_whether_the_request_may_have_been_executed(
     status: int, kind: type[StateServiceError]
 ) -> None:
     async def check(state: StateService, fake: FakeState) -> None:
@@ -132,16 +132,16 @@
         assert failure.value.status == status
         assert state.answered is None
 
-    with_state_service(check, handler=answers(status))
+    run_with_state_service(check, handler=handler_answering(status))
 
 
-def test_watch_of_a_compacted_revision_says_which() -> None:
+def test_watch_of_a_compacted_revision_raises_an_error_that_names_it() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         with pytest.raises(RevisionCompactedError) as compacted:
             await state.changes("job/", 7, seconds(1), state.watch_client())
         assert (compacted.value.prefix, compacted.value.revision) == ("job/", 7)
 
-    with_state_service(check, handler=answers(410))
+    run_with_state_service(check, handler=handler_answering(410))
 
 
 def test_watch_returns_changes_after_the_revision_of_a_range_read() -> None:
@@ -156,31 +156,31 @@
             ("job/2", None),
         ]
 
-    with_state_service(check)
+    run_with_state_service(check)
 
 
-def test_version_checks_asked_for_together_share_one_request() -> None:
+def test_concurrent_version_checks_share_one_request() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         version = await state.commit([], [Put("a", 1), Put("b", 1)], Urgency.REST)
         sent = fake.requests
         coalescer = VersionCheckCoalescer(state)
         results: dict[tuple[str, int], bool] = {}
 
-        async def ask(key: str, version: int) -> None:
+        async def check_version(key: str, version: int) -> None:
             results[key, version] = await coalescer.holds(key, version)
 
         async with curio.TaskGroup() as group:
-            await group.spawn(ask, "a", version)
-            await group.spawn(ask, "b", version - 1)
-            await group.spawn(ask, "b", version)
-        # Of two versions of one key the last is compared; False for the other means "not known".
+            await group.spawn(check_version, "a", version)
+            await group.spawn(check_version, "b", version - 1)
+            await group.spawn(check_version, "b", version)
+        # Of two versions of one key, only the last is compared.  False for the other: "unknown".
         assert results == {("a", version): True, ("b", version - 1): False, ("b", version): True}
         assert fake.requests == sent + 1
 
-    with_state_service(check)
+    run_with_state_service(check)
 
 
-def test_user_request_gives_up_early_once_the_service_is_unreachable(
+def test_user_request_times_out_early_once_the_service_is_unreachable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("micadeal.state.service.UNREACHABLE_AFTER", seconds(0.05))
@@ -195,9 +195,9 @@
         assert state.answered is not None
         await curio.sleep(0.1)
         network.cut("c0", state_fake.HOST)
-        began = monotonic()
+        started_at = monotonic()
         with pytest.raises(StateServiceError, match="no answer in time"):
             await state.get("key", Urgency.USER)
-        assert monotonic() - began < seconds(1)
+        assert monotonic() - started_at < seconds(1)
 
     curio.run(run)
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -1,7 +1,7 @@
 """The exact bytes of every message and stored record, as recorded in ``golden/wire.json``.
 
-The file was recorded once and is never to be made anew: other processes, controllers of other
-versions and the state service hold these bytes.  A message is found by its case name, so that
+The file was recorded once and must never be regenerated: other processes, controllers of other
+versions and the state service send or store these bytes.  Messages are looked up by case name, so
 classes and their Python fields may be renamed.
 """
 
@@ -163,14 +163,14 @@
     "workers_direct_orders": DirectCommands,
     "workers_redirect": Redirect,
 }
-#: Fields that came after the cases were recorded; they have cases in ``wire_additions.json``.
+#: Fields added after the cases were recorded; their cases are in ``wire_additions.json``.
 FIELDS_ADDED_LATER = {
     "mesh_pong": ["Pong.cancellation_ages"],
     "state_end": ["EndRecord.confirmed"],
 }
 #: Messages that are JSON on the wire; all others are MessagePack.
 JSON_MESSAGES = {"signals_point", "signals_series"}
-#: Sent and never read by this program: the values whose encodings were recorded.
+#: Messages that this program only sends: the values whose encodings were recorded.
 WRITTEN_ONLY: dict[str, tuple[msgspec.Struct, msgspec.Struct]] = {
     "state_transaction": (
         Transaction(
@@ -215,57 +215,57 @@
     yield from RECORDED[name].get("accepted", ())
 
 
-def same_as_defaults(value: Any) -> list[str]:
-    """Fields, also of nested messages, that hold their default."""
+def fields_at_default(value: Any) -> list[str]:
+    """Return the names of fields, including those of nested messages, that have their default."""
     if isinstance(value, list):
-        return [found for item in value for found in same_as_defaults(item)]
+        return [name for item in value for name in fields_at_default(item)]
     if isinstance(value, dict):
-        return [found for item in value.values() for found in same_as_defaults(item)]
+        return [name for item in value.values() for name in fields_at_default(item)]
     if not isinstance(value, msgspec.Struct):
         return []
-    same: list[str] = []
+    names: list[str] = []
     for field in msgspec.structs.fields(value):
-        held = getattr(value, field.name)
+        field_value = getattr(value, field.name)
         defaults = [field.default]
         if field.default_factory is not msgspec.NODEFAULT:
             defaults.append(field.default_factory())
-        if held in defaults:
-            same.append(f"{type(value).__name__}.{field.name}")
-        same += same_as_defaults(held)
-    return same
+        if field_value in defaults:
+            names.append(f"{type(value).__name__}.{field.name}")
+        names += fields_at_default(field_value)
+    return names
 
 
 def defined_in_wire(base: type) -> set[type]:
-    found: set[type] = set()
+    classes: set[type] = set()
     for module_info in pkgutil.walk_packages(micadeal.wire.__path__, "micadeal.wire."):
         module = importlib.import_module(module_info.name)
-        found |= {
+        classes |= {
             value
             for value in vars(module).values()
             if isinstance(value, type)
             and issubclass(value, base)
             and value.__module__.startswith("micadeal.wire")
         }
-    return found
-
-
-def nested_in(kind: type) -> set[type]:
-    """The message and all messages that its fields hold."""
-    found: set[type] = set()
-    front: list[Any] = [inspect.type_info(kind)]
-    while front:
-        about = front.pop()
-        if isinstance(about, inspect.StructType):
-            if about.cls not in found:
-                found.add(about.cls)
-                front += [field.type for field in about.fields]
-        elif isinstance(about, inspect.ListType):
-            front.append(about.item_type)
-        elif isinstance(about, inspect.DictType):
-            front.append(about.value_type)
-        elif isinstance(about, inspect.UnionType):
-            front += about.types
-    return found
+    return classes
+
+
+def nested_in(message_class: type) -> set[type]:
+    """Return the message class and the classes of all messages nested in its fields."""
+    classes: set[type] = set()
+    pending: list[Any] = [inspect.type_info(message_class)]
+    while pending:
+        type_info = pending.pop()
+        if isinstance(type_info, inspect.StructType):
+            if type_info.cls not in classes:
+                classes.add(type_info.cls)
+                pending += [field.type for field in type_info.fields]
+        elif isinstance(type_info, inspect.ListType):
+            pending.append(type_info.item_type)
+        elif isinstance(type_info, inspect.DictType):
+            pending.append(type_info.value_type)
+        elif isinstance(type_info, inspect.UnionType):
+            pending += type_info.types
+    return classes
 
 
 def test_every_message_has_recorded_cases() -> None:
@@ -274,13 +274,13 @@
     covered = set().union(*(nested_in(MESSAGES[name]) for name in READ))
     missing = defined_in_wire(msgspec.Struct) - covered - set(MESSAGES.values())
     assert not missing
-    # What has no cases of its own is private to a message that has them.
-    uncounted = defined_in_wire(msgspec.Struct) - set(MESSAGES.values())
-    assert all(kind.__name__.startswith("_") for kind in uncounted), uncounted
+    # A message without cases of its own is private to a message that has them.
+    without_cases = defined_in_wire(msgspec.Struct) - set(MESSAGES.values())
+    assert all(kind.__name__.startswith("_") for kind in without_cases), without_cases
 
 
 @pytest.mark.parametrize("name", sorted(RECORDED))
-def test_the_readable_form_is_that_of_the_bytes(name: str) -> None:
+def test_the_decoded_form_matches_the_bytes(name: str) -> None:
     for entry in entries(name):
         assert read_untyped(name, bytes.fromhex(entry["hex"])) == entry["decoded"]
 
@@ -294,7 +294,7 @@
     assert write(name, value) == data
     assert read(name, data) == value
     if name not in JSON_MESSAGES:
-        # Records come without a type inside answers of the state service.
+        # Records arrive untyped inside answers of the state service.
         assert convert(MESSAGES[name], read_untyped(name, data)) == value
 
 
@@ -306,18 +306,18 @@
 
 
 @pytest.mark.parametrize("name", READ)
-def test_the_full_case_sets_every_field_to_something_else_than_its_default(name: str) -> None:
-    unset = same_as_defaults(read(name, recorded(name, "full")))
-    assert unset == FIELDS_ADDED_LATER.get(name, [])
+def test_the_full_case_sets_every_field_to_another_value_than_its_default(name: str) -> None:
+    at_default = fields_at_default(read(name, recorded(name, "full")))
+    assert at_default == FIELDS_ADDED_LATER.get(name, [])
 
 
 @pytest.mark.parametrize("name", sorted(FIELDS_ADDED_LATER))
 def test_fields_added_later_are_read_and_written_to_the_same_bytes(name: str) -> None:
-    """The recorded full case and these fields; without them the bytes stay as they were."""
+    """Check the full case with the added fields; without these the bytes are unchanged."""
     added = json.loads((GOLDEN / "wire_additions.json").read_text())[name]
     data = bytes.fromhex(added["hex"])
     value = read(name, data)
-    assert same_as_defaults(value) == []
+    assert fields_at_default(value) == []
     assert write(name, value) == data
     full = read_untyped(name, recorded(name, "full"))
     assert read_untyped(name, data) == added["decoded"] == {**full, **added["fields"]}
@@ -326,7 +326,7 @@
 
 
 @pytest.mark.parametrize("name", READ)
-def test_what_may_be_omitted_or_null_is_read_as_unset(name: str) -> None:
+def test_optional_fields_omitted_or_null_are_read_as_unset(name: str) -> None:
     value = read(name, recorded(name, "unset"))
     for entry in RECORDED[name]["accepted"]:
         assert read(name, bytes.fromhex(entry["hex"])) == value, entry["decoded"]
@@ -337,10 +337,10 @@
     data = recorded(name, "full")
     content = read_untyped(name, data)
     if isinstance(content, dict):
-        longer: Any = {"field_of_a_later_version": {"a": [1]}, **content}
+        extended: Any = {"field_of_a_later_version": {"a": [1]}, **content}
     else:
-        longer = [*content, "field of a later version"]
-    assert read(name, write(name, longer)) == read(name, data)
+        extended = [*content, "field of a later version"]
+    assert read(name, write(name, extended)) == read(name, data)
 
 
 def test_values_of_enumerations() -> None:
@@ -350,7 +350,7 @@
 
 
 def test_a_description_stored_in_parts_is_read_as_the_whole() -> None:
-    """The parts were written with the same description as the full case of a job record."""
+    """The parts hold the same description as the full case of a job record."""
     changes = json.loads((GOLDEN / "split_description.json").read_text())
     first, *rest = (read_untyped("state_put", bytes.fromhex(change["hex"])) for change in changes)
     assert first["put"] == "job/req-000412"
