--- a/micadeal/controller/api/settings.py
+++ b/micadeal/controller/api/settings.py
@@ -53,7 +53,7 @@
         record = SettingsRecord(
             received.script, utc_now().timestamp(), received.values, received.highest_level
         )
-        if not self._state.present.fits(record):
+        if not self._state.current_limits.fits(record):
             return _too_large()
         return await self._store(record)
 
--- a/micadeal/controller/api/submission.py
+++ b/micadeal/controller/api/submission.py
@@ -20,12 +20,12 @@
 from micadeal.jobs.validate import (
     MalformedJobError,
     UnschedulableJobError,
-    check_possible,
+    check_schedulable,
     job_id_of,
     parse,
 )
 from micadeal.operator.platform import Team
-from micadeal.schema.job_records import split
+from micadeal.schema.job_records import split_record
 from micadeal.schema.keys import ENDS, JOBS
 from micadeal.state.service import (
     ConflictError,
@@ -78,7 +78,7 @@
             no_catalog = error(503, "the machine types are not known yet", RETRY_AFTER)
             return await self._status_or(spec.job_id, no_catalog)
         try:
-            check_possible(spec, self._teams, self.instance_offers)
+            check_schedulable(spec, self._teams, self.instance_offers)
             cancelled = await self._has_cancelled_prerequisite(spec)
         except UnschedulableJobError as problem:
             return await self._status_or(spec.job_id, error(422, str(problem)))
@@ -160,11 +160,11 @@
         job_id = spec.job_id
         now = utc_now().timestamp()
         record = JobRecord(spec, now)
-        if not self._state.present.fits(record):
+        if not self._state.current_limits.fits(record):
             raise JobTooLargeError(job_id)
         put = Put(JOBS + job_id, record)
         if cancelled:
-            put = Put(ENDS + job_id, EndRecord.of(Status.CANCELLED, spec, now))
+            put = Put(ENDS + job_id, EndRecord.for_job(Status.CANCELLED, spec, now))
         try:
             await self._put_new(job_id, [put])
         except RequestRejectedError:
@@ -173,7 +173,7 @@
                 # an end is small and is never split.
                 raise JobTooLargeError(job_id) from None
             # The service's limits have been lowered since this controller was started.
-            parts = split(record, self._state.limits)
+            parts = split_record(record, self._state.limits)
             if parts is None:
                 raise JobTooLargeError(job_id) from None
             await self._put_new(job_id, parts)
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -62,7 +62,7 @@
     def __init__(
         self, config: LeaderConfig, term: Term, initial_knowledge: InitialKnowledge
     ) -> None:
-        super().__init__(bound=MAILBOX_LIMIT)
+        super().__init__(capacity=MAILBOX_LIMIT)
         now = monotonic()
         platform = config.platform
         #: The fencing token of the term.
@@ -85,7 +85,10 @@
         if initial_knowledge.machine_types:
             self._scheduler.set_catalog(initial_knowledge.machine_types)
         self._record_writer = RecordWriter(
-            self._cluster, config.state.limits, config.state.present, config.feature_levels.record
+            self._cluster,
+            config.state.limits,
+            config.state.current_limits,
+            config.feature_levels.record,
         )
         self._record_loader = RecordLoader(self._scheduler, self._record_writer)
         for job_id in initial_knowledge.cancelled_jobs:
--- a/micadeal/controller/persistence/job_ends.py
+++ b/micadeal/controller/persistence/job_ends.py
@@ -43,7 +43,7 @@
             if job.id not in self._in_flight:
                 batches.append(self._prepare_end(job, Status.CANCELLED))
         complete = self._complete_jobs()
-        complete.sort(key=lambda job: not dependencies.needed(job.id))
+        complete.sort(key=lambda job: not dependencies.has_dependents(job.id))
         for job in complete[: MAX_ENDS_IN_FLIGHT - len(self._in_flight)]:
             batches.append(self._prepare_end(job, Status.DONE))
         return batches
@@ -60,7 +60,7 @@
 
     def _prepare_end(self, job: Job, status: Status) -> WriteBatch:
         self._in_flight.add(job.id)
-        record = EndRecord.of(status, job.spec, utc_now().timestamp())
+        record = EndRecord.for_job(status, job.spec, utc_now().timestamp())
         job_key, end_key = f"{JOBS}{job.id}", f"{ENDS}{job.id}"
         draft = BatchDraft(self._context.limits.guaranteed.operations)
         draft.put(end_key, record)
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -23,7 +23,7 @@
 from micadeal.rollout.migration import MigrationBacklog
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.schema.decoding import VersionedRecord
-from micadeal.schema.job_listing import JobOver
+from micadeal.schema.job_listing import JobEnded
 from micadeal.state.limits import Limits
 from micadeal.state.service import Urgency
 from micadeal.wire.state import ImagesRecord, Item, LevelRecord, ReturnedMachinesRecord
@@ -97,7 +97,7 @@
         """Return the number of records to rewrite before the next step of the level."""
         return self._migration.backlog()
 
-    def delete_record_of(self, _job: JobOver, key: str, version: int) -> None:
+    def delete_record_of(self, _job: JobEnded, key: str, version: int) -> None:
         """Schedule the deletion of a record whose job has certainly ended."""
         self._keys.versions[key] = version
         self._keys.schedule_delete(key)
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -181,7 +181,7 @@
             TASKS_PER_SMALL_CHUNK if is_small_chunk else TASKS_PER_CHUNK
         )
         try:
-            job.load_bits(first_task, chunk.record.bits)
+            job.load_finished_chunk(first_task, chunk.record.bits)
         except ValueError as problem:
             _log_unreadable(chunk.key, problem)
 
--- a/micadeal/scheduling/scale_out.py
+++ b/micadeal/scheduling/scale_out.py
@@ -51,7 +51,7 @@
         """
         if self._exhausted:
             return None
-        for offer, kind in self._offers.choices(spec, self._now, self._pool.machines_by_zone):
+        for offer, kind in self._offers.available(spec, self._now, self._pool.machines_by_zone):
             if warm and spec.spot_allowed and not offer.spot:
                 continue
             if rule.permits(offer.zone):
@@ -69,12 +69,12 @@
             return []
         zones: set[str] = set()
         candidates: list[MachineCapacity] = []
-        for offer, kind in self._offers.choices(spec, self._now, self._pool.machines_by_zone):
+        for offer, kind in self._offers.available(spec, self._now, self._pool.machines_by_zone):
             if offer.zone in zones:
                 continue
             zones.add(offer.zone)
             count = min(spec.tasks, MAX_PLANNED_MACHINES)
-            rentable = self._offers.left(offer, self._machine_count(offer), self._now)
+            rentable = self._offers.remaining(offer, self._machine_count(offer), self._now)
             if rentable is not None:
                 count = min(count, rentable)
             for _ in range(count):
@@ -106,6 +106,6 @@
         if self._planned_count >= MAX_PLANNED_MACHINES:
             return RENTAL_LIMIT_REACHED
         zones = self._pool.machines_by_zone
-        if not any(True for _ in self._offers.choices(job.spec, self._now, zones)):
+        if not any(True for _ in self._offers.available(job.spec, self._now, zones)):
             return CLOUD_REFUSED
         return ZONES_EXCLUDED
--- a/micadeal/scheduling/start_invariants.py
+++ b/micadeal/scheduling/start_invariants.py
@@ -34,6 +34,8 @@
         )
     if not allowed(job.spec, machine.machine_type, machine.zone, machine.spot):
         return StartViolation(Invariant.WRONG_PLACE, f"start on {machine.name}, in {machine.zone}")
-    if job.needs:
-        return StartViolation(Invariant.TOO_EARLY, f"start before {min(job.needs)} is done")
+    if job.unfinished_prerequisites:
+        return StartViolation(
+            Invariant.TOO_EARLY, f"start before {min(job.unfinished_prerequisites)} is done"
+        )
     return None
--- a/micadeal/scheduling/team_shares.py
+++ b/micadeal/scheduling/team_shares.py
@@ -78,7 +78,7 @@
     states: dict[str, TeamState] = {}
     for name, team in teams.items():
         used = booked(bookings.usage[name], resource)
-        states[name] = TeamState(team.minimum(resource), policy.team(name).weight, used, used)
+        states[name] = TeamState(team.guarantee(resource), policy.team(name).weight, used, used)
     for job in jobs:
         states[job.spec.team].demand += bookings.waiting(job) * job.units
     for name, state in states.items():
@@ -106,7 +106,7 @@
         if (kind := inputs.cluster.types.get(capacity.machine_type))
     )
     demand = sum(state.demand for state in states.values())
-    if inputs.may_rent and not inputs.instance_offers.any_paused(inputs.now):
+    if inputs.may_rent and not inputs.instance_offers.backing_off(inputs.now):
         return max(total, demand)
     return total
 
--- a/micadeal/state/errors.py
+++ b/micadeal/state/errors.py
@@ -19,15 +19,15 @@
 class UnavailableError(StateServiceError):
     """The request was certainly not executed.
 
-    The service answered 503 or 429, or our own rate limiter held the request back (``status`` is
-    None then).
+    The service answered 503 or 429, or this controller's rate limiter did not send the request
+    (``status`` is then None).
     """
 
 
 class RequestRejectedError(StateServiceError):
     """The service answered 400; the request was certainly not executed.
 
-    A value or the transaction is too large for the service's present limits, which may be lower
+    A value or the transaction is too large for the service's current limits, which may be lower
     than at the last write.
     """
 
@@ -35,7 +35,7 @@
 class ConflictError(Exception):
     """A transaction's conditions did not hold, so none of its changes was made.
 
-    ``failed_keys`` are the keys that have another version, empty if the service did not say which.
+    ``failed_keys`` are the keys whose version differs; empty if the service did not name them.
     """
 
     def __init__(self, failed_keys: Sequence[str] = ()) -> None:
--- a/tests/test_deferral.py
+++ b/tests/test_deferral.py
@@ -175,9 +175,9 @@
     decide_round(tracker, [work], hourly_curve(0.3, 0.1, 0.3, 0.3, 0.3, 0.3), NOW)
     round_start = NOW + HOUR - timedelta(seconds=5)
     later = CostCurve([round_start + i * HOUR for i in range(7)], [0.3, 0.3, 0.3, 0.01, 0.3, 0.3])
-    tracker.begin({"a"}, later, round_start, UNLIMITED)
-    tracker.consider(work, NOW + HOUR)
-    assert tracker.held("a", NOW + HOUR) is None
+    tracker.begin_round({"a"}, later, round_start, UNLIMITED)
+    tracker.decide(work, NOW + HOUR)
+    assert tracker.active_hold("a", NOW + HOUR) is None
 
 
 def test_no_window_reaches_beyond_known_costs() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,8 +11,8 @@
 
 from micadeal.clock import ZERO, seconds
 from micadeal.controller.persistence.record_writer import RecordWriter
-from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, to_bits
-from micadeal.schema.job_records import join_parts, part_keys, split
+from micadeal.jobs.model import TASKS_PER_CHUNK, TASKS_PER_SMALL_CHUNK, Job, encode_bit_set
+from micadeal.schema.job_records import join_parts, part_keys, split_record
 from micadeal.state.limits import Limits
 from micadeal.wire import peers
 from micadeal.wire import state as records
@@ -64,7 +64,7 @@
     read = decode(records.JobRecord, encode(forget(decode(Any, encode(record)))))
     assert read == job
     # Split records, which only lower limits make necessary, must not decode as anything else.
-    parts = split(record, Limits(150, 18, 5, 256))
+    parts = split_record(record, Limits(150, 18, 5, 256))
     assert parts is not None and len(parts) > 1
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert(decode(Any, encode(parts[0].value)), records.JobRecord)
@@ -124,7 +124,7 @@
         # What an earlier version wrote, or this one before limits dropped.
         stored = [index for index in range(29_980) if index % 2_000 != 1_999]
         for chunk in range(2):
-            bits = to_bits(
+            bits = encode_bit_set(
                 [i for i in stored if i // TASKS_PER_CHUNK == chunk], chunk * TASKS_PER_CHUNK
             )
             world.state.keys[f"done/{big}/{chunk}"] = ({"bits": bits}, world.state.revision, None)
@@ -147,7 +147,7 @@
         small = [key for key in world.state.keys if key.startswith(f"finished/{big}/")]
         for key in small:
             bits = world.state.keys[key][0]["bits"]
-            read.load_bits(int(key.rpartition("/")[2]) * TASKS_PER_SMALL_CHUNK, bits)
+            read.load_finished_chunk(int(key.rpartition("/")[2]) * TASKS_PER_SMALL_CHUNK, bits)
         assert len(read.finished) > len(small)
         await curio.sleep(5)
         await world.start(leader)
