--- a/tests/test_faulty_jobs.py
+++ b/tests/test_faulty_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that fail on every machine through their own fault, and faulty machines."""
+"""Jobs that fail on every machine because of their own errors, as opposed to faulty machines."""
 
 from __future__ import annotations
 
@@ -49,9 +49,10 @@
 def test_a_service_regains_all_replicas_after_failures_on_faulty_machines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards replicas: after errors on two machines one task is tried at a time.
+    """Guards the number of replicas of a service after errors on two machines.
 
-    A service never completes, so a replica lost later must be replaced while others run.
+    After such errors, only one task of a job was tried at a time.  A service is never done, so a
+    replica lost later was not replaced while another one ran.
     """
 
     async def scenario(world: World) -> None:
--- a/tests/test_finished_tasks.py
+++ b/tests/test_finished_tasks.py
@@ -1,4 +1,4 @@
-"""Encoding of a job's finished tasks in stored records."""
+"""Finished tasks of a job in stored records."""
 
 from __future__ import annotations
 
--- a/tests/test_heartbeat_routing.py
+++ b/tests/test_heartbeat_routing.py
@@ -1,4 +1,4 @@
-"""Routes that a follower chooses for workers' heartbeats."""
+"""Routing of workers' heartbeats by followers: redirect or relay to the leader."""
 
 from __future__ import annotations
 
