--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for every test."""
+"""Fixtures that apply to every test."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 @pytest.fixture(autouse=True)
-def log_filters_left_as_they_were() -> Iterator[None]:
-    """Take back the filters that a test adds to handlers of the process.
+def restore_log_filters() -> Iterator[None]:
+    """Remove the filters that a test adds to the log handlers of the process.
 
-    Guards against tests that fail by the order of files: ``micadeal serve`` limits like warnings by
-    the time of day, and run inside the process it would limit all scenarios in stepped time
-    together.
+    Guards against tests whose result depends on the order of the files.  ``micadeal serve`` limits
+    the rate of similar warnings by the time of day.  Run inside the test process, its filter would
+    also drop warnings of later scenarios, which run in stepped time.
     """
-    filters = {handler: list(handler.filters) for handler in logging.getLogger().handlers}
+    original_filters = {handler: list(handler.filters) for handler in logging.getLogger().handlers}
     yield
-    for handler, before in filters.items():
-        handler.filters[:] = before
+    for handler, filters in original_filters.items():
+        handler.filters[:] = filters
 
 
 @pytest.fixture(autouse=True)
 def no_invariant_violated(request: pytest.FixtureRequest) -> Iterator[None]:
-    """Fail a test in which the program reports that a rule would have been broken.
+    """Fail a test in which the program reports a violated invariant.
 
-    A test marked ``violates_invariant`` has to bring just the violations named about.
+    A test marked ``violates_invariant`` must cause exactly the violations that the marker names.
     """
     invariants.violations.clear()
     yield
     expected = request.node.get_closest_marker("violates_invariant")
-    found = set(invariants.violations)
-    assert found == (set(expected.args) if expected else set())
+    violations = set(invariants.violations)
+    assert violations == (set(expected.args) if expected else set())
     invariants.violations.clear()
--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""State service, cloud, workers and network in memory, from the protocol, in stepped time."""
+"""In-memory state service, cloud, workers and network that follow the protocol in stepped time."""
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""A cloud that behaves as the protocol says: idempotent rentals, a lagging list, refusals."""
+"""An in-memory cloud that follows the protocol: idempotent rentals, a delayed list, refusals."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 @dataclass
-class Rented:
-    """A rented machine; times are seconds on the monotonic clock."""
+class RentedMachine:
+    """A rented machine.  Times are in seconds on the monotonic clock."""
 
     name: str
     address: str
     zone: str
     spot: bool
-    since: float
-    #: When its boot is over; None: it never boots.
+    rented_at: float
+    #: When its boot ends; None if it never boots.
     up_at: float | None
     running: bool = False
 
@@ -32,14 +32,15 @@
 class FakeCloud:
     """Rents, lists and releases machines.
 
-    ``boot`` starts a worker on a machine; ``kill`` ends it with everything on it.  ``capacity`` is
-    the number of machines of each zone and kind, ``lag_s`` how far the list lags behind.
+    ``boot`` starts a worker on a machine.  ``kill`` ends the worker and all tasks on it.
+    ``capacity`` is the number of machines per zone, for spot and on-demand machines each.
+    ``lag_s`` is the age of the returned list of machines.
     """
 
     def __init__(
         self,
         zones: list[str],
-        boot: Callable[[Rented], Awaitable[None]],
+        boot: Callable[[RentedMachine], Awaitable[None]],
         kill: Callable[[str], None],
         boot_s: float = 10.0,
         capacity: int = 10,
@@ -50,15 +51,15 @@
         self._kill = kill
         self.boot_s = boot_s
         self.capacity = dict.fromkeys(product(zones, (False, True)), capacity)
-        self._lag = lag_s
-        self.machines: dict[str, Rented] = {}
-        #: Names rented by each request, so that a repeated one rents nothing.
+        self._lag_s = lag_s
+        self.machines: dict[str, RentedMachine] = {}
+        #: Names rented by each request: a repeated request returns them and rents nothing.
         self._names_by_request: dict[str, list[str]] = {}
         self._history: list[tuple[float, list[dict[str, Any]]]] = []
-        self._count = 0
-        #: Machines that never boot, by number; the first one rented is 1.
+        self._machines_rented = 0
+        #: Machines that never boot, by number.  The first rented machine is number 1.
         self.never_boot: set[int] = set()
-        #: Factor by which boots take longer.
+        #: Multiplies the boot time of machines rented from now on.
         self.boot_time_factor = 1.0
         self.rentals = 0
         self.releases: list[str] = []
@@ -76,7 +77,7 @@
         }  # fmt: skip
 
     async def step(self) -> None:
-        """Boot the machines that are due, and note what the list shows from now on."""
+        """Finish boots that are due and record the current list of machines."""
         now = monotonic().total_seconds()
         for machine in list(self.machines.values()):
             if not machine.running and machine.up_at is not None and now >= machine.up_at:
@@ -90,27 +91,32 @@
                         "name_id": machine.name, "addr": machine.address, "rig": "box",
                         "depot": machine.zone, "loaners": machine.spot,
                         "status": "running" if machine.running else "booting",
-                        "held_s": now - machine.since,
+                        "held_s": now - machine.rented_at,
                     }
                     for machine in self.machines.values()
                 ],
             )
         )  # fmt: skip
-        self._history = [entry for entry in self._history if entry[0] >= now - 3 * self._lag]
+        self._history = [entry for entry in self._history if entry[0] >= now - 3 * self._lag_s]
 
     async def add(self, zone: str, spot: bool, up_in: float) -> str:
         """Rent one machine whose boot takes ``up_in`` seconds; return its name."""
-        self._count += 1
-        name = f"i-{self._count:06d}"
+        self._machines_rented += 1
+        name = f"i-{self._machines_rented:06d}"
         now = monotonic().total_seconds()
-        up_at = None if self._count in self.never_boot else now + up_in
-        self.machines[name] = Rented(
-            name, f"10.1.{self._count // 250}.{self._count % 250 + 1}:9000", zone, spot, now, up_at
+        up_at = None if self._machines_rented in self.never_boot else now + up_in
+        self.machines[name] = RentedMachine(
+            name,
+            f"10.1.{self._machines_rented // 250}.{self._machines_rented % 250 + 1}:9000",
+            zone,
+            spot,
+            now,
+            up_at,
         )
         return name
 
     def take(self, name: str) -> None:
-        """Remove a machine at once: the cloud takes a spot machine back, or any machine dies."""
+        """Remove a machine immediately: the cloud reclaims a spot machine, or a machine fails."""
         self.machines.pop(name, None)
         self._kill(name)
 
@@ -129,20 +135,21 @@
         if request.method == "POST":
             return await self._rent(decode(dict, request.body))
         now = monotonic().total_seconds()
-        old = [entries for at, entries in self._history if at <= now - self._lag]
-        return answer(200, {"hosts": old[-1] if old else [], "has_next": False})
-
-    async def _rent(self, wanted: dict[str, Any]) -> Answer:
-        if wanted["hire"] in self._names_by_request:
-            return answer(200, {"hosts": self._names_by_request[wanted["hire"]]})
-        place = (wanted["depot"], wanted["loaners"])
-        count = min(wanted["how_many"], self.capacity[place])
+        visible = [entries for at, entries in self._history if at <= now - self._lag_s]
+        return answer(200, {"hosts": visible[-1] if visible else [], "has_next": False})
+
+    async def _rent(self, rental: dict[str, Any]) -> Answer:
+        if rental["hire"] in self._names_by_request:
+            return answer(200, {"hosts": self._names_by_request[rental["hire"]]})
+        zone_and_spot = (rental["depot"], rental["loaners"])
+        count = min(rental["how_many"], self.capacity[zone_and_spot])
         if not count:
             return error(503, "no capacity")
-        self.capacity[place] -= count
+        self.capacity[zone_and_spot] -= count
         self.rentals += count
         names = [
-            await self.add(*place, up_in=self.boot_s * self.boot_time_factor) for _ in range(count)
+            await self.add(*zone_and_spot, up_in=self.boot_s * self.boot_time_factor)
+            for _ in range(count)
         ]
-        self._names_by_request[wanted["hire"]] = names
+        self._names_by_request[rental["hire"]] = names
         return answer(200, {"hosts": names})
--- a/tests/fakes/decision_jobs.py
+++ b/tests/fakes/decision_jobs.py
@@ -1,4 +1,4 @@
-"""Kinds of jobs, teams and a quick policy for scenarios of decisions."""
+"""Job descriptions, teams and a policy with short timeouts for the decision scenarios."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from micadeal.operator.platform import Team
 from micadeal.operator.policy import Policy
 
-QUICK = Policy(
+SHORT_TIMEOUTS = Policy(
     minimum_timeout=seconds(3), share_timeout=seconds(6), gather_after=seconds(5)
 )  # fmt: skip
 GANG: dict[str, Any] = {
@@ -18,11 +18,11 @@
 SERVICE: dict[str, Any] = {
     "shape": "daemon", "rank": "production", "scatter": True, "lane": "live", "build": "live-1",
 }  # fmt: skip
-LOW: dict[str, Any] = {"rank": "low", "loaners": True, "lane": "batch", "build": "batch-1"}
+LOW_PRIORITY: dict[str, Any] = {"rank": "low", "loaners": True, "lane": "batch", "build": "batch-1"}
 
 
 def teams(*guarantees: float, limit: float | None = None) -> dict[str, Team]:
-    """Return teams with guarantees of gpus, and at most ``limit`` gpus each."""
+    """Return teams with these guarantees in gpus, each with the same limit in gpus."""
     names = ("red", "blue", "green")[: len(guarantees)]
     return {
         name: Team(name, 0.0, guarantee, None, limit)
--- a/tests/fakes/decision_recording.py
+++ b/tests/fakes/decision_recording.py
@@ -1,7 +1,6 @@
-"""Traces of decisions in the form in which `tests/golden/decisions.json` keeps them.
+"""Records traces of decisions in the format of `tests/golden/decisions.json`.
 
-To record them anew, which is only right after a decision was changed on purpose, never to make the
-test pass:
+Record them again only after a decision was changed on purpose, never to make the test pass:
 
     python3 -m tests.fakes.decision_recording
 """
@@ -18,14 +17,14 @@
 import pytest
 
 from tests.fakes.decision_scenarios import LARGE, SMALL
-from tests.fakes.stepped_clock import FixedTime
+from tests.fakes.stepped_clock import SteppedTime
 
 GOLDEN = Path(__file__).parent.parent / "golden" / "decisions.json"
 
 
 def play(name: str) -> list[dict[str, Any]]:
-    """Play a scenario; return its trace, step by step, as it is read back from JSON."""
-    clock = FixedTime()
+    """Run a scenario; return the steps of its trace as JSON decodes them."""
+    clock = SteppedTime()
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("micadeal.clock.time", clock)
         world = (SMALL | LARGE)[name](clock)
@@ -34,7 +33,7 @@
 
 
 def golden_form(name: str, steps: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Return what is kept of a trace: events of small scenarios, hashes of large ones."""
+    """Return the golden form of a trace: events of small scenarios, hashes of large ones."""
     if name in SMALL:
         return [step for step in steps if step["events"]]
     return [
@@ -48,7 +47,7 @@
 
 
 def render(traces: dict[str, list[dict[str, Any]]]) -> str:
-    """Return JSON with one event a line, so that a change can be read in a diff."""
+    """Return JSON with one event per line, which keeps diffs readable."""
     scenarios: list[str] = []
     for name, steps in traces.items():
         lines: list[str] = []
--- a/tests/fakes/decision_scenarios.py
+++ b/tests/fakes/decision_scenarios.py
@@ -1,7 +1,7 @@
-"""Made-up deployments whose decisions are pinned by `tests/test_decision_trace.py`.
+"""Simulated deployments whose decisions `tests/test_decision_trace.py` compares to a golden file.
 
-Each scenario plays a deployment and returns it with its trace.  Their names are keys of the golden
-file.
+Each scenario runs a deployment and returns it with its trace.  The names of the functions are keys
+of the golden file.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from micadeal.operator.policy import TeamPolicy
 from micadeal.rollout.feature_level import FeatureLevel
 from micadeal.state.limits import Limits
-from tests.fakes.decision_jobs import GANG, LOW, QUICK, SERVICE, teams
+from tests.fakes.decision_jobs import GANG, LOW_PRIORITY, SERVICE, SHORT_TIMEOUTS, teams
 from tests.fakes.decision_traffic import traffic
 from tests.fakes.decision_world import ZONES, DecisionWorld
-from tests.fakes.stepped_clock import FixedTime
+from tests.fakes.stepped_clock import SteppedTime
 
 
 def no_more_machines(world: DecisionWorld) -> None:
-    """Let the cloud refuse all rentals from now on."""
+    """Make the cloud refuse all rentals from now on."""
     for rig in ("box", "slab"):
         for zone in ZONES:
             world.capacity |= {(rig, zone, True): 0, (rig, zone, False): 0}
@@ -31,8 +31,8 @@
 # -- small deployments -------------------------------------------------------------------------
 
 
-def all_shapes(clock: FixedTime) -> DecisionWorld:
-    """Run an array, a gang, a service and work without gpus, from rental to idle returns."""
+def all_shapes(clock: SteppedTime) -> DecisionWorld:
+    """Run an array, a gang, a service and a job without gpus, until idle machines are returned."""
     world = DecisionWorld(clock, teams(4, 4), objectives=(Objective("wait", "live", seconds(4)),))
     world.add_boxes(4)
     world.list_machines()
@@ -50,9 +50,9 @@
     return world
 
 
-def below_guarantee(clock: FixedTime) -> DecisionWorld:
-    """Stop the newest tasks of others for a starved team, first those that can save."""
-    world = DecisionWorld(clock, teams(0, 6, 2), QUICK)
+def below_guarantee(clock: SteppedTime) -> DecisionWorld:
+    """Preempt the newest tasks of other teams for a starved team, tasks with checkpoints first."""
+    world = DecisionWorld(clock, teams(0, 6, 2), SHORT_TIMEOUTS)
     world.add_boxes(4, spot=False)
     no_more_machines(world)
     world.list_machines()
@@ -68,14 +68,16 @@
     return world
 
 
-def production_first(clock: FixedTime) -> DecisionWorld:
-    """Low work gives way to production at once, and machines are cleared for it."""
-    world = DecisionWorld(clock, teams(0, 2), QUICK)
+def production_first(clock: SteppedTime) -> DecisionWorld:
+    """Preempt low-priority jobs for production without a delay, and free whole machines for it."""
+    world = DecisionWorld(clock, teams(0, 2), SHORT_TIMEOUTS)
     world.add_boxes(3, spot=False)
     no_more_machines(world)
     world.list_machines()
     world.run(2)
-    world.submit("req-low", **{**LOW, "loaners": False}, legs=5, expect_s=100.0, stow_s=3.0)
+    world.submit(
+        "req-low", **{**LOW_PRIORITY, "loaners": False}, legs=5, expect_s=100.0, stow_s=3.0
+    )
     world.submit("req-usual", legs=2, expect_s=100.0, bookmark_s=0.0)
     world.run(8)
     world.add_boxes(2, spot=False)
@@ -84,7 +86,7 @@
     world.submit("req-low-gang", **{**GANG, "one_zone": False}, rank="low", legs=2, expect_s=99.0)
     world.run(5)
     world.submit("req-wide", **SERVICE, legs=2, crew="blue", accelerators=2.0, vcpus=12.0)
-    world.submit("req-low-more", **{**LOW, "loaners": False}, legs=4, crew="blue")
+    world.submit("req-low-more", **{**LOW_PRIORITY, "loaners": False}, legs=4, crew="blue")
     world.run(12)
     world.submit("req-high", legs=2, rank="high", crew="blue")
     world.run(10)
@@ -93,9 +95,9 @@
     return world
 
 
-def a_gang_gives_way(clock: FixedTime) -> DecisionWorld:
-    """Stop a low gang whole for production, and a usual one for a team's guarantee."""
-    world = DecisionWorld(clock, teams(0, 4), QUICK)
+def a_gang_gives_way(clock: SteppedTime) -> DecisionWorld:
+    """Preempt a whole low-priority gang for production, and a standard gang for a guarantee."""
+    world = DecisionWorld(clock, teams(0, 4), SHORT_TIMEOUTS)
     world.add_boxes(4, spot=False, zones=("north",))
     no_more_machines(world)
     world.list_machines()
@@ -110,9 +112,9 @@
     return world
 
 
-def room_for_a_gang(clock: FixedTime) -> DecisionWorld:
-    """Machines are kept for a large gang among small work that keeps coming."""
-    world = DecisionWorld(clock, teams(2, 8), QUICK)
+def room_for_a_gang(clock: SteppedTime) -> DecisionWorld:
+    """Reserve machines for a large gang while small jobs keep arriving."""
+    world = DecisionWorld(clock, teams(2, 8), SHORT_TIMEOUTS)
     world.add_boxes(6, spot=False, zones=("north", "south"))
     no_more_machines(world)
     world.list_machines()
@@ -128,9 +130,9 @@
     return world
 
 
-def pipelines(clock: FixedTime) -> DecisionWorld:
-    """Jobs that wait for others, with priorities and deadlines passed on, and one cancelled."""
-    world = DecisionWorld(clock, teams(0, 0), QUICK)
+def pipelines(clock: SteppedTime) -> DecisionWorld:
+    """Run dependent jobs that inherit priorities and deadlines; one dependency is cancelled."""
+    world = DecisionWorld(clock, teams(0, 0), SHORT_TIMEOUTS)
     world.add_boxes(3)
     world.list_machines()
     world.run(2)
@@ -151,9 +153,9 @@
     return world
 
 
-def taken_by_the_cloud(clock: FixedTime) -> DecisionWorld:
-    """Notices: tasks save while there is time, or are stopped at once; the machines vanish."""
-    world = DecisionWorld(clock, teams(4, 4), QUICK)
+def taken_by_the_cloud(clock: SteppedTime) -> DecisionWorld:
+    """Reclaim spot machines: tasks save a checkpoint if the notice leaves time, else just stop."""
+    world = DecisionWorld(clock, teams(4, 4), SHORT_TIMEOUTS)
     world.add_boxes(6, spot=True)
     world.list_machines()
     world.run(2)
@@ -162,8 +164,8 @@
     world.submit("req-short", legs=2, loaners=True, expect_s=5.0, bookmark_s=0.0)
     world.submit("req-gang", **GANG, legs=2, loaners=True, expect_s=60.0, crew="blue")
     world.run(5)
-    for name, left in zip(sorted(world.workers), (8.0, 8.0, 1.0, 12.0, 12.0), strict=False):
-        world.give_notice(name, left)
+    for name, notice_s in zip(sorted(world.workers), (8.0, 8.0, 1.0, 12.0, 12.0), strict=False):
+        world.give_reclaim_notice(name, notice_s)
     world.run(14)
     world.list_machines()
     world.run(1)
@@ -172,9 +174,9 @@
     return world
 
 
-def silent_machines(clock: FixedTime) -> DecisionWorld:
-    """Leases run out, machines come back or are given back; one sends but does not hear."""
-    world = DecisionWorld(clock, teams(4, 4), QUICK)
+def silent_machines(clock: SteppedTime) -> DecisionWorld:
+    """Make machines unreachable: leases expire, machines recover or are returned."""
+    world = DecisionWorld(clock, teams(4, 4), SHORT_TIMEOUTS)
     world.add_boxes(7, spot=False)
     world.list_machines()
     world.run(2)
@@ -193,9 +195,9 @@
     return world
 
 
-def failures(clock: FixedTime) -> DecisionWorld:
-    """Empty a faulty machine; a job that fails everywhere backs off and gets no machine."""
-    world = DecisionWorld(clock, teams(4, 4), QUICK)
+def failures(clock: SteppedTime) -> DecisionWorld:
+    """Drain a faulty machine; a job that fails everywhere backs off, and none is rented for it."""
+    world = DecisionWorld(clock, teams(4, 4), SHORT_TIMEOUTS)
     world.add_boxes(5, spot=False)
     world.list_machines()
     faulty = sorted(world.workers)[1]
@@ -212,9 +214,9 @@
     return world
 
 
-def cancelled(clock: FixedTime) -> DecisionWorld:
-    """Cancel jobs before their placement, before it is written, while they start and run."""
-    world = DecisionWorld(clock, teams(4, 4), QUICK)
+def cancelled(clock: SteppedTime) -> DecisionWorld:
+    """Cancel jobs before and after their placement, before it is written, and while they run."""
+    world = DecisionWorld(clock, teams(4, 4), SHORT_TIMEOUTS)
     world.add_boxes(4, spot=False)
     world.list_machines()
     world.run(2)
@@ -236,9 +238,9 @@
     return world
 
 
-def scarce_machines(clock: FixedTime) -> DecisionWorld:
-    """Rent from a cloud with few machines: partial answers, refusals, pauses, other kinds."""
-    world = DecisionWorld(clock, teams(2, 2, limit=12.0), QUICK)
+def scarce_machines(clock: SteppedTime) -> DecisionWorld:
+    """Rent from a cloud with little capacity: partial grants, refusals, backoff, other types."""
+    world = DecisionWorld(clock, teams(2, 2, limit=12.0), SHORT_TIMEOUTS)
     no_more_machines(world)
     world.capacity |= {("box", "north", True): 1, ("box", "south", True): 2}
     world.capacity |= {("box", "west", False): 2, ("box", "north", False): 1}
@@ -253,9 +255,9 @@
     return world
 
 
-def lost_answers(clock: FixedTime) -> DecisionWorld:
-    """Transactions whose answer is lost, that are carried out or not; records are merged."""
-    world = DecisionWorld(clock, teams(4, 4), QUICK, limits=Limits(150, 24, 8, 900))
+def lost_answers(clock: SteppedTime) -> DecisionWorld:
+    """Lose answers to transactions that are or are not applied; merge records."""
+    world = DecisionWorld(clock, teams(4, 4), SHORT_TIMEOUTS, limits=Limits(150, 24, 8, 900))
     world.state.outcomes = {1: "never", 2: "unanswered", 4: "never", 5: "unanswered", 9: "never"}
     world.state.outcomes |= {12: "unanswered", 15: "never", 18: "unanswered", 22: "never"}
     world.add_boxes(6, spot=False)
@@ -270,9 +272,9 @@
     return world
 
 
-def later_layout(clock: FixedTime) -> DecisionWorld:
-    """Level 1: finished sets in small parts; many machines are returned with tasks on them."""
-    world = DecisionWorld(clock, teams(4, 4), QUICK, level=FeatureLevel.FENCED)
+def later_layout(clock: SteppedTime) -> DecisionWorld:
+    """Run at feature level 1: finished tasks in small parts, many machines lost with tasks."""
+    world = DecisionWorld(clock, teams(4, 4), SHORT_TIMEOUTS, level=FeatureLevel.FENCED)
     world.add_boxes(6, spot=True)
     world.list_machines()
     world.run(2)
@@ -281,7 +283,7 @@
     world.submit("req-long", **small, legs=20, expect_s=90.0, crew="blue")
     world.run(12)
     for name in sorted(world.workers)[:5]:
-        # Gone without a notice, as the lists show before the leases are over.
+        # Lost without a notice: the lists show it before the leases expire.
         del world.workers[name]
     for _ in range(4):
         world.run(2)
@@ -290,9 +292,9 @@
     return world
 
 
-def new_leader(clock: FixedTime) -> DecisionWorld:
-    """Let a second leader take over in the midst of it, and a third one soon after."""
-    world = DecisionWorld(clock, teams(4, 4), QUICK)
+def new_leader(clock: SteppedTime) -> DecisionWorld:
+    """Change the leader while jobs start and run, and change it again soon after."""
+    world = DecisionWorld(clock, teams(4, 4), SHORT_TIMEOUTS)
     world.add_boxes(6, spot=False)
     world.list_machines()
     world.run(2)
@@ -315,10 +317,10 @@
     return world
 
 
-def policies(clock: FixedTime) -> DecisionWorld:
-    """Weights, a limit of running jobs, order by submission, limits of teams, warm room."""
+def policies(clock: SteppedTime) -> DecisionWorld:
+    """Apply weights, job and team limits, order by submission, spare capacity for an objective."""
     policy = replace(
-        QUICK,
+        SHORT_TIMEOUTS,
         teams={
             "red": TeamPolicy(weight=3.0, order="submitted"),
             "blue": TeamPolicy(running_jobs=1, minimum_timeout=seconds(8)),
@@ -343,8 +345,8 @@
 
 # -- all scenarios ----------------------------------------------------------------------------
 
-Scenario = Callable[[FixedTime], DecisionWorld]
-#: All that they decide is kept.
+Scenario = Callable[[SteppedTime], DecisionWorld]
+#: The golden file holds all events of these.
 SMALL: dict[str, Scenario] = {
     scenario.__name__: scenario
     for scenario in (
@@ -353,7 +355,7 @@
         later_layout, new_leader, policies,
     )
 }  # fmt: skip
-#: Counts and a hash for each step.
+#: The golden file holds counts and a hash for each step of these.
 LARGE: dict[str, Scenario] = {
     "traffic_20": lambda clock: traffic(clock, 1, 20, 70, 2),
     "traffic_21": lambda clock: traffic(clock, 2, 21, 70, 2),
--- a/tests/fakes/decision_traffic.py
+++ b/tests/fakes/decision_traffic.py
@@ -1,4 +1,4 @@
-"""Random traffic whose decisions are pinned: the same seed plays the same."""
+"""Random traffic for the decision traces, reproducible by its seed."""
 
 from __future__ import annotations
 
@@ -10,15 +10,17 @@
 from micadeal.operator.platform import Objective
 from micadeal.rollout.feature_level import FeatureLevel
 from micadeal.state.limits import Limits
-from tests.fakes.decision_jobs import GANG, LOW, QUICK, SERVICE, teams
+from tests.fakes.decision_jobs import GANG, LOW_PRIORITY, SERVICE, SHORT_TIMEOUTS, teams
 from tests.fakes.decision_world import ZONES, DecisionWorld
-from tests.fakes.stepped_clock import FixedTime
+from tests.fakes.stepped_clock import SteppedTime
 
 
-def traffic(clock: FixedTime, seed: int, machines: int, steps: int, arrivals: int) -> DecisionWorld:
-    """Play random jobs on machines that fail in all ways, the same for the same seed."""
+def traffic(
+    clock: SteppedTime, seed: int, machines: int, steps: int, arrivals: int
+) -> DecisionWorld:
+    """Run random jobs on machines with random faults; the same seed gives the same trace."""
     draw = random.Random(seed)
-    policy = replace(QUICK, gather_after=seconds(8))
+    policy = replace(SHORT_TIMEOUTS, gather_after=seconds(8))
     objectives = (Objective("wait", "live", seconds(4)),)
     world = DecisionWorld(
         clock,
@@ -44,13 +46,13 @@
 
 
 def _submit_random_job(world: DecisionWorld, draw: random.Random) -> None:
-    """Submit a job with drawn fields."""
+    """Submit a job with random fields."""
     number = len(world.jobs) + 1
     fields: dict[str, Any] = draw.choice(
         [
             {**SERVICE, "legs": draw.choice([2, 3])},
             {**GANG, "legs": draw.choice([1, 2, 4, 8])},
-            {**LOW, "legs": draw.randrange(1, 30)},
+            {**LOW_PRIORITY, "legs": draw.randrange(1, 30)},
             {"legs": draw.randrange(1, 30), "loaners": True},
             {"legs": draw.randrange(1, 12), "rank": "high"},
             {"legs": draw.randrange(1, 6), "accelerators": 0.0, "vcpus": 6.0, "build": "cpu-1"},
@@ -75,12 +77,12 @@
 
 
 def _inject_random_faults(world: DecisionWorld, draw: random.Random) -> None:
-    """Draw what fails in one step: machines, transactions, or nothing; cancel a job at times."""
+    """Draw the faults of one step and apply them: machines, transactions, a cancelled job."""
     names = sorted(world.workers)
     if not names:
         return
     if draw.random() < 0.1:
-        world.give_notice(draw.choice(names), draw.choice([2.0, 6.0, 12.0]))
+        world.give_reclaim_notice(draw.choice(names), draw.choice([2.0, 6.0, 12.0]))
     if draw.random() < 0.08:
         world.workers[draw.choice(names)].unreachable = True
     if draw.random() < 0.15:
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -1,9 +1,9 @@
-"""A deployment in memory whose leader's decisions are written down in order.
+"""An in-memory deployment that traces the decisions of its leader in order.
 
-Everything around the real scheduler and recorder is simulated in steps of one second: workers that
-execute orders at once, a cloud that answers rentals and returns a step later, a state service that
-commits transactions a step later.  The trace holds outside forms only (ids, names and encoded
-messages), so it does not change when classes, fields or functions are renamed.
+Scheduler and record writer are real.  The rest is simulated in steps of one second: workers execute
+commands immediately, the cloud answers rentals and returns one step later, and the state service
+commits transactions one step later.  The trace holds only ids, names and encoded messages, so it
+does not change when classes, fields or functions are renamed.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     Transaction,
 )
 from micadeal.wire.workers import DirectCommands
-from tests.fakes.stepped_clock import EPOCH, STEP, FixedTime
+from tests.fakes.stepped_clock import EPOCH, STEP, SteppedTime
 from tests.fakes.stepped_state import SteppedState
 from tests.fakes.stepped_workers import SteppedFleet, SteppedWorker
 from tests.fakes.wire_forms import Wire, canonical, wire, wire_list
@@ -55,7 +55,7 @@
     "sku": "box", "vcpus": 16.0, "accelerators": 2.0, "ram_gb": 64.0, "local_gb": 70.0,
     "fetch_gb_per_s": 0.6, "hourly": 7.0, "boot_s": 8.0, "depots": list(ZONES), "low_price": 2.5,
 }  # fmt: skip
-#: Without accelerators.
+#: A machine type without accelerators.
 SLAB: Wire = {
     "sku": "slab", "vcpus": 32.0, "accelerators": 0.0, "ram_gb": 128.0, "local_gb": 70.0,
     "fetch_gb_per_s": 0.6, "hourly": 3.0, "boot_s": 6.0, "depots": list(ZONES), "low_price": 1.0,
@@ -68,18 +68,18 @@
 
 
 class SortedSet(set[str]):
-    """The order of a set of strings differs between processes; here it is that of the strings."""
+    """A set that iterates in sorted order; the order of a plain set differs between processes."""
 
     def __iter__(self) -> Iterator[str]:
         return iter(sorted(super().__iter__()))
 
 
 class DecisionWorld:
-    """One leader among simulated workers, cloud and state service; ``steps`` is its trace."""
+    """One leader with simulated workers, cloud and state service; ``steps`` is its trace."""
 
     def __init__(
         self,
-        clock: FixedTime,
+        clock: SteppedTime,
         teams: dict[str, Team],
         policy: Policy | None = None,
         objectives: tuple[Objective, ...] = (),
@@ -96,9 +96,9 @@
         self.workers = self.fleet.workers
         self.jobs = self.fleet.jobs
         self.state = SteppedState()
-        #: How many more machines the cloud has; without an entry, as many as are asked for.
+        #: Machines that the cloud has left, by offer; an offer without an entry is unlimited.
         self.capacity: dict[OfferKey, int] = {}
-        #: Machines that are reserved, and for which job.
+        #: Reserved machines, and the job that each is reserved for.
         self.reserved: dict[str, str] = {}
         self.events: list[list[Any]] = []
         self.steps: list[Wire] = []
@@ -108,24 +108,24 @@
         self._rentals: list[RentalRequest] = []
         self._returns: list[str] = []
         self.token = FIRST_TOKEN
-        self._lead(self.now - seconds(20))
+        self._begin_term(self.now - seconds(20))
 
-    def _lead(self, began: timedelta) -> None:
-        """Begin a term of a leader that knows nothing yet."""
-        self.cluster = ClusterState(self.token, WORKERS, self.teams, began)
+    def _begin_term(self, began_at: timedelta) -> None:
+        """Begin the term of a leader that has not loaded any records yet."""
+        self.cluster = ClusterState(self.token, WORKERS, self.teams, began_at)
         self.cluster.jobs_with_unwritten_results = SortedSet()
         self.cluster.pending_direct_commands = SortedSet()
         self.cluster.pending_probes = SortedSet()
         self.scheduler = Scheduler(
-            self.cluster, InstanceOffers(), self.policy, self.objectives, began
+            self.cluster, InstanceOffers(), self.policy, self.objectives, began_at
         )
-        types = [convert(MachineType, kind) for kind in (BOX, SLAB)]
+        types = [convert(MachineType, fields) for fields in (BOX, SLAB)]
         self.scheduler.set_catalog(types)
         self.record_writer = RecordWriter(self.cluster, self.limits, None, self.level)
         self.record_writer._keys.pending_deletes = SortedSet()
         self.record_loader = RecordLoader(self.scheduler, self.record_writer)
 
-    # -- what happens around the leader ----------------------------------------------------
+    # -- events outside the leader ---------------------------------------------------------
 
     @property
     def time(self) -> float:
@@ -133,19 +133,19 @@
         return self.now.total_seconds()
 
     def add_machine(self, rig: str, zone: str, spot: bool, after: float = 0.0) -> str:
-        """Add a machine that is up ``after`` seconds from now; return its name."""
+        """Add a machine that is up ``after`` seconds from now, and return its name."""
         return self.fleet.add(rig, zone, spot, self.time + after)
 
     def add_boxes(
         self, count: int, spot: bool | None = None, zones: tuple[str, ...] = ZONES
     ) -> None:
-        """Add machines in the zones in turn; every second one is spot unless said otherwise."""
+        """Add machines to the zones in turn; with ``spot`` None, every second one is spot."""
         for number in range(count):
-            wanted = number % 2 == 1 if spot is None else spot
-            self.add_machine("box", zones[number % len(zones)], wanted)
+            is_spot = number % 2 == 1 if spot is None else spot
+            self.add_machine("box", zones[number % len(zones)], is_spot)
 
     def list_machines(self) -> None:
-        """Let the leader read the cloud's list of machines."""
+        """Pass the cloud's list of machines to the leader."""
         listed = [
             convert(
                 ListedMachine,
@@ -160,14 +160,14 @@
         self.scheduler.on_list(listed, self.now)
 
     def submit(self, job_id: str, **fields: Any) -> str:
-        """Submit a job at another controller; return its id."""
+        """Submit a job through another controller; return its id."""
         self.jobs[job_id] = spec = {**SUBMISSION, "name_id": job_id, **fields}
         value = {"submission": spec, "submitted_at": EPOCH + self.time}
         self.record_loader.job_event(self.state.submit_job(job_id, value), self.now, {})
         return job_id
 
     def cancel(self, job_id: str) -> None:
-        """Cancel a job at another controller, unless it has ended."""
+        """Cancel a job through another controller, unless the job has ended."""
         spec = self.jobs[job_id]
         end = {
             "status": "cancelled", "ended_at": EPOCH + self.time, "tasks": spec["legs"],
@@ -178,32 +178,32 @@
         if event is not None:
             self.record_loader.job_event(event, self.now, {})
 
-    def give_notice(self, name: str, left: float) -> None:
-        """Let the cloud take a machine ``left`` seconds from now."""
-        self.workers[name].taken_at = self.time + left
+    def give_reclaim_notice(self, name: str, notice_s: float) -> None:
+        """Announce that the cloud reclaims a machine ``notice_s`` seconds from now."""
+        self.workers[name].reclaimed_at = self.time + notice_s
 
     def change_leader(self) -> None:
-        """Let another controller take over from what the state service holds."""
+        """Let another controller take over; it loads its records from the state service."""
         self.token += 1
         self._writes, self._rentals, self._returns = [], [], []
         self.reserved = {}
-        self._lead(self.now)
-        under = self.state.under
-        placed = read(under("placed/"), PlacedRecord)
-        named = {task.job_id for found in placed if found.record is not None
-                 for entry in found.record.machines for task in entry.tasks}  # fmt: skip
+        self._begin_term(self.now)
+        items = self.state.items_with_prefix
+        placed = read(items("placed/"), PlacedRecord)
+        placed_jobs = {task.job_id for loaded in placed if loaded.record is not None
+                       for entry in loaded.record.machines for task in entry.tasks}  # fmt: skip
         ended = {
             job_id: convert(EndRecord, self.state.items[f"end/{job_id}"].value)
-            for job_id in sorted(named)
+            for job_id in sorted(placed_jobs)
             if f"end/{job_id}" in self.state.items
         }
-        finished = read(under("done/") + under("finished/"), FinishedRecord)
+        finished = read(items("done/") + items("finished/"), FinishedRecord)
         images, draining = (
-            read(under("images/"), ImagesRecord),
-            read(under("leaving/"), ReturnedMachinesRecord),
+            read(items("images/"), ImagesRecord),
+            read(items("leaving/"), ReturnedMachinesRecord),
         )
-        loaded = StateLoaded(
-            JobListing(under("job/"), self.state.revision),
+        message = StateLoaded(
+            JobListing(items("job/"), self.state.revision),
             placed,
             images,
             draining,
@@ -213,19 +213,19 @@
             None,
             self.now,
         )
-        self.record_loader.take_over(loaded, self.now)
-        # The settings of a deployment without an operator's script are the defaults.
+        self.record_loader.take_over(message, self.now)
+        # No operator's script is stored, so taking over has set the default policy.
         self.scheduler.policy = self.policy
 
     # -- one step --------------------------------------------------------------------------
 
     def run(self, count: int) -> None:
-        """Play steps."""
+        """Simulate ``count`` steps."""
         for _ in range(count):
             self.step()
 
     def step(self) -> None:
-        """Let a second pass: answers, machines, heartbeats, a scheduling cycle, requests."""
+        """Advance by one second: answers, machines, heartbeats, a scheduling cycle, requests."""
         self.now += STEP
         self._clock.now = self.now
         self.events = []
@@ -243,12 +243,12 @@
         self._ask_cloud()
         self.steps.append({"at": self.time, "events": self.events})
 
-    def _note(self, kind: str, *details: Any) -> None:
+    def _trace(self, kind: str, *details: Any) -> None:
         """Add an event to the trace of the current step."""
         self.events.append([kind, *details])
 
     def _deliver_answers(self) -> None:
-        """Deliver what the state service and the cloud answer to requests of the step before."""
+        """Deliver the answers of state service and cloud to requests of the previous step."""
         writes, self._writes = self._writes, []
         for number, changes, transaction in writes:
             self._commit(number, changes, transaction)
@@ -262,15 +262,15 @@
             self.scheduler.released(returns, self.now)
 
     def _run_cycle(self) -> None:
-        """Run a scheduling cycle and note what it decides."""
+        """Run a scheduling cycle and trace its decisions."""
         self.scheduler.run_cycle(self.now)
         plan = self.scheduler.plan
         for preemptor, victim in plan.kills:
             machines = sorted({entry[0] for entry in victim.freed})
-            self._note("killed", preemptor, victim.job_id, victim.index, machines)
+            self._trace("killed", preemptor, victim.job_id, victim.index, machines)
         for task in plan.placed:
             job_id, index, number = wire_list(task)
-            self._note("placed", f"{job_id}/{index}", number, self._machine_of(job_id, index))
+            self._trace("placed", f"{job_id}/{index}", number, self._machine_of(job_id, index))
         reserved = {
             machine.name: machine.reserved_for
             for machine in self.cluster.machines.values()
@@ -278,7 +278,7 @@
         }
         if reserved != self.reserved:
             self.reserved = reserved
-            self._note("kept", sorted(reserved.items()))
+            self._trace("kept", sorted(reserved.items()))
 
     def _machine_of(self, job_id: str, index: int) -> str | None:
         job = self.cluster.jobs.get(job_id)
@@ -291,10 +291,10 @@
         transaction = Transaction(list(changes.conditions), list(changes.operations))
         self.transactions += 1
         self._writes.append((self.transactions, changes, transaction))
-        self._note("written", canonical(wire(transaction)))
+        self._trace("written", canonical(wire(transaction)))
 
     def _commit(self, number: int, changes: WriteBatch, transaction: Transaction) -> None:
-        """Let the state service decide a transaction, and the leader learn of it."""
+        """Commit a transaction at the state service and inform the leader of the result."""
         sent = wire(transaction)
         if self.state.commit(number, sent):
             self.record_writer.committed(changes, self.state.revision, self.now)
@@ -303,58 +303,58 @@
         self.record_writer.failed(changes, stored, self.now)
 
     def _read_ends(self) -> None:
-        """Read the ends of jobs on which others wait."""
+        """Read the ends of jobs that other jobs wait for."""
         for name in self.cluster.dependencies.ends_to_read(self.now):
-            found = self.state.items.get(f"end/{name}")
-            if found is None:
+            item = self.state.items.get(f"end/{name}")
+            if item is None:
                 self.cluster.dependencies.end_not_found(name, self.now)
             else:
-                self.cluster.job_ended(name, convert(EndRecord, found.value), self.now)
+                self.cluster.job_ended(name, convert(EndRecord, item.value), self.now)
 
     # -- cloud -----------------------------------------------------------------------------
 
     def _ask_cloud(self) -> None:
-        """Send new requests for rentals and returns; answers come in the next step."""
+        """Send new requests for rentals and returns; they are answered in the next step."""
         for request in self.scheduler.rentals.values():
             if request not in self._rentals:
                 self._rentals.append(request)
-                self._note("rented", wire(request))
+                self._trace("rented", wire(request))
         if self.scheduler.releases and not self._returns:
             self._returns = sorted(self.scheduler.releases)[:100]
-            self._note("returned", self._returns)
+            self._trace("returned", self._returns)
 
     def _rent(self, request: RentalRequest) -> None:
-        """Rent as many machines as are left, or refuse."""
-        asked = wire(request)
-        offer = (asked["rig"], asked["depot"], asked["loaners"])
-        left = self.capacity.get(offer, asked["how_many"])
-        granted = min(left, asked["how_many"])
+        """Grant the machines that are left, or refuse if there are none."""
+        fields = wire(request)
+        offer = (fields["rig"], fields["depot"], fields["loaners"])
+        left = self.capacity.get(offer, fields["how_many"])
+        granted = min(left, fields["how_many"])
         if offer in self.capacity:
             self.capacity[offer] = left - granted
         if not granted:
             self.scheduler.rental_refused(request, self.now)
             return
-        boot_s = (BOX if asked["rig"] == "box" else SLAB)["boot_s"]
+        boot_s = (BOX if fields["rig"] == "box" else SLAB)["boot_s"]
         names = [self.add_machine(*offer, after=boot_s + i % 3) for i in range(granted)]
         self.scheduler.rented(request, names, self.now)
 
     # -- workers ---------------------------------------------------------------------------
 
     def _send_heartbeat(self, worker: SteppedWorker) -> None:
-        """Let the leader answer a worker's heartbeat, and the worker execute the answer."""
+        """Send a worker's heartbeat to the leader and execute the commands of the response."""
         if worker.unreachable or self.time < worker.up_at:
             return
         heartbeat = worker.heartbeat(self.time)
         commands = self.scheduler.on_heartbeat(heartbeat, self.now, is_heartbeat=True, full=True)
         if commands:
-            self._note("ordered", worker.name, [wire(order) for order in commands])
+            self._trace("ordered", worker.name, [wire(command) for command in commands])
         if commands is None or worker.receives_nothing:
             return
-        worker.token, worker.renewed = self.token, self.time
+        worker.token, worker.lease_renewed_at = self.token, self.time
         self.fleet.execute(worker, commands, self.time)
 
     def _send_direct_commands(self) -> None:
-        """Command and probe machines without waiting for their heartbeats."""
+        """Send pending direct commands and probes without waiting for heartbeats."""
         for pending in (self.cluster.pending_direct_commands, self.cluster.pending_probes):
             for name in list(pending):
                 pending.discard(name)
@@ -368,7 +368,7 @@
             machine.incarnation,
             worker_commands.stop_commands_for(self.cluster, machine),
         )
-        self._note("commanded", name, wire(message))
+        self._trace("commanded", name, wire(message))
         machine.reachability.last_probe_at = self.now
         worker = self.workers.get(name)
         if worker is None or not worker.can_be_commanded(self.time):
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -12,7 +12,7 @@
 from micadeal.rollout.feature_level import Build
 from tests.fakes import cloud as cloud_fake
 from tests.fakes import state as state_fake
-from tests.fakes.cloud import FakeCloud, Rented
+from tests.fakes.cloud import FakeCloud, RentedMachine
 from tests.fakes.deployment_settings import CHANGES_PER_S, LEASE_S, TEAMS, ZONES, settings
 from tests.fakes.network import FakeNetwork, HostNetwork, HostProcess
 from tests.fakes.previous_versions import EarlierNetwork, EarlierNode, UnlevelledNetwork
@@ -82,7 +82,7 @@
             await self.cloud.step()
             self.rules.check_running_tasks()
 
-    async def _boot(self, machine: Rented) -> None:
+    async def _boot(self, machine: RentedMachine) -> None:
         worker = FakeWorker(self.fleet, machine.name, machine.address, machine.zone, machine.spot)
         self.fleet.workers[machine.name] = worker
         await curio.spawn(worker.run, daemon=True)
--- a/tests/fakes/stepped_clock.py
+++ b/tests/fakes/stepped_clock.py
@@ -1,4 +1,4 @@
-"""The time of a simulation in steps."""
+"""The clock of a simulation that runs in steps."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from micadeal.clock import seconds
 
-#: Time of day at the start of the steady clock.
+#: Time of day when the monotonic clock is zero, in seconds.
 EPOCH = 1_700_000_000.0
 STEP = seconds(1)
 
 
-class FixedTime:
-    """Stands for the module ``time``: the time of day follows the steps."""
+class SteppedTime:
+    """Replaces the module ``time``; the time of day follows the steps."""
 
     def __init__(self) -> None:
         self.now: timedelta = seconds(100)
@@ -22,5 +22,5 @@
         return EPOCH + self.now.total_seconds()
 
     def monotonic(self) -> float:
-        """Fail: decisions are made at a time that is passed to them."""
-        raise AssertionError("decisions are passed the time")
+        """Fail: decisions must use the time that is passed to them."""
+        raise AssertionError("decisions must not read the monotonic clock")
--- a/tests/fakes/stepped_state.py
+++ b/tests/fakes/stepped_state.py
@@ -1,4 +1,4 @@
-"""A state service for simulations in steps: keys, conditions and transactions."""
+"""A state service for simulations that run in steps: keys, conditions and transactions."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 
 class SteppedState:
-    """Items by key; the revision grows with each change."""
+    """Stores items by key; each change increments the revision."""
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
         self.revision = 1000
-        #: What becomes of transactions, by their number: "unanswered", "never"; else applied.
+        #: Faults by the number of the transaction.  "unanswered": it is applied, and the answer is
+        #: lost.  "never": it is not applied.  Any other transaction is applied and answered.
         self.outcomes: dict[int, str] = {}
 
     def submit_job(self, job_id: str, value: Wire) -> Event:
@@ -26,7 +27,7 @@
         return convert(Event, {"put": key, "data": value, "version": 0, "stamp": self.revision})
 
     def cancel_job(self, job_id: str, end: Wire) -> Event | None:
-        """Replace a job by its end; return the event, None if the job has ended before."""
+        """Replace a job by its end record; return the event, None if the job had ended."""
         if self.items.pop(f"job/{job_id}", None) is None:
             return None
         self.revision += 1
@@ -34,7 +35,7 @@
         return convert(Event, {"drop": f"job/{job_id}", "stamp": self.revision})
 
     def commit(self, number: int, transaction: Wire) -> bool:
-        """Apply a transaction if its conditions hold; return whether the writer learns of it."""
+        """Apply a transaction if its conditions hold; return whether the writer is informed."""
         outcome = self.outcomes.get(number, "applied")
         conditions = transaction["if"]
         versions = {key: item.version for key, item in self.items.items()}
@@ -51,10 +52,10 @@
         return applied and outcome == "applied"
 
     def read(self, keys: Iterable[str]) -> dict[str, Item | None]:
-        """Return what is stored under keys."""
+        """Return the items stored under the keys."""
         return {key: self.items.get(key) for key in keys}
 
-    def under(self, prefix: str) -> list[Item]:
-        """Return the items whose keys start with a prefix, sorted by key."""
+    def items_with_prefix(self, prefix: str) -> list[Item]:
+        """Return the items whose keys start with the prefix, sorted by key."""
         items = sorted(self.items.values(), key=lambda item: item.key)
         return [item for item in items if item.key.startswith(prefix)]
--- a/tests/fakes/stepped_workers.py
+++ b/tests/fakes/stepped_workers.py
@@ -1,4 +1,4 @@
-"""Workers that execute commands at once and whose tasks advance in steps of one second."""
+"""Workers that execute commands immediately and advance their tasks in steps of one second."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from micadeal.wire.workers import Command, Heartbeat
 from tests.fakes.wire_forms import Wire, wire
 
-#: How long an image is fetched.
+#: Duration of an image pull.
 PULL_S = 1.0
 
 
 @dataclass
 class WorkerTask:
-    """An attempt that a worker holds; times are seconds on the monotonic clock."""
+    """An attempt on a worker.  Times are in seconds on the monotonic clock."""
 
     job_id: str
     attempt: int
-    since: float
-    #: State and cause of exit, as the protocol spells them.
+    started_at: float
+    #: State and cause of the exit, with the values of the protocol.
     state: str = "pulling"
     why: str | None = None
     saved: bool = False
-    #: When it ends, or when its checkpoint is saved.
+    #: When the attempt ends, or when its checkpoint is saved.
     until: float = 0.0
 
     def exit(self, why: str) -> None:
@@ -44,72 +44,76 @@
     incarnation: int = 1
     sequence: int = 0
     token: int = 0
-    renewed: float = 0.0
+    lease_renewed_at: float = 0.0
     tasks: dict[tuple[str, int], WorkerTask] = field(default_factory=dict)
-    #: The cloud takes it then.
-    taken_at: float | None = None
-    #: Neither sends nor receives.
+    #: When the cloud reclaims the machine; None if no notice was given.
+    reclaimed_at: float | None = None
+    #: The machine neither sends nor receives.
     unreachable: bool = False
-    #: Sends and does not receive.
+    #: The machine sends heartbeats but receives nothing.
     receives_nothing: bool = False
-    #: Every task fails on it.
+    #: Every task fails on this machine.
     faulty: bool = False
 
     def heartbeat(self, now: float) -> Heartbeat:
         """Return the next heartbeat."""
         self.sequence += 1
         tasks: list[Wire] = []
-        for (task, attempt), held in self.tasks.items():
-            shown: Wire = {"leg": task, "try": attempt, "status": held.state}
-            if held.why is not None:
-                shown |= {"cause": held.why, "saved": held.saved}
-            tasks.append(shown)
+        for (task, number), attempt in self.tasks.items():
+            status: Wire = {"leg": task, "try": number, "status": attempt.state}
+            if attempt.why is not None:
+                status |= {"cause": attempt.why, "saved": attempt.saved}
+            tasks.append(status)
         return convert(
             Heartbeat,
             {
                 "host": self.name, "addr": self.address, "rig": self.rig, "depot": self.zone,
                 "loaners": self.spot, "shift": self.incarnation, "tick": self.sequence,
                 "baton": self.token, "legs": tasks,
-                "recall_s": None if self.taken_at is None else max(self.taken_at - now, 0.0),
+                "recall_s": None
+                if self.reclaimed_at is None
+                else max(self.reclaimed_at - now, 0.0),
             },
         )  # fmt: skip
 
     def expire_lease(self, now: float, lease_s: float) -> None:
-        """Drop all tasks if no response has arrived for the time of a lease."""
-        if now - self.renewed > lease_s and self.token:
+        """Drop all tasks if no response has arrived for the duration of a lease."""
+        if now - self.lease_renewed_at > lease_s and self.token:
             self.tasks.clear()
             self.incarnation += 1
-            self.renewed = now
+            self.lease_renewed_at = now
 
     def can_be_commanded(self, now: float) -> bool:
-        """Return whether direct commands reach it."""
+        """Return whether direct commands reach the worker."""
         return not (self.unreachable or self.receives_nothing or now < self.up_at)
 
 
 class SteppedFleet:
-    """All workers, and the jobs whose tasks they run."""
+    """All workers, and the descriptions of the jobs that they run."""
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s
         self.workers: dict[str, SteppedWorker] = {}
-        #: Submissions by the job's id, as users send them.
+        #: Submissions in the format of the user API, by job id.
         self.jobs: dict[str, Wire] = {}
-        #: Jobs whose tasks all fail.
+        #: Ids of the jobs whose tasks all fail.
         self.failing_jobs: set[str] = set()
-        self._machines_made = 0
+        self._machines_added = 0
 
     def add(self, rig: str, zone: str, spot: bool, up_at: float) -> str:
-        """Add a machine that is up from a time on; return its name."""
-        self._machines_made += 1
-        number = self._machines_made
+        """Add a machine that is up from ``up_at`` on, and return its name."""
+        self._machines_added += 1
+        number = self._machines_added
         name, address = f"i-{number:04d}", f"10.1.{number >> 8}.{number & 255}:9000"
-        self.workers[name] = SteppedWorker(name, address, rig, zone, spot, up_at, renewed=up_at)
+        self.workers[name] = SteppedWorker(
+            name, address, rig, zone, spot, up_at, lease_renewed_at=up_at
+        )
         return name
 
     def step(self, now: float) -> None:
-        """Let all machines and their tasks advance."""
+        """Advance all machines and their tasks to ``now``."""
         for worker in list(self.workers.values()):
-            if worker.taken_at is not None and now >= worker.taken_at:
+            if worker.reclaimed_at is not None and now >= worker.reclaimed_at:
                 del self.workers[worker.name]
                 continue
             worker.expire_lease(now, self._lease_s)
@@ -118,7 +122,7 @@
 
     def _advance(self, worker: SteppedWorker, attempt: WorkerTask, now: float) -> None:
         spec = self.jobs[attempt.job_id]
-        if attempt.state == "pulling" and now - attempt.since >= PULL_S:
+        if attempt.state == "pulling" and now - attempt.started_at >= PULL_S:
             if worker.faulty or attempt.job_id in self.failing_jobs:
                 attempt.exit("error")
             else:
@@ -134,7 +138,7 @@
             attempt.saved = True
 
     def _gang_is_complete(self, attempt: WorkerTask) -> bool:
-        """Return whether all tasks of a gang's attempt are on machines."""
+        """Return whether all tasks of a gang's attempt wait or run on machines."""
         members = [
             other
             for worker in self.workers.values()
@@ -146,27 +150,27 @@
         return bool(len(members) == self.jobs[attempt.job_id]["legs"])
 
     def execute(self, worker: SteppedWorker, commands: list[Command], now: float) -> None:
-        """Let a worker execute commands of the leader."""
+        """Execute commands of the leader on a worker."""
         for command in map(wire, commands):
             key = (command["leg"], command["try"])
-            held = worker.tasks.get(key)
+            attempt = worker.tasks.get(key)
             if command["verb"] == "run":
-                if held is None:
+                if attempt is None:
                     job_id = command["leg"].rpartition("/")[0]
                     worker.tasks[key] = WorkerTask(job_id, command["try"], now)
-            elif held is None:
+            elif attempt is None:
                 continue
             elif command["verb"] == "reap":
-                if held.state == "exited":
+                if attempt.state == "exited":
                     del worker.tasks[key]
-            elif held.state != "exited":
-                self._stop(held, command.get("wind_down_s") or 0.0, now)
+            elif attempt.state != "exited":
+                self._stop(attempt, command.get("wind_down_s") or 0.0, now)
 
     def _stop(self, attempt: WorkerTask, grace_s: float, now: float) -> None:
-        """Stop an attempt, after a checkpoint if there is time for it."""
+        """Stop an attempt, after saving a checkpoint if the grace period allows it."""
         spec = self.jobs[attempt.job_id]
-        saves = spec["bookmark_s"] > 0 and grace_s >= spec["stow_s"]
-        if attempt.state == "running" and saves:
+        can_save = spec["bookmark_s"] > 0 and grace_s >= spec["stow_s"]
+        if attempt.state == "running" and can_save:
             attempt.state, attempt.until = "flushing", now + spec["stow_s"]
         elif attempt.state != "flushing" or grace_s == 0:
             attempt.exit("halted")
--- a/tests/fakes/submissions.py
+++ b/tests/fakes/submissions.py
@@ -7,16 +7,16 @@
 
 from micadeal.wire.users import Priority, Shape, Submission
 
-#: A value that a state service with ``ANNOUNCED_STATE_LIMITS`` takes, in bytes.
+#: Largest value that a state service with ``ANNOUNCED_STATE_LIMITS`` accepts, in bytes.
 SMALL_VALUE_BYTES = 2048
-#: Names of machine types that hardly compress: more than such a value holds.
+#: Machine types whose names hardly compress; together they exceed ``SMALL_VALUE_BYTES``.
 MANY_MACHINE_TYPES = [sha256(str(number).encode()).hexdigest() for number in range(90)]
-#: Fields, as users spell them, with which a job's description is stored in parts there.
+#: Fields of a submission that is stored in parts because of ``SMALL_VALUE_BYTES``.
 STORED_IN_PARTS: dict[str, Any] = {"rigs": ["box", *MANY_MACHINE_TYPES]}
 
 
 def spec(**fields: object) -> Submission:
-    """Return the description of a small job, with the given fields changed."""
+    """Return the description of a small job, with the given fields replaced."""
     values: dict[str, object] = {
         "job_id": "req-1", "job_class": "c", "team": "red", "shape": Shape.ARRAY,
         "priority": Priority.STANDARD, "tasks": 1, "cpus": 2.0, "gpus": 1.0, "memory_gb": 4.0,
--- a/tests/fakes/user_answers.py
+++ b/tests/fakes/user_answers.py
@@ -1,4 +1,4 @@
-"""What users were answered about their jobs, and the rule for the order of answers."""
+"""Records the answers to users, and checks that answers about a job do not contradict."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 from tests.fakes.kernel import now_s
 
-#: How far a job has come by an answer: no later question gets one that is less.
+#: Progress of a job by the status answered; no later question may get a lower one.
 STAGES = {"pending": 1, "running": 1, "done": 2, "cancelled": 2}
 FINAL = ("done", "cancelled")
 
 
 @dataclass
 class UserAnswers:
-    """What users were answered last, and when a cancellation was confirmed to them."""
+    """The latest answers to users, and the times of their cancellation confirmations."""
 
     accepted: set[str] = field(default_factory=set)
-    #: The newest answer about each job, and when it arrived.
+    #: The newest status answered for each job, and when that stage was first answered.
     latest: dict[str, str] = field(default_factory=dict)
     latest_at: dict[str, float] = field(default_factory=dict)
-    #: Answers to questions that were put before a newer answer arrived, and came after it: the job,
-    #: and how much later.
+    #: Answers that arrived after a newer one, to questions that were asked before the newer answer
+    #: arrived: the job, and the delay in seconds.
     overtaken: list[tuple[str, float]] = field(default_factory=list)
-    #: Answers that were checked for their order.
+    #: Number of answers checked.
     count: int = 0
     cancel_confirmed_at: dict[str, float] = field(default_factory=dict)
-    #: Jobs whose users have asked to cancel them, whatever they were answered.
+    #: Jobs whose users have requested a cancellation, regardless of the answer.
     cancel_requested: set[str] = field(default_factory=set)
 
     def record(self, job_id: str, before: str | None, status: str) -> str | None:
-        """Record an answer that has arrived; return the violation if it contradicts earlier ones.
+        """Record an answer; return a violation if the answer contradicts an earlier one.
 
-        ``before`` was the newest answer when the question was put.
+        ``before`` was the newest answer when the question was asked.
         """
         self.count += 1
         now, newest = now_s(), self.latest.get(job_id)
--- a/tests/fakes/wire_forms.py
+++ b/tests/fakes/wire_forms.py
@@ -1,4 +1,4 @@
-"""Messages in their outside form, as a trace of decisions shows them."""
+"""Messages in their encoded form, as the traces of decisions show them."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 def wire(message: Any) -> Any:
-    """Return a message as others read it."""
+    """Return the fields of a message as its receiver decodes them."""
     return decode(dict, encode(message))
 
 
 def wire_list(message: Any) -> list[Any]:
-    """Return a message that is encoded as a list, as others read it."""
+    """Return the values of a message that is encoded as a list, as its receiver decodes them."""
     return decode(list, encode(message))
 
 
 def canonical(transaction: Wire) -> Wire:
-    """Sort what is merged into one record of placements: it comes from sets without an order.
+    """Sort the merged placement records of a transaction, whose entries come from unordered sets.
 
-    Such a transaction also ends the records that are merged, by a drop or by emptying them.
+    A transaction that merges records also drops or empties the records that it merges.
     """
     changes = transaction["then"]
     records = [c["data"]["machines"] for c in changes if c.get("put", "").startswith("placed/")]
