--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment in memory: controllers, machines, the cloud, the state service, a network."""
+"""An in-memory deployment: controllers, machines, the cloud, the state service and a network."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 from tests.fakes.cloud import FakeCloud, RentedMachine
 from tests.fakes.deployment_settings import CHANGES_PER_S, LEASE_S, TEAMS, ZONES, settings
 from tests.fakes.network import FakeNetwork, HostNetwork, HostProcess
-from tests.fakes.previous_versions import EarlierNetwork, EarlierNode, UnlevelledNetwork
+from tests.fakes.previous_versions import (
+    ControllerBeforeLevels,
+    NetworkBeforeDependencies,
+    NetworkBeforeLevels,
+)
 from tests.fakes.protocol_rules import ProtocolRules
 from tests.fakes.state import FakeState
 from tests.fakes.user_answers import UserAnswers
@@ -23,12 +27,12 @@
 
 CONTROLLER_ADDRESSES = {f"c{number}": f"10.0.0.{number + 1}:8080" for number in range(3)}
 HEARTBEAT_INTERVAL_S = 2.0
-#: How long a task of a gang waits for the others, and how often it asks for them.
+#: How long a task of a gang waits for the others, and how often it polls for them.
 GANG_WAIT_S, GANG_PEER_S = 50.0, 6.0
 
 
 class Deployment:
-    """Three controllers and the services around them; faults are injected from outside."""
+    """Three controllers and the services that they use; tests inject the faults."""
 
     fleet_type = Fleet
 
@@ -41,10 +45,11 @@
         changes_per_s: float | None = None,
         **cloud: Any,
     ) -> None:
-        """Prepare a deployment; nothing runs yet.
+        """Prepare a deployment without starting anything.
 
-        ``changes_per_s``: what the state service takes; None: the ordinary, and it counts none.
-        ``announced``: limits that the state service announces.  ``cloud``: see ``FakeCloud``.
+        ``changes_per_s`` is the write rate that the state service enforces.  With None it enforces
+        no rate, and controllers keep to ``CHANGES_PER_S``.  ``announced`` holds the limits that the
+        state service announces, as TOML.  ``cloud`` is passed on to ``FakeCloud``.
         """
         self.renew_leases_as_follower = renew_leases_as_follower
         self.network = FakeNetwork(seed)
@@ -70,11 +75,11 @@
     # -- services and machines -------------------------------------------------------------
 
     async def start_services(self) -> None:
-        """Start the state service and the cloud; check the rules from now on."""
+        """Start the state service and the cloud, and the periodic check of the rules."""
         self.network.serve(state_fake.HOST, state_fake.ADDRESS, self.state.handle)
         self.network.serve(cloud_fake.HOST, cloud_fake.ADDRESS, self.cloud.handle)
-        for work in (self.state.run, self._run_cloud_and_checks):
-            await curio.spawn(work, daemon=True)
+        for main in (self.state.run, self._run_cloud_and_checks):
+            await curio.spawn(main, daemon=True)
 
     async def _run_cloud_and_checks(self) -> None:
         while True:
@@ -96,11 +101,11 @@
         self.rules.on_task_event(event, worker, attempt)
 
     def tasks_on_machines(self, job_id: str | None = None) -> list[tuple[FakeWorker, TaskAttempt]]:
-        """Return the attempts, of one job or of all, that have their image and did not exit."""
+        """Return the attempts of one job, or of all, that have their image and have not exited."""
         return self.fleet.tasks_on_machines(job_id)
 
     def running(self, job_id: str) -> int:
-        """Return how many tasks of a job run."""
+        """Return the number of running tasks of a job."""
         attempts = [attempt for _, attempt in self.tasks_on_machines(job_id)]
         return sum(1 for attempt in attempts if attempt.state == "running")
 
@@ -116,9 +121,9 @@
     ) -> None:
         """Start a controller.
 
-        ``earlier``: it knows no more than the version in production before pipelines;
-        ``before_levels``: than the last one before levels; ``build``: which levels it knows;
-        ``removed``: a controller that its settings do not name.
+        ``earlier``: it behaves like the last version before dependent jobs.  ``before_levels``: it
+        behaves like the last version before feature levels.  ``build``: the levels that it knows.
+        ``removed``: a controller that its settings do not list.
         """
         name = f"c{number}"
         process = self._processes[name] = HostProcess()
@@ -126,10 +131,10 @@
         platform = parse(settings(number, self.teams, self.announced, removed, changes))
         node: Controller
         if earlier or before_levels:
-            kind = EarlierNetwork if earlier else UnlevelledNetwork
-            network = kind(self.network, name, process)
+            network_type = NetworkBeforeDependencies if earlier else NetworkBeforeLevels
+            network = network_type(self.network, name, process)
             options = Options(renew_leases_as_follower=before_levels)
-            node = EarlierNode(platform, network, options, renews_leases=before_levels)
+            node = ControllerBeforeLevels(platform, network, options, renews_leases=before_levels)
         else:
             host = HostNetwork(self.network, name, process)
             options = Options(renew_leases_as_follower=self.renew_leases_as_follower)
@@ -138,37 +143,37 @@
         await curio.spawn(node.run, daemon=True)
 
     def crash(self, number: int) -> None:
-        """End a controller's process at once; what is left of it reaches nobody."""
-        self._processes[f"c{number}"].on = False
+        """End a controller's process immediately; its pending requests reach no other host."""
+        self._processes[f"c{number}"].running = False
         self.network.close(f"c{number}")
 
     def is_up(self, number: int) -> bool:
-        """Return whether a controller's process runs."""
-        return self._processes[f"c{number}"].on
+        """Return whether a controller's process is running."""
+        return self._processes[f"c{number}"].running
 
     async def start_missing(self) -> None:
-        """Start all controllers that do not run."""
+        """Start all controllers that are not running."""
         for number in range(len(CONTROLLER_ADDRESSES)):
             if not self.is_up(number):
                 await self.start(number)
 
-    # -- leadership, as recorded by the state service --------------------------------------
+    # -- leadership, as stored in the state service ----------------------------------------
 
     def leader(self) -> int | None:
-        """Return the number of the controller that leads, as recorded."""
-        entry = self._lock_holder()
-        return None if entry is None else int(entry[0]["controller"][1:])
+        """Return the number of the recorded leader, or None."""
+        lock = self._leader_lock()
+        return None if lock is None else int(lock[0]["controller"][1:])
 
     def term(self) -> int:
-        """Return another number for each election won; 0: nobody leads."""
-        entry = self._lock_holder()
-        return 0 if entry is None else entry[1]
+        """Return a number that is unique to the current term, or 0 without a leader."""
+        lock = self._leader_lock()
+        return 0 if lock is None else lock[1]
 
     def level(self) -> int:
-        """Return the feature level in force, as recorded."""
+        """Return the recorded feature level."""
         entry = self.state.keys.get("seat/level")
         return 0 if entry is None else int(entry[0]["level"])
 
-    def _lock_holder(self) -> tuple[Any, int, int | None] | None:
-        """Return the record of the leader and its revision."""
+    def _leader_lock(self) -> tuple[Any, int, int | None] | None:
+        """Return the leader lock: value, version and lease, or None if no leader holds it."""
         return self.state.keys.get("seat/held" if self.level() else "leader")
--- a/tests/fakes/deployment_settings.py
+++ b/tests/fakes/deployment_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a deployment in memory: three controllers in three zones, and two teams."""
+"""Settings of an in-memory deployment: three controllers in three zones, and two teams."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 from tests.fakes import state as state_fake
 
 ZONES = ["north", "south", "west"]
-#: How long a worker may run tasks without a response to its heartbeats.
+#: How long a worker keeps its tasks running without a response to its heartbeats.
 LEASE_S = 14.0
-#: Within this time of a confirmed cancellation the last task of the job is gone.
+#: The last task of a job ends within this time of its cancellation confirmation.
 CANCEL_S = 34.0
-#: Until every controller has heard of the others for long enough to renew leases as a follower.
+#: After this time every controller has been in contact with its peers for long enough to renew
+#: leases as a follower.
 FOLLOWERS_RENEW_AFTER_S = CANCEL_S + 4
-#: Changes that the state service takes a second, ordinarily.
+#: Default limit of the state service: changes per second.
 CHANGES_PER_S = 50.0
-#: What the state service announces that it will take.
+#: Limits that the state service announces for the future, lower than the current ones.
 ANNOUNCED_STATE_LIMITS = """[cluster.state.next]
 write_rps = 18.0
 value_kb = 2.0
@@ -31,8 +32,8 @@
 ) -> str:
     """Return the settings file of controller ``number``.
 
-    ``teams`` and ``announced`` are parts of the file; ``removed`` is a controller that was taken
-    off the list of seeds, ``changes`` the state service's limit of writes a second.
+    ``teams`` and ``announced`` are sections of the file.  ``removed`` is a controller that is
+    missing from the list of seeds.  ``changes`` is the state service's limit of writes per second.
     """
     seeds = "".join(
         f'[[seeds]]\nmember = "c{i}"\ndomain = "{ZONES[i]}"\nendpoint = "10.0.0.{i + 1}:8081"\n'
--- a/tests/fakes/fault_histories.py
+++ b/tests/fakes/fault_histories.py
@@ -1,7 +1,7 @@
-"""Seeded histories: faults that meet at random instants, over a deployment in memory.
+"""Seeded histories: faults that coincide at random times in an in-memory deployment.
 
-The same seed plays the same history.  The world checks the protocol's rules; at the end all that
-was accepted and not cancelled has to run to its end, and no answer is missing.
+The same seed gives the same history.  The world checks the rules of the protocol.  At the end each
+accepted job has to run to its end, or its cancellation has to be confirmed.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 from tests.fakes.submissions import SMALL_VALUE_BYTES, STORED_IN_PARTS
 from tests.fakes.world import CONTROLLERS, World
 
-#: Faults of a history begin within this time, in seconds.
+#: The faults of a history begin within this time.
 FAULT_WINDOW_S = 12.0
-#: The faults of a history are over in this time.
+#: The faults of a history end within this time.
 FAULTS_TIMEOUT_S = 120.0
-#: What is left when all faults are over has to be done within this time.
+#: Each remaining job has to finish within this time after all faults.
 RECOVERY_TIMEOUT_S = 240.0
-#: Jobs and cancellations of users in one history, so that all can be done in time.
+#: Limits per history, so that all jobs can finish in time.
 MAX_JOBS = 14
 MAX_CANCELLATIONS = 7
 
-#: Characters of the digest of a request's body in the events.
+#: Length of the digest of a request's body in the events, in characters.
 EVENT_DIGEST_LENGTH = 12
 
-#: Kinds of faults by name.  Seeds draw from the sorted names: a renamed one changes histories.
+#: Faults by name.  Seeds draw from the sorted names, so renaming a fault changes the histories.
 FAULTS: dict[str, Fault] = {
     "leader refused": state_service.leader_refused_by_state,
     "outage": state_service.outage,
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True)
 class ScheduledFault:
-    """One fault of a history, and when it starts, in seconds."""
+    """One fault of a history; ``at`` is its start in seconds after the quiet phase."""
 
     at: float
-    kind: str
+    name: str
 
 
 class History(FaultContext):
-    """One seeded history; ``play`` runs it in a world of its own."""
+    """One seeded history; ``play`` runs it in a new world."""
 
     def __init__(
         self,
@@ -87,16 +87,17 @@
         world_type: Callable[..., World] = World,
         split_jobs: bool = False,
     ) -> None:
-        """Draw a history; ``kinds``: its faults; none: two or three of ``catalogue`` are drawn.
+        """Draw a history.
 
-        ``split_jobs``: descriptions of jobs are stored in parts, since values must be small.
+        ``kinds`` are the names of its faults; if empty, two or three are drawn from ``catalogue``.
+        ``split_jobs``: job descriptions exceed the size limit of values and are stored in parts.
         """
         self.seed = seed
         self._catalogue = catalogue
         draw = random.Random(seed)
-        drawn = list(kinds) or draw.sample(sorted(catalogue), draw.choice([2, 2, 3]))
-        self.faults = [ScheduledFault(draw.uniform(0, FAULT_WINDOW_S), kind) for kind in drawn]
-        # Some deployments have it switched off.
+        names = list(kinds) or draw.sample(sorted(catalogue), draw.choice([2, 2, 3]))
+        self.faults = [ScheduledFault(draw.uniform(0, FAULT_WINDOW_S), name) for name in names]
+        # Deployments may disable the option.
         renew_leases_as_follower = draw.random() < 0.8
         announced = ANNOUNCED_STATE_LIMITS if split_jobs else ""
         world = world_type(
@@ -110,19 +111,19 @@
             world.state.value_bytes = SMALL_VALUE_BYTES
         super().__init__(world, draw)
         self._faults_in_progress = 0
-        #: How long nothing fails at first.
+        #: Duration of the phase without faults at the start.
         self.quiet_s = FOLLOWERS_RENEW_AFTER_S
-        #: Every request that was sent, a line each: when, by whom, where to, and what.
+        #: One line per request sent: time, source, address, method, target and digest of the body.
         self.events: list[str] = []
-        world.network.on_sent = self._note_request
+        world.network.on_sent = self._record_request
 
     def line(self) -> str:
         """Describe the history in one line."""
-        faults = ", ".join(f"{t.kind} at {t.at:.1f}" for t in sorted(self.faults, key=_start_time))
-        switched = "" if self.world.renew_leases_as_follower else ", followers renew no leases"
-        return f"seed {self.seed}: {faults}{switched}"
+        faults = ", ".join(f"{f.name} at {f.at:.1f}" for f in sorted(self.faults, key=_start_time))
+        renewal = "" if self.world.renew_leases_as_follower else ", followers renew no leases"
+        return f"seed {self.seed}: {faults}{renewal}"
 
-    def _note_request(self, source: str, address: str, request: Request) -> None:
+    def _record_request(self, source: str, address: str, request: Request) -> None:
         body = hashlib.sha256(request.body).hexdigest()[:EVENT_DIGEST_LENGTH]
         target = f"{request.path}?{request.query}" if request.query else request.path
         self.events.append(
@@ -130,13 +131,13 @@
         )
 
     def play(self) -> list[str]:
-        """Run the history; return the rules that it broke."""
+        """Run the history; return the violations, each starting with the name of its rule."""
         with pytest.MonkeyPatch.context() as patch:
             try:
                 self.world.play(patch, self._scenario)
-            except AssertionError as problem:
+            except AssertionError as failure:
                 violations = list(dict.fromkeys(self.world.rules.violations))
-                return violations or [str(problem).split("\n")[0]]
+                return violations or [str(failure).split("\n")[0]]
         return []
 
     async def _scenario(self, world: World) -> None:
@@ -161,12 +162,12 @@
         self._faults_in_progress += 1
         try:
             await curio.sleep(fault.at)
-            await self._catalogue[fault.kind](self)
+            await self._catalogue[fault.name](self)
         finally:
             self._faults_in_progress -= 1
 
     async def _heal(self) -> None:
-        """End all faults and start what does not run."""
+        """End all faults and start all controllers that are down."""
         self.world.state.outage = False
         await self.world.network.heal_all()
         for worker in self.world.fleet.workers.values():
@@ -176,12 +177,12 @@
     # -- users -----------------------------------------------------------------------------
 
     async def _act_as_users(self) -> None:
-        """Submit, poll and cancel, each time at some controller."""
+        """Submit, poll and cancel jobs, each time at a random controller."""
         while True:
             await curio.sleep(self.random.uniform(0.3, 1.5))
             chance = self.random.random()
             if chance < 0.2 and len(self.jobs) < MAX_JOBS:
-                # No more services: what is never done would keep the rest off its team's limit.
+                # No services: they never end and would use up the team's limit.
                 shape = self.random.choice(["array", "array", "gang"])
                 tasks = self.random.choice([1, 2, 3])
                 run_s = self.random.choice([2.0, 8.0, 40.0])
@@ -196,7 +197,7 @@
                 await curio.spawn(self.world.status, job, number, daemon=True)
 
     async def _submit(self, shape: str, tasks: int, run_s: float, team: str) -> None:
-        """Submit a job until it is accepted; ``run_s`` 0: it runs as long as others by default."""
+        """Submit a job until it is accepted; with ``run_s`` 0 it has the default duration."""
         fields: dict[str, Any] = {"crew": team}
         if self._split_jobs:
             fields |= STORED_IN_PARTS
@@ -210,38 +211,38 @@
         await self.world.submit(job)
         self.jobs.append(job)
 
-    # -- the end ---------------------------------------------------------------------------
+    # -- checks at the end -----------------------------------------------------------------
 
     async def _check_all_served(self) -> None:
-        """Check that each accepted job that its user does not cancel runs to its end."""
+        """Check that each accepted job runs to its end, or is cancelled on request of its user."""
         await curio.sleep(1)
         for job in self.jobs:
             if job in self.cancelling:
                 await self._check_cancelled(job)
             elif self.world.fleet.jobs[job].spec["shape"] == "daemon":
-                await self._check_runs_in_full(job)
+                await self._check_all_tasks_running(job)
             else:
                 await self.world.wait_until_done(job, RECOVERY_TIMEOUT_S)
 
     async def _check_cancelled(self, job: str) -> None:
-        """Check that a cancellation is confirmed, unless the job turns out to be done."""
-        await self._recovers(
+        """Check that a cancellation is confirmed, unless the job was already done."""
+        await self._wait_for_recovery(
             lambda: job not in self.cancelling or self.world.answers.latest.get(job) == "cancelled",
-            f"{job} is never told cancelled",
+            f"{job} is never confirmed as cancelled",
         )
 
-    async def _check_runs_in_full(self, job: str) -> None:
-        """Check that all tasks of a service run."""
+    async def _check_all_tasks_running(self, job: str) -> None:
+        """Check that all tasks of a service are running."""
         tasks = self.world.fleet.jobs[job].spec["legs"]
-        await self._recovers(
-            lambda: self.world.running(job) == tasks, f"{job} does not run in full"
+        await self._wait_for_recovery(
+            lambda: self.world.running(job) == tasks, f"{job} does not run all its tasks"
         )
 
-    async def _recovers(self, condition: Callable[[], bool], problem: str) -> None:
-        """Wait until a condition holds; fail with ``problem`` if it takes too long."""
-        until = now_s() + RECOVERY_TIMEOUT_S
+    async def _wait_for_recovery(self, condition: Callable[[], bool], message: str) -> None:
+        """Wait until a condition holds; fail with ``message`` after ``RECOVERY_TIMEOUT_S``."""
+        deadline = now_s() + RECOVERY_TIMEOUT_S
         while not condition():
-            assert now_s() < until, problem
+            assert now_s() < deadline, message
             await curio.sleep(0.5)
 
 
--- a/tests/fakes/faults/__init__.py
+++ b/tests/fakes/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of seeded histories, by what fails: controllers, the state service, machines, requests."""
+"""Faults of seeded histories: of controllers, the state service, machines and user requests."""
--- a/tests/fakes/faults/context.py
+++ b/tests/fakes/faults/context.py
@@ -1,4 +1,4 @@
-"""What faults of a history act on: a deployment, its users' jobs and one source of randomness."""
+"""The context of the faults of a history: a deployment, its users' jobs and a random generator."""
 
 from __future__ import annotations
 
@@ -16,45 +16,45 @@
 from tests.fakes.workers import FakeWorker
 from tests.fakes.world import CONTROLLERS, World
 
-#: How long a repeated request waits for its answer.
+#: How long a duplicate of a request waits for its answer.
 REPEAT_TIMEOUT = seconds(4)
 
 
 class FaultContext:
-    """A world in which faults happen, and steps that several faults share."""
+    """The world in which faults happen, and the steps that several faults share."""
 
     def __init__(self, world: World, draw: random.Random) -> None:
         self.world = world
-        #: All draws of a history, in one order.
+        #: Source of all draws of a history, which makes their order reproducible.
         self.random = draw
         self.jobs: list[str] = []
-        #: Jobs that users cancel, or have cancelled; not those that turned out to be done.
+        #: Jobs whose cancellation was requested, except those that had already ended.
         self.cancelling: set[str] = set()
-        #: Jobs whose last task has ended, as far as faults have noticed.
+        #: Jobs whose last task has ended, as observed by the faults.
         self.ended: set[str] = set()
-        #: Confirmed cancellations: how long after it the last task was gone, in seconds.
+        #: Seconds from each cancellation confirmation until the job's last task had ended.
         self.gone_after: list[float] = []
 
     # -- draws -----------------------------------------------------------------------------
 
-    def chance(self, share: float) -> bool:
-        """Draw True with a probability of ``share``."""
-        return self.random.random() < share
+    def chance(self, probability: float) -> bool:
+        """Draw True with this probability."""
+        return self.random.random() < probability
 
     def leader(self) -> int:
-        """Return the controller that leads, or draw one if nobody does."""
+        """Return the number of the leader; draw a controller if there is none."""
         leader = self.world.leader()
         return self.random.randrange(CONTROLLERS) if leader is None else leader
 
-    def draw_workers(self, share: float) -> list[FakeWorker]:
-        """Draw workers, each with a probability of ``share``."""
+    def draw_workers(self, probability: float) -> list[FakeWorker]:
+        """Draw workers, each with this probability."""
         workers = sorted(self.world.fleet.workers.values(), key=lambda worker: worker.name)
-        return [worker for worker in workers if self.random.random() < share]
+        return [worker for worker in workers if self.random.random() < probability]
 
     # -- users -----------------------------------------------------------------------------
 
     async def cancel(self, job: str, after: float = 0.0) -> None:
-        """Cancel a job until that is confirmed, and measure when its last task is gone."""
+        """Cancel a job until it is confirmed, and measure how long its last task still runs."""
         await curio.sleep(after)
         while (status := await self.world.cancel(job, self.random.randrange(CONTROLLERS))) is None:
             await curio.sleep(1)
@@ -68,12 +68,12 @@
         self.gone_after.append(now_s() - confirmed_at)
 
     async def spawn_cancel(self, job: str, after: float = 0.0) -> None:
-        """Start to cancel a job, ``after`` seconds from now."""
+        """Start a task that cancels a job ``after`` seconds from now."""
         self.cancelling.add(job)
         await curio.spawn(self.cancel, job, after, daemon=True)
 
     async def submit_malformed(self, fields: dict[str, Any], number: int) -> None:
-        """Submit a job that can't run, or makes no sense: no controller may ever accept it."""
+        """Submit an invalid job, or one that can't run; report a controller that accepts it."""
         job = self.world.job(**fields)
         status = await self.world.submit_once(job, number)
         if status not in (0, 400, 422, 503):
@@ -82,7 +82,7 @@
     # -- network and processes -------------------------------------------------------------
 
     async def deliver(self, requests: list[Request], number: int) -> None:
-        """Send requests to one controller, one after the other, as long as it is there."""
+        """Send requests to one controller in order, until one of them fails."""
         address = CONTROLLER_ADDRESSES[f"c{number}"]
         for request in requests:
             try:
@@ -90,12 +90,12 @@
             except HttpError:
                 return
 
-    async def cut(self, pairs: Iterable[tuple[str, str]], mode: str, for_s: float) -> None:
-        """Interrupt the network between pairs of hosts for a time."""
+    async def cut(self, pairs: Iterable[tuple[str, str]], mode: str, duration_s: float) -> None:
+        """Partition pairs of hosts from each other for a time."""
         pairs = list(pairs)
         for pair in pairs:
             self.world.network.cut(*pair, mode)
-        await curio.sleep(for_s)
+        await curio.sleep(duration_s)
         for pair in pairs:
             await self.world.network.heal(*pair)
 
--- a/tests/fakes/faults/controllers.py
+++ b/tests/fakes/faults/controllers.py
@@ -10,9 +10,9 @@
 
 
 async def leader_isolated(context: FaultContext) -> None:
-    """Cut the leader off from the state service and the other controllers.
+    """Partition the leader from the state service and the other controllers.
 
-    Workers and users still reach it; some machines may reach nobody else.
+    Workers and users still reach it.  Some machines may reach no other controller.
     """
     leader = context.leader()
     pairs = [(f"c{leader}", f"c{n}") for n in range(CONTROLLERS) if n != leader]
@@ -34,7 +34,7 @@
 
 
 async def all_crash(context: FaultContext) -> None:
-    """Crash all controllers; one starts before the others."""
+    """Crash all controllers, and start one of them before the others."""
     first = context.random.randrange(CONTROLLERS)
     for number in range(CONTROLLERS):
         context.world.crash(number)
@@ -45,7 +45,7 @@
 
 
 async def leader_handover(context: FaultContext) -> None:
-    """Stop the leader in good order, and the next one a moment later."""
+    """Shut down the leader gracefully, and its successor soon after."""
     for _ in range(2):
         leader = context.leader()
         if context.world.is_up(leader):
--- a/tests/fakes/faults/machines.py
+++ b/tests/fakes/faults/machines.py
@@ -1,4 +1,4 @@
-"""Faults of machines: stalled, restarted or unreachable ones, late and repeated heartbeats."""
+"""Faults of machines: stalls, restarts, partitions, delayed and duplicated heartbeats."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tests.fakes.network import HOLD, SILENT
 from tests.fakes.world import CONTROLLERS
 
-#: Heartbeats that are kept for the next leader.
-MAX_KEPT = 200
+#: Limit of the heartbeats stored for the next leader.
+MAX_STORED_HEARTBEATS = 200
 
 
-async def _affect_machines_for_a_while(context: FaultContext, hosts: set[str]) -> None:
-    """Add some machines to ``hosts``, the set of those with a network fault, for a while."""
+async def _add_machines_for_a_while(context: FaultContext, hosts: set[str]) -> None:
+    """Add some machines for a while to ``hosts``, the set of hosts with a network fault."""
     names = {worker.name for worker in context.draw_workers(0.4)}
     hosts |= names
     await curio.sleep(context.random.choice([4.0, 25.0]))
@@ -25,17 +25,17 @@
 
 
 async def machines_receive_nothing(context: FaultContext) -> None:
-    """Let some machines receive nothing, while what they send arrives."""
-    await _affect_machines_for_a_while(context, context.world.network.receives_nothing)
+    """Drop everything sent to some machines; what they send arrives."""
+    await _add_machines_for_a_while(context, context.world.network.receives_nothing)
 
 
 async def machines_send_nothing(context: FaultContext) -> None:
-    """Lose the requests of some machines, while they receive and answer."""
-    await _affect_machines_for_a_while(context, context.world.network.sends_nothing)
+    """Drop the requests of some machines; they still receive and answer requests."""
+    await _add_machines_for_a_while(context, context.world.network.sends_nothing)
 
 
 async def machines_stall(context: FaultContext) -> None:
-    """Let some machines make no progress and answer nothing."""
+    """Stall some machines: they make no progress and answer nothing."""
     workers = context.draw_workers(0.4)
     for worker in workers:
         worker.stalled = True
@@ -45,7 +45,7 @@
 
 
 async def machines_unreachable(context: FaultContext) -> None:
-    """Interrupt the network between some machines and the leader."""
+    """Partition some machines from the leader."""
     leader = context.leader()
     mode = context.random.choice([SILENT, HOLD])
     pairs = [(worker.name, f"c{leader}") for worker in context.draw_workers(0.5)]
@@ -53,13 +53,13 @@
 
 
 async def workers_restart(context: FaultContext) -> None:
-    """Restart some machines within an instant."""
+    """Restart some machines without any downtime."""
     for worker in context.draw_workers(0.3):
         worker.begin_anew()
 
 
 async def delayed_heartbeats(context: FaultContext) -> None:
-    """Deliver copies of heartbeats seconds later, some at other controllers."""
+    """Deliver duplicates of heartbeats seconds later, some of them to other controllers."""
 
     def duplicates(source: str, address: str, request: Request) -> Iterable[tuple[float, str]]:
         if request.path == "/checkin" and context.random.random() < 0.3:
@@ -72,15 +72,19 @@
 
 
 async def heartbeats_for_the_next_leader(context: FaultContext) -> None:
-    """Keep copies of heartbeats until another leads; then deliver them to all controllers."""
-    kept: list[Request] = []
-
-    def keep(source: str, address: str, request: Request) -> Iterable[tuple[float, str]]:
-        if request.path == "/checkin" and len(kept) < MAX_KEPT and context.chance(0.3):
-            kept.append(request)
+    """Store duplicates of heartbeats; after a failover send them to all controllers."""
+    stored: list[Request] = []
+
+    def store(source: str, address: str, request: Request) -> Iterable[tuple[float, str]]:
+        if (
+            request.path == "/checkin"
+            and len(stored) < MAX_STORED_HEARTBEATS
+            and context.chance(0.3)
+        ):
+            stored.append(request)
         return ()
 
-    context.world.network.duplicates = keep
+    context.world.network.duplicates = store
     term = context.world.term()
     for _ in range(300):
         await curio.sleep(0.1)
@@ -88,4 +92,4 @@
             break
     context.world.network.duplicates = None
     for number in range(CONTROLLERS):
-        await curio.spawn(context.deliver, kept, number, daemon=True)
+        await curio.spawn(context.deliver, stored, number, daemon=True)
--- a/tests/fakes/faults/state_service.py
+++ b/tests/fakes/faults/state_service.py
@@ -1,4 +1,4 @@
-"""Faults around the state service: refusals, outages, lost, late and slow answers."""
+"""Faults of the state service: refusals, outages, lost answers, delayed writes and answers."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 async def leader_refused_by_state(context: FaultContext) -> None:
-    """Refuse the requests of the leader alone."""
-    for_s = context.random.choice([1.0, 2.5, 4.0, 14.0])
-    await context.cut([(f"c{context.leader()}", "state")], REFUSE, for_s)
+    """Refuse only the requests of the leader."""
+    duration_s = context.random.choice([1.0, 2.5, 4.0, 14.0])
+    await context.cut([(f"c{context.leader()}", "state")], REFUSE, duration_s)
 
 
 async def outage(context: FaultContext) -> None:
-    """Refuse the requests of all for a while."""
+    """Refuse all requests for a while."""
     context.world.state.outage = True
     await curio.sleep(context.random.choice([3.0, 10.0, CANCEL_S + 10]))
     context.world.state.outage = False
 
 
 async def outage_after_unknown_cancels(context: FaultContext) -> None:
-    """Refuse the leader alone while others confirm cancellations; then nobody has the service."""
+    """Refuse only the leader while followers confirm cancellations; then refuse all requests."""
     await _cancel_unknown_to_leader_then_outage(context, context.leader())
 
 
 async def outage_after_election(context: FaultContext) -> None:
-    """Do the same to a leader that was elected a moment ago, and reads its records slowly."""
+    """Do the same to a newly elected leader that loads its records slowly."""
     former = context.leader()
     read_delay_s = context.random.choice([0.0, 0.4, 1.5, 30.0])
 
@@ -51,30 +51,30 @@
 
 
 async def _cancel_unknown_to_leader_then_outage(context: FaultContext, leader: int) -> None:
-    """Cancel jobs at the others while the leader is refused, then refuse the requests of all.
+    """Cancel jobs at followers while the leader is refused, then refuse all requests.
 
-    Some times the leader does not reach the others either, or one of them restarts.
+    Sometimes the leader is also partitioned from the followers, or one of them restarts.
     """
     draw = context.random
-    others = [f"c{n}" for n in range(CONTROLLERS) if n != leader]
-    for_s = draw.choice([1.0, 2.5, 6.0, 14.0, 50.0])
-    await curio.spawn(context.cut, [(f"c{leader}", "state")], REFUSE, for_s, daemon=True)
+    followers = [f"c{n}" for n in range(CONTROLLERS) if n != leader]
+    duration_s = draw.choice([1.0, 2.5, 6.0, 14.0, 50.0])
+    await curio.spawn(context.cut, [(f"c{leader}", "state")], REFUSE, duration_s, daemon=True)
     if draw.random() < 0.3:
-        pairs = [(f"c{leader}", other) for other in others]
-        await curio.spawn(context.cut, pairs, SILENT, for_s, daemon=True)
+        pairs = [(f"c{leader}", follower) for follower in followers]
+        await curio.spawn(context.cut, pairs, SILENT, duration_s, daemon=True)
     for job in draw.sample(context.jobs, min(3, len(context.jobs))):
         if job not in context.cancelling:
             await context.spawn_cancel(job, draw.uniform(0, 4))
     await curio.sleep(draw.choice([0.1, 0.5, 1.5, 2.9, 3.2, 4.5]))
     if draw.random() < 0.3:
-        await curio.spawn(context.restart, int(draw.choice(others)[1:]), 0.4, daemon=True)
+        await curio.spawn(context.restart, int(draw.choice(followers)[1:]), 0.4, daemon=True)
     context.world.state.outage = True
     await curio.sleep(CANCEL_S + 10)
     context.world.state.outage = False
 
 
 async def delayed_writes(context: FaultContext) -> None:
-    """Carry out some transactions seconds later; nobody gets the answer."""
+    """Apply some transactions seconds later and drop their answers."""
 
     def delay(source: str, address: str, request: Request) -> float | None:
         if request.path != "/txn" or context.random.random() > 0.3:
@@ -87,7 +87,7 @@
 
 
 async def slow_state(context: FaultContext) -> None:
-    """Delay answers of the state service."""
+    """Delay the answers of the state service."""
 
     def delay(source: str, address: str, request: Request) -> float:
         if address != state_fake.ADDRESS:
@@ -100,7 +100,7 @@
 
 
 async def responses_lost(context: FaultContext) -> None:
-    """Lose answers of the state service to writes that were carried out."""
+    """Lose answers of the state service to writes that it has applied."""
 
     def lost(source: str, address: str, request: Request) -> bool:
         return address == state_fake.ADDRESS and request.method != "GET" and context.chance(0.3)
--- a/tests/fakes/faults/users.py
+++ b/tests/fakes/faults/users.py
@@ -1,4 +1,4 @@
-"""Requests of users at the worst moment: cancellations, concurrent and malformed ones."""
+"""User requests at critical moments: cancellations, concurrent queries, malformed requests."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from tests.fakes.faults.context import FaultContext
 from tests.fakes.world import CONTROLLERS
 
-#: Machines of cancelled jobs that stall at once.
+#: Limit of the machines of cancelled jobs that stall together.
 MAX_STALLED = 8
-#: How often, and for how long, jobs are watched for the moment at which something happens.
+#: Interval and number of the checks for the end or another change of a job.
 CHECK_INTERVAL_S = 0.01
 CHECKS = 2500
 
 
 async def cancel_several_at_once(context: FaultContext) -> None:
-    """Cancel running jobs within a fifth of a second, and let machines of theirs stall."""
+    """Cancel running jobs within a fifth of a second, and stall some of their machines."""
     running = [job for job in context.jobs if context.world.running(job)]
     stall_s = context.random.choice([0.0, 6.0, 18.0])
     machines = []
@@ -36,7 +36,7 @@
 
 
 async def cancel_at_end(context: FaultContext) -> None:
-    """Cancel jobs at the moment at which their last task ends."""
+    """Cancel jobs at the moment when their last task ends."""
     for _ in range(CHECKS):
         await curio.sleep(CHECK_INTERVAL_S)
         for job in context.jobs:
@@ -47,7 +47,7 @@
 
 
 async def concurrent_queries(context: FaultContext) -> None:
-    """Query all controllers within milliseconds after a job was accepted, ended or cancelled."""
+    """Query all controllers within milliseconds after a job is accepted, ended or cancelled."""
     world = context.world
     seen: dict[str, tuple[Any, ...]] = {}
     for _ in range(CHECKS):
@@ -61,7 +61,7 @@
 
 
 async def malformed_requests(context: FaultContext) -> None:
-    """Submit jobs again with other content, jobs that can't run, and cancel what is done."""
+    """Resubmit jobs with different content, submit jobs that can't run, and cancel ended jobs."""
     world, draw = context.world, context.random
     invalid: list[dict[str, Any]] = [{"legs": 0}, {"crew": "green"}, {"vcpus": 99.0}, {"rank": 7}]
     invalid += [{"depot": "east"}, {"rigs": ["cart"]}, {"shape": "gang", "legs": 90}]
--- a/tests/fakes/forgotten_jobs.py
+++ b/tests/fakes/forgotten_jobs.py
@@ -1,7 +1,7 @@
-"""The rule ``forgotten``: whether users' questions about accepted jobs are answered.
+"""The rule ``forgotten``: users' questions about accepted jobs have to be answered.
 
-No input or output and no clock of its own: whoever plays users reports what they were answered, and
-when, in seconds on any steady clock.  The rule has four forms, see ``Form``.
+The checker has no input, output or clock.  The caller simulates users and reports their answers
+with the time, in seconds on any monotonic clock.  ``Form`` lists the ways to violate the rule.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 from enum import Enum, StrEnum
 from http import HTTPStatus
 
-#: An accepted job of which every question fails for so long, while most others are answered.
+#: A job is forgotten if all questions about it fail for this time while most others are answered.
 UNANSWERED_WHILE_OTHERS_ARE_S = 90.0
-#: The same once all faults are over, however others fare.
+#: A job is forgotten if all questions about it fail for this time after all faults have ended,
+#: regardless of other jobs.
 UNANSWERED_AFTER_FAULTS_S = 75.0
 
 
 class RequestKind(Enum):
-    """What a user asked for."""
+    """The kind of a user's request."""
 
     STATUS = "status"
     SUBMISSION = "submission"
@@ -26,7 +27,7 @@
 
 
 class Form(StrEnum):
-    """The ways in which an accepted job is forgotten."""
+    """The ways in which an accepted job can be forgotten."""
 
     NOT_FOUND = "answered 404"
     REFUSED = "its repeated submission is refused"
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One job that was forgotten."""
+    """One forgotten job."""
 
     form: Form
     job_id: str
@@ -57,37 +58,37 @@
 
 
 class ForgottenJobs:
-    """Collects answers to users, and says which accepted jobs are forgotten by them."""
+    """Collects the answers to users and reports forgotten jobs."""
 
     def __init__(self) -> None:
         self._accepted: set[str] = set()
-        #: When the first of the questions that failed since the last answer was put.
+        #: When the first question since the last answer was asked, by job; only unanswered jobs.
         self._failing_since: dict[str, float] = {}
-        #: Questions of the last ``UNANSWERED_WHILE_OTHERS_ARE_S``, in the order of their answers.
+        #: Questions asked in the last ``UNANSWERED_WHILE_OTHERS_ARE_S``, by time of their answers.
         self._recent: deque[_Question] = deque()
         self._faults_ended_at: float | None = None
-        #: The longest time for which all questions about one job failed, and which job it was.
+        #: The longest time for which all questions about a job failed, and the job.
         self.longest_unanswered_s = 0.0
         self.longest_unanswered_job: str | None = None
 
     def accept(self, job_id: str) -> None:
-        """Note that a user was answered that the job is accepted."""
+        """Record that a user was informed of the acceptance of the job."""
         self._accepted.add(job_id)
 
     def end_faults(self, now: float) -> None:
-        """Note that no fault is left from now on."""
+        """Record that all faults have ended."""
         self._faults_ended_at = now
 
     def begin_faults(self) -> None:
-        """Note that faults may occur again."""
+        """Record that faults may occur again."""
         self._faults_ended_at = None
 
     def record(
         self, kind: RequestKind, job_id: str, status: int, asked_at: float, now: float
     ) -> Violation | None:
-        """Take in the outcome of a request; status 0: there was no answer.
+        """Record the HTTP status of a request, 0 if there was no answer.
 
-        Returns the violation that shows with it, if there is one.
+        Returns the violation that it reveals, if there is one.
         """
         if job_id not in self._accepted:
             return None
--- a/tests/fakes/kernel.py
+++ b/tests/fakes/kernel.py
@@ -1,8 +1,7 @@
-"""A curio kernel whose time is stepped: waiting costs nothing and every run is the same.
+"""A curio kernel with simulated time: waiting takes no real time, and runs are reproducible.
 
-Nothing in a run may depend on real time, on memory addresses or on random numbers of the operating
-system: curio's events wake their waiters in the order of arrival, and the ids of processes are
-counted.
+A run must not depend on real time, memory addresses or random numbers of the operating system.
+Therefore curio's events wake their waiters in the order of arrival, and process ids are counted.
 """
 
 from __future__ import annotations
@@ -38,7 +37,7 @@
 
 
 class _SteppingSelector(selectors.SelectSelector):
-    """Where a real selector would wait, the clock moves on instead."""
+    """Advances the clock where a real selector would wait."""
 
     def __init__(self, clock: _Clock) -> None:
         super().__init__()
@@ -46,18 +45,18 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise AssertionError("everything waits and no timer is set")
+            raise AssertionError("deadlock: all tasks wait and no timer is set")
         self._clock.now += max(timeout, 0.0)
         return []
 
 
-def _begin_barrier(barrier: Any) -> None:
-    """Keep waiting tasks in the order of arrival; in a set it is that of their memory addresses."""
+def _init_barrier(barrier: Any) -> None:
+    """Keep waiting tasks in order of arrival; a set would order them by memory address."""
     barrier._tasks = OrderedSet()
 
 
 def run_stepped(main: Callable[[], Awaitable[None]], monkeypatch: Any) -> None:
-    """Run ``main`` to its end in stepped time; what differs from run to run is patched for that."""
+    """Run ``main`` to its end in stepped time, with all sources of nondeterminism patched."""
     clock = _Clock()
     monkeypatch.setattr(time, "monotonic", clock.monotonic)
     monkeypatch.setattr(time, "time", clock.time)
@@ -66,7 +65,7 @@
     monkeypatch.setattr(
         secrets, "token_hex", lambda nbytes=8: f"{next(process_ids):0{2 * nbytes}x}"
     )
-    monkeypatch.setattr(SchedBarrier, "__init__", _begin_barrier)
+    monkeypatch.setattr(SchedBarrier, "__init__", _init_barrier)
     kernel = curio.Kernel(selector=_SteppingSelector(clock))
     try:
         kernel.run(main)
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -186,7 +186,7 @@
     """Whether a host's process still runs: what is left of a stopped one reaches nobody."""
 
     def __init__(self) -> None:
-        self.on = True
+        self.running = True
 
 
 class HostNetwork:
@@ -225,15 +225,15 @@
         idempotent: bool = True,
     ) -> tuple[int, bytes]:
         """Send a request; what a stopped process sends or waits for never arrives."""
-        await self._stop_if_off()
+        await self._block_if_stopped()
         path, _, query = target.partition("?")
         request = Request(method, path, query, body)
         response = await self._network.request(self._host, self._address, request, timeout)
-        await self._stop_if_off()
+        await self._block_if_stopped()
         return response
 
-    async def _stop_if_off(self) -> None:
-        if not self._process.on:
+    async def _block_if_stopped(self) -> None:
+        if not self._process.running:
             await curio.sleep(FOR_EVER_S)
 
     async def close(self) -> None:
--- a/tests/fakes/previous_versions.py
+++ b/tests/fakes/previous_versions.py
@@ -56,7 +56,7 @@
     return value
 
 
-class EarlierNetwork(HostNetwork):
+class NetworkBeforeDependencies(HostNetwork):
     """The network as commit 52e15ab uses it, the version before dependent jobs."""
 
     fields = ALL_FIELDS
@@ -83,7 +83,7 @@
         return super().server(address, read_as_before, most)
 
 
-class UnlevelledNetwork(EarlierNetwork):
+class NetworkBeforeLevels(NetworkBeforeDependencies):
     """The network as the version right before levels uses it."""
 
     fields = LEVEL_FIELDS
@@ -91,7 +91,7 @@
 
 
 class _Client(FakeClient):
-    reader: EarlierNetwork
+    reader: NetworkBeforeDependencies
 
     async def request(
         self,
@@ -127,7 +127,7 @@
         return int(self.renews_leases)
 
 
-class EarlierElection:
+class ElectionBeforeLevels:
     """The election of versions before levels: they create ``leader``, attached to their lease."""
 
     def __init__(self, name: str, state: StateService, listener: ElectionListener) -> None:
@@ -192,7 +192,7 @@
         await self._state.revoke_lease(lease)
 
 
-class EarlierNode(Controller):
+class ControllerBeforeLevels(Controller):
     """A process of a version before levels.
 
     ``renews_leases``: it is of the last one before them, which renews leases as a follower.
@@ -201,7 +201,9 @@
     def __init__(self, *args: Any, renews_leases: bool = False, **kwargs: Any) -> None:
         self._stands_in = renews_leases
         super().__init__(*args, **kwargs)
-        election: Any = EarlierElection(self._platform.name, self._state, self._on_election_event)
+        election: Any = ElectionBeforeLevels(
+            self._platform.name, self._state, self._on_election_event
+        )
         self._election = election
 
     def _create_feature_levels(self, build: Build | None) -> FeatureLevels:
