--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -1,4 +1,4 @@
-"""A network in memory: delayed, lost and duplicated requests, lost and delayed answers."""
+"""An in-memory network that can delay, lose and duplicate requests and answers."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 
 Handler = server.Handler
 
-#: Longer than any scenario: what a stopped process waits for never comes.
-FOR_EVER_S = 3600.0
+#: Longer than any scenario; used for waits that never end.
+UNBOUNDED_WAIT_S = 3600.0
 
 
 class CutMode(StrEnum):
     """What a cut between two hosts does to requests."""
 
-    #: They are lost.
+    #: Requests are lost.
     SILENT = "silent"
-    #: They are delivered when the cut ends; the sender has given up by then.
+    #: Requests are delivered when the cut ends; the sender times out in any case.
     HOLD = "hold"
-    #: They are refused with 503 while watches wait, as the state service may refuse one controller.
+    #: Requests get status 503, except watches, which wait.  The state service may refuse a single
+    #: controller like this.
     REFUSE = "refuse"
 
 
@@ -36,7 +37,7 @@
 
 
 class _Sent(NamedTuple):
-    """A request on its way: the sending host, the address and the request."""
+    """A request in transit: the sending host, the address and the request."""
 
     source: str
     address: str
@@ -44,51 +45,52 @@
 
 
 class FakeNetwork:
-    """Routes requests between hosts by name; an address belongs to the host that serves it.
+    """Routes requests between named hosts; an address belongs to the host that serves it.
 
-    The callables get the sending host, the address and the request.
+    The callables receive the sending host, the address and the request.
     """
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
         self._servers: dict[str, tuple[str, Handler]] = {}
         self._cuts: dict[frozenset[str], str] = {}
-        self._ended: dict[frozenset[str], curio.Event] = {}
-        #: Hosts to which nothing gets through, while what they send does.
+        #: Set when the cut between two hosts ends.
+        self._cut_ended: dict[frozenset[str], curio.Event] = {}
+        #: Hosts that receive nothing, while what they send is delivered.
         self.receives_nothing: set[str] = set()
-        #: Hosts from which no request gets through, while they receive and answer.
+        #: Hosts whose requests are lost, while they receive and answer requests.
         self.sends_nothing: set[str] = set()
-        #: Whether a request is carried out at once and only its answer is lost.
+        #: Whether a request is handled but its answer is lost.
         self.answer_lost: Callable[[str, str, Request], bool] | None = None
-        #: Copies of a request to deliver: how many seconds later, and at which address.
+        #: Duplicates of a request to deliver: delay in seconds and address of each.
         self.duplicates: Callable[[str, str, Request], Iterable[tuple[float, str]]] | None = None
-        #: Called with each request as it is sent.
+        #: Called for each request when it is sent.
         self.on_sent: Callable[[str, str, Request], None] | None = None
-        #: How many seconds later than usual an answer comes.
+        #: Additional delay of an answer, in seconds.
         self.answer_delay: Callable[[str, str, Request], float] | None = None
-        #: How many seconds later a request is carried out, without an answer; None: as usual.
+        #: Delay of a request in seconds; a delayed request gets no answer.  None: no delay.
         self.delivery_delay: Callable[[str, str, Request], float | None] | None = None
 
     def serve(self, host: str, address: str, handler: Handler) -> None:
-        """Let ``host`` serve ``address`` from now on."""
+        """Register ``host`` as the server of ``address``."""
         self._servers[address] = (host, handler)
 
     def close(self, host: str) -> None:
-        """Let connections to all addresses of ``host`` be refused."""
+        """Refuse connections to all addresses of ``host``."""
         for address in [a for a, (owner, _) in self._servers.items() if owner == host]:
             del self._servers[address]
 
     def cut(self, one: str, other: str, mode: str = SILENT) -> None:
-        """Begin a cut between two hosts, in both directions."""
+        """Begin a cut between two hosts in both directions."""
         pair = frozenset((one, other))
         self._cuts[pair] = mode
-        self._ended[pair] = curio.Event()
+        self._cut_ended[pair] = curio.Event()
 
     async def heal(self, one: str, other: str) -> None:
         """End the cut between two hosts, if there is one."""
         pair = frozenset((one, other))
         if self._cuts.pop(pair, None) is not None:
-            await self._ended[pair].set()
+            await self._cut_ended[pair].set()
 
     async def heal_all(self) -> None:
         """End all faults."""
@@ -101,38 +103,38 @@
     async def request(
         self, source: str, address: str, request: Request, timeout: timedelta
     ) -> ClientResponse:
-        """Deliver a request of ``source`` and return the answer, under the present faults."""
+        """Deliver a request of ``source`` subject to the current faults; return the answer."""
         deadline = monotonic() + timeout
         sent = _Sent(source, address, request)
         if self.on_sent is not None:
             self.on_sent(*sent)
-        await self._travel()
+        await self._transit_delay()
         if address not in self._servers:
             raise HttpError(f"{address}: refused")
         host, handler = self._servers[address]
         pair = frozenset((source, host))
         mode = self._cuts.get(pair)
         if mode is None and self.duplicates is not None:
-            for delay, place in self.duplicates(*sent):
-                await curio.spawn(self._deliver_after, delay, place, request, daemon=True)
+            for delay, target in self.duplicates(*sent):
+                await curio.spawn(self._deliver_after, delay, target, request, daemon=True)
         if mode == REFUSE and request.path != "/changes":
-            await self._travel()
+            await self._transit_delay()
             refusal = error(503, "trouble")
             return ClientResponse(refusal.status, refusal.body)
         if host in self.receives_nothing or source in self.sends_nothing:
             mode = SILENT
-        if await self._stays_unanswered(mode, pair, sent):
+        if await self._is_unanswered(mode, pair, sent):
             await _sleep_until(deadline)
             raise HttpError(f"{address}: no answer in time")
         reply = await self._answer_in_time(handler, sent, deadline)
         if self._answer_is_lost(pair, sent):
             await _sleep_until(deadline)
             raise HttpError(f"{address}: the answer was lost")
-        await self._travel()
+        await self._transit_delay()
         return ClientResponse(reply.status, reply.body)
 
-    async def _stays_unanswered(self, mode: str | None, pair: frozenset[str], sent: _Sent) -> bool:
-        """Return whether the sender waits in vain; the request may still be delivered later."""
+    async def _is_unanswered(self, mode: str | None, pair: frozenset[str], sent: _Sent) -> bool:
+        """Return whether the sender gets no answer; the request may still be delivered later."""
         if mode is None and self.delivery_delay is not None:
             delay = self.delivery_delay(*sent)
             if delay is not None:
@@ -165,16 +167,16 @@
         await self._deliver(address, request)
 
     async def _deliver_when_healed(self, pair: frozenset[str], sent: _Sent) -> None:
-        await self._ended[pair].wait()
+        await self._cut_ended[pair].wait()
         await self._deliver(sent.address, sent.request)
 
     async def _deliver(self, address: str, request: Request) -> None:
-        """Let a request be handled whose answer nobody receives."""
+        """Handle a request and drop its answer."""
         if address in self._servers:
             _, handler = self._servers[address]
             await handler(request)
 
-    async def _travel(self) -> None:
+    async def _transit_delay(self) -> None:
         await curio.sleep(self._random.uniform(0.0005, 0.003))
 
 
@@ -183,14 +185,14 @@
 
 
 class HostProcess:
-    """Whether a host's process still runs: what is left of a stopped one reaches nobody."""
+    """Whether the process of a host is running; a stopped one sends and receives nothing."""
 
     def __init__(self) -> None:
         self.running = True
 
 
 class HostNetwork:
-    """The network as one process sees it."""
+    """The network interface of one process."""
 
     def __init__(self, network: FakeNetwork, host: str, process: HostProcess) -> None:
         self._network = network
@@ -224,7 +226,7 @@
         timeout: timedelta,
         idempotent: bool = True,
     ) -> tuple[int, bytes]:
-        """Send a request; what a stopped process sends or waits for never arrives."""
+        """Send a request; blocks for the rest of the scenario if the process is stopped."""
         await self._block_if_stopped()
         path, _, query = target.partition("?")
         request = Request(method, path, query, body)
@@ -234,7 +236,7 @@
 
     async def _block_if_stopped(self) -> None:
         if not self._process.running:
-            await curio.sleep(FOR_EVER_S)
+            await curio.sleep(UNBOUNDED_WAIT_S)
 
     async def close(self) -> None:
         """Do nothing: there are no connections."""
@@ -253,4 +255,4 @@
         """Serve until the host is closed."""
         self._network.serve(self._host, self._address, self._handler)
         while True:
-            await curio.sleep(FOR_EVER_S)
+            await curio.sleep(UNBOUNDED_WAIT_S)
--- a/tests/fakes/previous_versions.py
+++ b/tests/fakes/previous_versions.py
@@ -1,7 +1,8 @@
-"""Earlier versions, as far as they matter to later ones: what they read, how they are elected.
+"""Previous versions of the controller: the data that they know, and their election.
 
-Each drops the fields below wherever it reads or writes them, and does not read the keys below.  So
-a controller behind such a network handles data like the earlier version.
+The networks below drop the fields that a previous version does not know from all that a controller
+reads or writes, and hide the keys that it does not read.  A controller behind such a network
+therefore handles data like the previous version.
 """
 
 from __future__ import annotations
@@ -36,19 +37,19 @@
 from micadeal.wire.state import Condition, Put
 from tests.fakes.network import FakeClient, FakeServer, Handler, HostNetwork
 
-#: Fields that came with dependent jobs.
+#: Fields introduced with dependent jobs.
 DEPENDENCY_FIELDS = {"waits_on", "cascade_age_ms"}
-#: Fields that came with lease renewal by followers.
+#: Fields introduced with lease renewal by followers.
 RENEWAL_FIELDS = {"leading_token", "wants_consent", "wants_told", "word"}
-#: Fields that came with levels, and after them.
+#: Fields introduced with feature levels and later.
 LEVEL_FIELDS = {"process", "level", "term", "highest_level", "reading", "all_started"}
 ALL_FIELDS = DEPENDENCY_FIELDS | RENEWAL_FIELDS | LEVEL_FIELDS
-#: Keys that the earlier version neither reads nor writes.
+#: Prefixes of keys that versions before dependent jobs neither read nor write.
 UNKNOWN_KEYS = ("finished/", "part/", "leaving/")
 
 
 def forget(value: Any, fields: set[str] = ALL_FIELDS) -> Any:
-    """Return a message or record after the earlier version has decoded and encoded it."""
+    """Return a message or record after a previous version has decoded and encoded it."""
     if isinstance(value, dict):
         return {k: forget(v, fields) for k, v in value.items() if k not in fields}
     if isinstance(value, list):
@@ -57,41 +58,41 @@
 
 
 class NetworkBeforeDependencies(HostNetwork):
-    """The network as commit 52e15ab uses it, the version before dependent jobs."""
+    """The network as used by commit 52e15ab, the last version before dependent jobs."""
 
-    fields = ALL_FIELDS
-    keys: tuple[str, ...] = UNKNOWN_KEYS
+    unknown_fields = ALL_FIELDS
+    unknown_keys: tuple[str, ...] = UNKNOWN_KEYS
 
     def client(self, address: str, keep: int) -> FakeClient:
         """Return a client that drops unknown fields in both directions."""
         client = _Client(self._network, self._host, self._process, address)
-        client.reader = self
+        client.version = self
         return client
 
-    def forget(self, body: bytes) -> bytes:
+    def drop_unknown_fields(self, body: bytes) -> bytes:
         """Return a body without the fields that the version does not know."""
-        return encode(forget(decode(Any, body), self.fields)) if body else body
+        return encode(forget(decode(Any, body), self.unknown_fields)) if body else body
 
     def server(self, address: tuple[str, int], handler: Handler, most: int) -> FakeServer:
         """Return a server that drops unknown fields in both directions."""
 
-        async def read_as_before(request: Request) -> Answer:
-            body = self.forget(request.body)
+        async def handle(request: Request) -> Answer:
+            body = self.drop_unknown_fields(request.body)
             answer = await handler(Request(request.method, request.path, request.query, body))
-            return Answer(answer.status, self.forget(answer.body), answer.retry_after)
+            return Answer(answer.status, self.drop_unknown_fields(answer.body), answer.retry_after)
 
-        return super().server(address, read_as_before, most)
+        return super().server(address, handle, most)
 
 
 class NetworkBeforeLevels(NetworkBeforeDependencies):
-    """The network as the version right before levels uses it."""
+    """The network as used by the last version before feature levels."""
 
-    fields = LEVEL_FIELDS
-    keys = ()
+    unknown_fields = LEVEL_FIELDS
+    unknown_keys = ()
 
 
 class _Client(FakeClient):
-    reader: NetworkBeforeDependencies
+    version: NetworkBeforeDependencies
 
     async def request(
         self,
@@ -103,15 +104,19 @@
         idempotent: bool = True,
     ) -> tuple[int, bytes]:
         status, reply = await super().request(
-            method, target, self.reader.forget(body), timeout=timeout, idempotent=idempotent
+            method,
+            target,
+            self.version.drop_unknown_fields(body),
+            timeout=timeout,
+            idempotent=idempotent,
         )
-        if any(f"starts={key}" in target for key in self.reader.keys):
+        if any(f"starts={key}" in target for key in self.version.unknown_keys):
             return status, encode({"items": [], "has_next": False, "ledger": 0})
-        return status, self.reader.forget(reply)
+        return status, self.version.drop_unknown_fields(reply)
 
 
 class _NoLevels(FeatureLevels):
-    """Levels of a process that knows none: it serves at any level."""
+    """Feature levels of a process that does not know them: it serves at any level."""
 
     renews_leases = False
 
@@ -128,7 +133,7 @@
 
 
 class ElectionBeforeLevels:
-    """The election of versions before levels: they create ``leader``, attached to their lease."""
+    """The election of versions before levels: a key ``leader``, attached to the leader's lease."""
 
     def __init__(self, name: str, state: StateService, listener: ElectionListener) -> None:
         self._name, self._state, self._listener = name, state, listener
@@ -140,7 +145,7 @@
         self._resigned = True
 
     async def run(self) -> None:
-        """Take part in elections for ever."""
+        """Take part in elections until cancelled."""
         while True:
             try:
                 await self._run_round()
@@ -193,13 +198,13 @@
 
 
 class ControllerBeforeLevels(Controller):
-    """A process of a version before levels.
+    """A controller of a version before feature levels.
 
-    ``renews_leases``: it is of the last one before them, which renews leases as a follower.
+    ``renews_leases``: the last such version, which renews leases as a follower.
     """
 
     def __init__(self, *args: Any, renews_leases: bool = False, **kwargs: Any) -> None:
-        self._stands_in = renews_leases
+        self._renews_leases = renews_leases
         super().__init__(*args, **kwargs)
         election: Any = ElectionBeforeLevels(
             self._platform.name, self._state, self._on_election_event
@@ -208,5 +213,5 @@
 
     def _create_feature_levels(self, build: Build | None) -> FeatureLevels:
         feature_levels = _NoLevels(self._platform.name, self._peer_names, monotonic(), build)
-        feature_levels.renews_leases = self._stands_in
+        feature_levels.renews_leases = self._renews_leases
         return feature_levels
--- a/tests/fakes/random_clusters.py
+++ b/tests/fakes/random_clusters.py
@@ -1,4 +1,4 @@
-"""A random deployment, the same for the same seed: machines and jobs of several teams.
+"""A random deployment, reproducible by its seed: machines and jobs of several teams.
 
 For tests of the scheduler without controllers, and for `bench/profile_pass.py`.
 """
@@ -26,7 +26,7 @@
 
 
 class RandomDeployment:
-    """A scheduler with machines that are up and jobs that wait for its first cycle."""
+    """A scheduler with running machines and jobs that wait for the first cycle."""
 
     def __init__(self, machines: int, jobs: int, seed: int = 1, teams: int = 5) -> None:
         self.random = random.Random(seed)
@@ -54,21 +54,22 @@
             self.submit()
 
     def submit(self, **fields: object) -> Job:
-        """Submit a service, array or gang of a random size, with these fields of its own."""
+        """Submit a service, array or gang of a random size; ``fields`` replace its values."""
         self.count += 1
-        kind = self.random.choice(["live", "scan", "scan", "train"])
+        job_class = self.random.choice(["live", "scan", "scan", "train"])
         values: dict[str, object] = {
-            "job_id": f"req-{self.count:06d}", "job_class": kind,
+            "job_id": f"req-{self.count:06d}", "job_class": job_class,
             "team": self.random.choice(self.teams),
-            "image": f"{kind}-{self.random.randrange(16)}", "image_gb": 6.0, "estimate_s": 100.0,
-            "cpus": 5.0, "gpus": 1.0, "memory_gb": 20.0, "checkpoint_s": 30.0, "save_s": 5.0,
+            "image": f"{job_class}-{self.random.randrange(16)}", "image_gb": 6.0,
+            "estimate_s": 100.0, "cpus": 5.0, "gpus": 1.0, "memory_gb": 20.0,
+            "checkpoint_s": 30.0, "save_s": 5.0,
         }  # fmt: skip
-        if kind == "live":
+        if job_class == "live":
             values |= {
                 "shape": Shape.SERVICE, "priority": Priority.PRODUCTION, "spread": True,
                 "tasks": self.random.choice([3, 4, 6]), "one_zone": False, "spot_allowed": False,
             }  # fmt: skip
-        elif kind == "scan":
+        elif job_class == "scan":
             values |= {
                 "shape": Shape.ARRAY, "priority": Priority.STANDARD, "spread": False,
                 "tasks": self.random.randrange(5, 60), "one_zone": False, "spot_allowed": True,
@@ -85,7 +86,7 @@
         return job
 
     def heartbeat(self, name: str, done: int = 0) -> None:
-        """Send the machine's next heartbeat: all tasks run, but ``done`` of them have ended."""
+        """Send a machine's next heartbeat: ``done`` tasks have ended, all others are running."""
         machine = self.cluster.machines[name]
         sequence = self.sequences[name] = self.sequences.get(name, 0) + 1
         tasks = [
--- a/tests/fakes/records_of_previous_versions.py
+++ b/tests/fakes/records_of_previous_versions.py
@@ -1,11 +1,11 @@
-"""Records and messages between controllers as the version before job dependencies wrote them.
+"""Records and peer messages as written by the last version before dependent jobs.
 
-Recorded once by running that version; never to be regenerated.
+They were recorded by running that version.  Never regenerate them.
 """
 
 from __future__ import annotations
 
-#: MessagePack as hexadecimal text, by the name of the record or message.
+#: MessagePack in hexadecimal, by the name of the record or message.
 WRITTEN: dict[str, str] = {
     "leader": ("82aa636f6e74726f6c6c6572a6646f636b2d30a56c6561736507"),
     "job": (
--- a/tests/fakes/scenario_steps.py
+++ b/tests/fakes/scenario_steps.py
@@ -1,4 +1,4 @@
-"""Steps that scenarios on a whole deployment (``World``) have in common."""
+"""Steps shared by scenarios that run a whole deployment (``World``)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def new_leader(world: World, former: int) -> int:
-    """Wait until another controller leads, and return its number."""
+    """Wait until another controller is the leader, and return its number."""
     await world.wait_until(lambda: world.leader() not in (None, former), limit=10)
     return leader_of(world)
 
@@ -23,18 +23,18 @@
 
 
 async def heal_to_controllers(world: World, machine: str) -> None:
-    """Undo ``partition_from_controllers``; what the network held is delivered."""
+    """Undo ``partition_from_controllers``; held requests are delivered."""
     for number in CONTROLLERS:
         await world.network.heal(machine, f"c{number}")
 
 
 def assert_each_task_started_once(world: World) -> None:
-    """Assert that no task was started again."""
+    """Assert that no task was started more than once."""
     assert all(count == 1 for count in world.rules.starts.values())
 
 
 async def fail_over(world: World, how: str) -> None:
-    """Make another controller the leader, in one of the ways that the tests name."""
+    """Cause a failover; ``how`` names the way, as in the ids of the tests."""
     leader = leader_of(world)
     if how == "handed over":
         await world.nodes[leader].retire()
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -1,4 +1,4 @@
-"""The state service in memory: transactions, leases, watches, limits, outages."""
+"""An in-memory state service with transactions, leases, watches, limits and outages."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 HOST = "state"
 
 LEASE_CHECK_INTERVAL_S = 0.05
-#: A lease ends this much late.
+#: Delay with which the service ends an expired lease.
 LEASE_LATENESS_S = 0.05
-#: A watch looks at least this often whether an outage has ended.
+#: Interval at which a watch checks whether an outage has ended.
 WATCH_CHECK_INTERVAL_S = 0.5
 CONDITIONS_PER_OPERATION = 4
 
@@ -31,7 +31,7 @@
 
 
 class FakeState:
-    """One state service; the tests read and set its public attributes."""
+    """A state service; tests read and set its public attributes."""
 
     def __init__(self, txn_ops: int = 16, value_bytes: int = 8192) -> None:
         #: Value, version and lease of each key.
@@ -39,30 +39,31 @@
         self.revision = 0
         self.outage = False
         self._history: list[_Change] = []
-        #: Duration and end of each lease.
+        #: Duration and expiry of each lease.
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 0
         self._changed = curio.Event()
-        #: Present limits, which a test may lower.
+        #: Current limits, which a test may lower.
         self.txn_ops = txn_ops
         self.value_bytes = value_bytes
-        #: Requests, watches aside.
+        #: Number of requests, without watches.
         self.requests = 0
-        #: Transactions refused for their size.
+        #: Number of transactions refused for their size.
         self.refused = 0
         self.largest_txn = 0
-        #: Changes a second that it takes, with a burst of a second's worth; None: any number.
+        #: Limit of changes per second, with a burst of one second's changes; None: no limit.
         self.changes_per_s: float | None = None
-        #: Requests refused since there were more, and all changes.
+        #: Number of requests refused for the rate limit.
         self.too_many = 0
+        #: Number of changes requested.
         self.changes = 0
-        #: Changes left, and when they were counted.
+        #: Changes left in the token bucket, and when it was last updated.
         self._bucket = (0.0, 0.0)
-        #: How many seconds a transaction that records a cancellation takes.
+        #: Duration of a transaction that records a cancellation, in seconds.
         self.cancel_delay = 0.0
 
     async def run(self) -> None:
-        """End leases; during an outage time stands still for them."""
+        """End expired leases; an outage suspends their expiry."""
         while True:
             await curio.sleep(LEASE_CHECK_INTERVAL_S)
             now = monotonic().total_seconds()
@@ -74,20 +75,20 @@
 
     async def _end_lease(self, lease: int) -> None:
         self._leases.pop(lease, None)
-        attached = [key for key, (_, _, owner) in self.keys.items() if owner == lease]
-        if attached:
+        attached_keys = [key for key, (_, _, owner) in self.keys.items() if owner == lease]
+        if attached_keys:
             self.revision += 1
-            for key in attached:
+            for key in attached_keys:
                 del self.keys[key]
                 self._history.append(_Change(self.revision, key, None, deleted=True))
             await self._wake_watches()
 
     async def _wake_watches(self) -> None:
-        changed, self._changed = self._changed, curio.Event()
-        await changed.set()
+        event, self._changed = self._changed, curio.Event()
+        await event.set()
 
     async def handle(self, request: Request) -> Answer:
-        """Answer a request."""
+        """Handle a request and return the answer."""
         if request.path == "/changes":
             return await self._watch(request)
         self.requests += 1
@@ -110,12 +111,13 @@
     def _range(self, request: Request) -> Answer:
         parameters = dict(parse_qsl(request.query))
         prefix, after = parameters["starts"], parameters.get("after", "")
-        most = int(parameters.get("most", "200"))
+        limit = int(parameters.get("most", "200"))
         keys = [key for key in sorted(self.keys) if key.startswith(prefix) and key > after]
         items = [
-            {"k": key, "data": self.keys[key][0], "stamp": self.keys[key][1]} for key in keys[:most]
+            {"k": key, "data": self.keys[key][0], "stamp": self.keys[key][1]}
+            for key in keys[:limit]
         ]
-        return answer(200, {"items": items, "has_next": len(keys) > most, "ledger": self.revision})
+        return answer(200, {"items": items, "has_next": len(keys) > limit, "ledger": self.revision})
 
     async def _transact(self, transaction: dict[str, Any]) -> Answer:
         conditions, changes = transaction["if"], transaction["then"]
@@ -160,13 +162,13 @@
         await self._wake_watches()
 
     def _exceeds_rate(self, changes: int) -> bool:
-        """Count changes; return whether so many are more than the rate allows now."""
+        """Count changes; return whether they exceed the rate limit."""
         self.changes += changes
         if self.changes_per_s is None or not changes:
             return False
-        left, at = self._bucket
+        left, updated_at = self._bucket
         now = monotonic().total_seconds()
-        left = min(self.changes_per_s, left + (now - at) * self.changes_per_s) - changes
+        left = min(self.changes_per_s, left + (now - updated_at) * self.changes_per_s) - changes
         if left < 0:
             self.too_many += 1
             return True
@@ -193,17 +195,17 @@
     async def _watch(self, request: Request) -> Answer:
         parameters = dict(parse_qsl(request.query))
         prefix, after = parameters["starts"], int(parameters["after"])
-        until = monotonic().total_seconds() + int(parameters.get("hold_ms", "0")) / 1000
+        deadline = monotonic().total_seconds() + int(parameters.get("hold_ms", "0")) / 1000
         while True:
             if not self.outage:
                 events = self._events_after(after, prefix)
-                rest = until - monotonic().total_seconds()
-                if events or rest <= 0:
+                remaining_s = deadline - monotonic().total_seconds()
+                if events or remaining_s <= 0:
                     return answer(200, {"ledger": self.revision, "news": events})
             else:
                 # Open watches stay open during an outage.
-                rest = 1.0
-            async with curio.ignore_after(min(max(rest, 0.001), WATCH_CHECK_INTERVAL_S)):
+                remaining_s = 1.0
+            async with curio.ignore_after(min(max(remaining_s, 0.001), WATCH_CHECK_INTERVAL_S)):
                 await self._changed.wait()
 
     def _events_after(self, revision: int, prefix: str) -> list[dict[str, Any]]:
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -1,4 +1,4 @@
-"""Workers that behave as the protocol says: heartbeats, tokens, leases, images, gangs."""
+"""In-memory workers that follow the protocol: heartbeats, tokens, leases, images, gangs."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 @dataclass
 class Job:
-    """A job as workers know it; they fetch its description by themselves.
+    """A job as known to the workers, which fetch its description themselves.
 
-    ``run_s``: how long a task runs; ``progress``: what its last checkpoint holds of that.
+    ``run_s`` is the duration of a task, ``progress`` the part of it in the last checkpoint, both in
+    seconds.  ``fails``: all its tasks fail.
     """
 
     spec: dict[str, Any]
@@ -31,41 +32,41 @@
 
 @dataclass
 class TaskAttempt:
-    """An attempt that a worker holds; times are seconds on the monotonic clock."""
+    """An attempt on a worker.  Times are in seconds on the monotonic clock."""
 
     task: str
     attempt: int
-    since: float
-    #: State and cause of exit, as the protocol spells them.
+    commanded_at: float
+    #: State and cause of the exit, with the values of the protocol.
     state: str = "pulling"
     why: str | None = None
     saved: bool = False
-    #: When its image is fetched.
+    #: When the pull of the image ends.
     ready_at: float = 0.0
     started: float | None = None
-    #: When its checkpoint will be saved, once it is to be stopped.
+    #: When the checkpoint is saved; None until the attempt is being stopped.
     save_until: float | None = None
 
     @property
     def job_id(self) -> str:
-        """The job's id, from the task's."""
+        """The id of the job, taken from the id of the task."""
         return self.task.rpartition("/")[0]
 
     def heartbeat(self) -> dict[str, Any]:
-        """Return the attempt as heartbeats show it."""
-        shown: dict[str, Any] = {"leg": self.task, "try": self.attempt, "status": self.state}
+        """Return the attempt as reported in heartbeats."""
+        status: dict[str, Any] = {"leg": self.task, "try": self.attempt, "status": self.state}
         if self.why:
-            shown["cause"] = self.why
-            shown["saved"] = self.saved
-        return shown
+            status["cause"] = self.why
+            status["saved"] = self.saved
+        return status
 
 
-Watcher = Callable[[str, "FakeWorker", TaskAttempt], None]
+TaskEventListener = Callable[[str, "FakeWorker", TaskAttempt], None]
 
 
 @dataclass
 class Fleet:
-    """What all workers share: the network, timing, the job descriptions, who watches."""
+    """The state that all workers share: network, intervals, job descriptions, event listener."""
 
     network: FakeNetwork
     controllers: dict[str, str]
@@ -74,24 +75,24 @@
     gang_wait_s: float
     gang_peer_s: float
     #: Called with "start", "done" or "exit", the worker and the attempt.
-    watch: Watcher
+    watch: TaskEventListener
     jobs: dict[str, Job] = field(default_factory=dict)
     workers: dict[str, FakeWorker] = field(default_factory=dict)
     fetch_gb_per_s: float = 1.0
-    #: Machines on which every task fails.
+    #: Names of the machines on which every task fails.
     faulty: set[str] = field(default_factory=set)
 
-    def members(self, job_id: str, attempt: int) -> list[TaskAttempt]:
-        """Return the tasks of a gang's attempt that have not exited, on all machines."""
+    def members(self, job_id: str, number: int) -> list[TaskAttempt]:
+        """Return the tasks of one attempt of a gang that have not exited, on all machines."""
         return [
-            held
+            member
             for worker in self.workers.values()
-            for held in worker.tasks.values()
-            if held.job_id == job_id and held.attempt == attempt and held.state != "exited"
+            for member in worker.tasks.values()
+            if member.job_id == job_id and member.attempt == number and member.state != "exited"
         ]
 
     def tasks_on_machines(self, job_id: str | None = None) -> list[tuple[FakeWorker, TaskAttempt]]:
-        """Return the attempts, of one job or of all, that have their image and did not exit."""
+        """Return the attempts of one job, or of all, that have their image and have not exited."""
         return [
             (worker, attempt)
             for worker in self.workers.values()
@@ -100,15 +101,15 @@
         ]
 
     def with_dependencies(self, job_id: str) -> set[str]:
-        """Return the job and all jobs that it waits on, directly or through others."""
-        found: set[str] = set()
+        """Return the job and its direct and indirect dependencies."""
+        result: set[str] = set()
         to_visit = [job_id]
         while to_visit:
             name = to_visit.pop()
-            if name not in found and name in self.jobs:
-                found.add(name)
+            if name not in result and name in self.jobs:
+                result.add(name)
                 to_visit += self.jobs[name].spec.get("waits_on") or ()
-        return found
+        return result
 
 
 class FakeWorker:
@@ -121,22 +122,22 @@
         self.tasks: dict[tuple[str, int], TaskAttempt] = {}
         self.images: set[str] = set()
         self.reclaim_expected_at: float | None = None
-        #: It neither sends nor answers anything, and its tasks make no progress.
+        #: A stalled worker sends and answers nothing, and its tasks make no progress.
         self.stalled = False
         self.alive = True
-        #: Counts processes: responses to what an earlier one sent reach nobody.
-        self.lives = 1
-        #: From when its lease counts.
+        #: Number of starts of the process; responses to an earlier process are ignored.
+        self._process_starts = 1
+        #: When the lease was last renewed.
         self.renewed = monotonic().total_seconds()
         self._wake = curio.Event()
-        self._token_reported = 0.0
-        #: The controller that it sends heartbeats to.
+        self._token_reported_at = 0.0
+        #: The controller that receives the heartbeats.
         self._controller = next(iter(fleet.controllers))
 
     # -- process ---------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serve commands, send heartbeats and run tasks until the machine ends."""
+        """Serve commands, send heartbeats and run tasks until the machine is removed."""
         self.fleet.network.serve(self.name, self.address, self._handle)
         await curio.spawn(self._heartbeat_loop, daemon=True)
         while self.alive:
@@ -145,25 +146,26 @@
                 await self._step()
 
     def end(self) -> None:
-        """End the machine with everything on it."""
+        """Remove the machine and kill all its tasks."""
         self.alive = False
         self.tasks.clear()
         self.fleet.network.close(self.name)
         self.fleet.workers.pop(self.name, None)
 
     def begin_anew(self) -> None:
-        """Restart the machine within an instant.
+        """Restart the machine without any downtime.
 
-        All tasks and images are gone; incarnation and sequence count from the start.
+        All tasks and images are lost, and incarnation and sequence start again from their first
+        values.
         """
         self.tasks.clear()
         self.images.clear()
         self.incarnation, self.sequence, self.token = 1, 0, 0
         self.renewed = monotonic().total_seconds()
-        self.lives += 1
+        self._process_starts += 1
 
     def expire_lease(self, now: float) -> bool:
-        """Kill all tasks if the lease has run out; return whether it has."""
+        """Kill all tasks if the lease has expired; return whether it has."""
         if now - self.renewed <= self.fleet.lease_s:
             return False
         self.tasks.clear()
@@ -177,61 +179,65 @@
             await self._send_soon()
         if self.stalled:
             return
-        for held in list(self.tasks.values()):
-            await self._advance(held, now)
+        for attempt in list(self.tasks.values()):
+            await self._advance(attempt, now)
 
-    async def _advance(self, held: TaskAttempt, now: float) -> None:
-        job = self.fleet.jobs[held.job_id]
-        if held.state == "pulling" and now >= held.ready_at:
+    async def _advance(self, attempt: TaskAttempt, now: float) -> None:
+        job = self.fleet.jobs[attempt.job_id]
+        if attempt.state == "pulling" and now >= attempt.ready_at:
             self.images.add(job.spec["build"])
-            held.state = "waiting" if job.spec["shape"] == "gang" else "running"
-            held.started = now
-            self.fleet.watch("start", self, held)
+            attempt.state = "waiting" if job.spec["shape"] == "gang" else "running"
+            attempt.started = now
+            self.fleet.watch("start", self, attempt)
             await self._send_soon()
             if self.name in self.fleet.faulty or job.fails:
-                await self._exit(held, "error")
+                await self._exit(attempt, "error")
                 return
-        if held.state == "waiting":
-            await self._wait_for_gang(held, job, now)
-        elif held.state == "running":
-            await self._advance_running(held, job, now)
-        elif held.state == "flushing" and held.save_until is not None and now >= held.save_until:
-            assert held.started is not None
-            job.progress = max(job.progress, held.save_until - held.started)
-            held.saved = True
-            await self._exit(held, "halted")
-
-    async def _wait_for_gang(self, held: TaskAttempt, job: Job, now: float) -> None:
-        members = self.fleet.members(held.job_id, held.attempt)
+        if attempt.state == "waiting":
+            await self._wait_for_gang(attempt, job, now)
+        elif attempt.state == "running":
+            await self._advance_running(attempt, job, now)
+        elif (
+            attempt.state == "flushing"
+            and attempt.save_until is not None
+            and now >= attempt.save_until
+        ):
+            assert attempt.started is not None
+            job.progress = max(job.progress, attempt.save_until - attempt.started)
+            attempt.saved = True
+            await self._exit(attempt, "halted")
+
+    async def _wait_for_gang(self, attempt: TaskAttempt, job: Job, now: float) -> None:
+        members = self.fleet.members(attempt.job_id, attempt.attempt)
         if len(members) == job.spec["legs"] and all(
             member.state != "pulling" for member in members
         ):
-            held.state = "running"
-            held.started = now
+            attempt.state = "running"
+            attempt.started = now
             await self._send_soon()
-        elif now - held.since > self.fleet.gang_wait_s:
-            await self._exit(held, "alone")
+        elif now - attempt.commanded_at > self.fleet.gang_wait_s:
+            await self._exit(attempt, "alone")
 
-    async def _advance_running(self, held: TaskAttempt, job: Job, now: float) -> None:
-        assert held.started is not None
+    async def _advance_running(self, attempt: TaskAttempt, job: Job, now: float) -> None:
+        assert attempt.started is not None
         if job.spec["shape"] == "gang":
-            members = self.fleet.members(held.job_id, held.attempt)
+            members = self.fleet.members(attempt.job_id, attempt.attempt)
             ended = any(
                 other.why == "done"
                 for worker in self.fleet.workers.values()
                 for other in worker.tasks.values()
-                if other.job_id == held.job_id and other.attempt == held.attempt
+                if other.job_id == attempt.job_id and other.attempt == attempt.attempt
             )
             if len(members) < job.spec["legs"] and not ended:
-                await self._exit(held, "mates_gone")
+                await self._exit(attempt, "mates_gone")
                 return
-        if job.spec["shape"] != "daemon" and now - held.started >= job.run_s - job.progress:
-            self.fleet.watch("done", self, held)
-            await self._exit(held, "done")
+        if job.spec["shape"] != "daemon" and now - attempt.started >= job.run_s - job.progress:
+            self.fleet.watch("done", self, attempt)
+            await self._exit(attempt, "done")
 
-    async def _exit(self, held: TaskAttempt, why: str) -> None:
-        held.state, held.why = "exited", why
-        self.fleet.watch("exit", self, held)
+    async def _exit(self, attempt: TaskAttempt, why: str) -> None:
+        attempt.state, attempt.why = "exited", why
+        self.fleet.watch("exit", self, attempt)
         await self._send_soon()
 
     async def _send_soon(self) -> None:
@@ -249,7 +255,7 @@
             "recall_s": None
             if self.reclaim_expected_at is None
             else max(self.reclaim_expected_at - now, 0.0),
-            "legs": [held.heartbeat() for held in self.tasks.values()],
+            "legs": [attempt.heartbeat() for attempt in self.tasks.values()],
         }  # fmt: skip
 
     async def _heartbeat_loop(self) -> None:
@@ -259,19 +265,23 @@
                 await curio.sleep(0.2)
                 continue
             self._wake.clear()
-            sent, incarnation, life = monotonic().total_seconds(), self.incarnation, self.lives
+            sent_at, incarnation, process_start = (
+                monotonic().total_seconds(),
+                self.incarnation,
+                self._process_starts,
+            )
             status, body = await self._send(self._on_heartbeat())
-            if life != self.lives:
+            if process_start != self._process_starts:
                 continue
             if status == 200:
-                await self._take_response(decode(dict, body), sent, incarnation)
+                await self._apply_response(decode(dict, body), sent_at, incarnation)
                 async with curio.ignore_after(self.fleet.report_s):
                     await self._wake.wait()
-                await curio.sleep(max(0.0, 0.5 - (monotonic().total_seconds() - sent)))
+                await curio.sleep(max(0.0, 0.5 - (monotonic().total_seconds() - sent_at)))
                 continue
-            named = decode(dict, body).get("dispatcher") if status == 421 and body else None
-            if named in self.fleet.controllers and named != self._controller:
-                self._controller = named
+            leader = decode(dict, body).get("dispatcher") if status == 421 and body else None
+            if leader in self.fleet.controllers and leader != self._controller:
+                self._controller = leader
                 await curio.sleep(0.2)
             else:
                 self._controller = names[(names.index(self._controller) + 1) % len(names)]
@@ -285,21 +295,23 @@
         except HttpError:
             return 0, b""
 
-    async def _take_response(self, reply: dict[str, Any], sent: float, incarnation: int) -> None:
+    async def _apply_response(
+        self, reply: dict[str, Any], sent_at: float, incarnation: int
+    ) -> None:
         token = reply.get("baton", 0)
         if incarnation != self.incarnation or token < self.token or not self.alive:
             return
-        await self._take_token(token)
-        self.renewed = max(self.renewed, sent)
+        await self._update_token(token)
+        self.renewed = max(self.renewed, sent_at)
         for command in reply["orders"]:
             await self._execute(command)
 
-    async def _take_token(self, token: int) -> None:
+    async def _update_token(self, token: int) -> None:
         now = monotonic().total_seconds()
         if token > self.token:
             self.token = token
-            if now - self._token_reported > self.fleet.lease_s / 2:
-                self._token_reported = now
+            if now - self._token_reported_at > self.fleet.lease_s / 2:
+                self._token_reported_at = now
                 await self._send_soon()
 
     async def _handle(self, request: Request) -> Answer:
@@ -308,7 +320,7 @@
         message = decode(dict, request.body)
         if message["baton"] < self.token or message["shift"] != self.incarnation:
             return answer(409, self._on_heartbeat())
-        await self._take_token(message["baton"])
+        await self._update_token(message["baton"])
         for command in message["orders"]:
             await self._execute(command)
         return answer(200, self._on_heartbeat())
@@ -317,54 +329,56 @@
 
     async def _execute(self, command: dict[str, Any]) -> None:
         key = (command["leg"], command["try"])
-        held = self.tasks.get(key)
+        attempt = self.tasks.get(key)
         if command["verb"] == "run":
-            if held is None:
+            if attempt is None:
                 await self._start(*key)
-        elif held is None:
+        elif attempt is None:
             return
         elif command["verb"] == "reap":
-            if held.state == "exited":
+            if attempt.state == "exited":
                 del self.tasks[key]
-        elif held.state != "exited":
-            await self._stop(held, command.get("wind_down_s") or 0.0)
+        elif attempt.state != "exited":
+            await self._stop(attempt, command.get("wind_down_s") or 0.0)
 
-    async def _start(self, task: str, attempt: int) -> None:
+    async def _start(self, task: str, number: int) -> None:
         now = monotonic().total_seconds()
-        held = TaskAttempt(task, attempt, now)
-        job = self.fleet.jobs[held.job_id]
-        others = [
+        attempt = TaskAttempt(task, number, now)
+        job = self.fleet.jobs[attempt.job_id]
+        other_attempts = [
             other for other in self.tasks.values() if other.task == task and other.state != "exited"
         ]
-        self.tasks[task, attempt] = held
-        if others:
-            await self._exit(held, "in_use")
+        self.tasks[task, number] = attempt
+        if other_attempts:
+            await self._exit(attempt, "in_use")
             return
         if not self._has_capacity(job):
-            await self._exit(held, "no_room")
+            await self._exit(attempt, "no_room")
             return
         cached = job.spec["build"] in self.images
-        held.ready_at = now + (0.1 if cached else job.spec["image_gb"] / self.fleet.fetch_gb_per_s)
+        attempt.ready_at = now + (
+            0.1 if cached else job.spec["image_gb"] / self.fleet.fetch_gb_per_s
+        )
         await self._send_soon()
 
     def _has_capacity(self, job: Job) -> bool:
         for name, capacity in (("vcpus", 8.0), ("accelerators", 2.0), ("ram_gb", 64.0)):
             used = sum(
-                self.fleet.jobs[held.job_id].spec[name]
-                for held in self.tasks.values()
-                if held.state != "exited"
+                self.fleet.jobs[attempt.job_id].spec[name]
+                for attempt in self.tasks.values()
+                if attempt.state != "exited"
             )
             if used > capacity + 1e-9:
                 return False
         return True
 
-    async def _stop(self, held: TaskAttempt, grace: float) -> None:
-        job = self.fleet.jobs[held.job_id]
+    async def _stop(self, attempt: TaskAttempt, grace_s: float) -> None:
+        job = self.fleet.jobs[attempt.job_id]
         now = monotonic().total_seconds()
-        saves = job.spec["bookmark_s"] > 0 and grace >= job.spec["stow_s"]
-        if held.state == "running" and saves:
-            held.state = "flushing"
-            held.save_until = now + job.spec["stow_s"]
+        can_save = job.spec["bookmark_s"] > 0 and grace_s >= job.spec["stow_s"]
+        if attempt.state == "running" and can_save:
+            attempt.state = "flushing"
+            attempt.save_until = now + job.spec["stow_s"]
             await self._send_soon()
-        elif held.state != "flushing" or grace == 0:
-            await self._exit(held, "halted")
+        elif attempt.state != "flushing" or grace_s == 0:
+            await self._exit(attempt, "halted")
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -1,4 +1,4 @@
-"""A deployment in memory with users, whose scenarios are checked against the protocol's rules."""
+"""An in-memory deployment with users, whose scenarios are checked by the rules of the protocol."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 CONTROLLERS = len(CONTROLLER_ADDRESSES)
 REQUEST_TIMEOUT = seconds(5)
-#: How long a user waits for the answer to a question about a job.
+#: How long a user waits for the status of a job.
 STATUS_TIMEOUT = seconds(2)
-#: How often a submission or a cancellation is repeated before the scenario fails.
+#: Attempts at a submission or a cancellation before the scenario fails.
 MAX_ATTEMPTS = 60
 
 
 class World(Deployment):
-    """A deployment with users; plays scenarios."""
+    """A deployment with users that runs scenarios."""
 
     _jobs_described = 0
 
@@ -35,9 +35,9 @@
         scenario: Callable[[World], Awaitable[None]],
         earlier: bool = False,
     ) -> World:
-        """Run a scenario to its end; fails if a rule of the protocol was broken.
+        """Run a scenario to its end; fail if it violates a rule of the protocol.
 
-        ``earlier``: the controllers know no more than the version before pipelines.
+        ``earlier``: the controllers behave like the last version before dependent jobs.
         """
 
         run_stepped(lambda: self._play(scenario, earlier), monkeypatch)
@@ -55,30 +55,30 @@
         return self
 
     async def _check_nothing_forgotten(self) -> None:
-        """End all faults, and check that a question about each accepted job is answered soon."""
+        """End all faults, and check that questions about all accepted jobs are answered in time."""
         self.state.outage = False
         await self.network.heal_all()
         await self.start_missing()
         self.rules.forgotten.end_faults(now_s())
-        open_jobs = sorted(self.answers.accepted - self.rules.unreadable_jobs)
-        until = now_s() + UNANSWERED_AFTER_FAULTS_S
+        unanswered = sorted(self.answers.accepted - self.rules.unreadable_jobs)
+        deadline = now_s() + UNANSWERED_AFTER_FAULTS_S
         number = 0
-        while open_jobs and now_s() < until:
+        while unanswered and now_s() < deadline:
             number += 1
-            open_jobs = [
-                job for job in open_jobs if await self.status(job, number % CONTROLLERS) is None
+            unanswered = [
+                job for job in unanswered if await self.status(job, number % CONTROLLERS) is None
             ]
-            if open_jobs:
+            if unanswered:
                 await curio.sleep(5)
-        self.rules.violations += [f"forgotten {job}: no question is answered" for job in open_jobs]
+        self.rules.violations += [f"forgotten {job}: no question is answered" for job in unanswered]
 
     # -- jobs ------------------------------------------------------------------------------
 
     def job(self, shape: str = "array", legs: int = 1, run_s: float = 20.0, **fields: Any) -> str:
         """Describe a job of ``legs`` tasks without submitting it; return its id.
 
-        ``run_s``: how long its tasks run; ``fails``: whether they fail; the rest are fields of the
-        submission as users spell them.
+        ``run_s`` is the duration of its tasks in seconds.  ``fields`` are fields of the submission
+        in the format of the user API, and ``fails``, whether all its tasks fail.
         """
         self._jobs_described += 1
         job_id = f"req-{self._jobs_described:06d}"
@@ -94,7 +94,7 @@
         return job_id
 
     def all_tasks_done(self, job_id: str) -> bool:
-        """Return whether all tasks of a job have ended; a gang ends with its first one."""
+        """Return whether all tasks of a job are done; a gang is done with its first task."""
         return self.rules.all_tasks_done(job_id)
 
     # -- requests of users -----------------------------------------------------------------
@@ -107,7 +107,7 @@
         body: Any = None,
         timeout: timedelta = REQUEST_TIMEOUT,
     ) -> tuple[int, Any]:
-        """Send a user's request to one controller; status 0: there was no answer."""
+        """Send a user's request to one controller; status 0 means no answer."""
         request = Request(method, path, "", b"" if body is None else encode(body))
         address = CONTROLLER_ADDRESSES[f"c{number}"]
         try:
@@ -117,7 +117,7 @@
         return status, decode(dict, reply) if reply else {}
 
     async def submit(self, job_id: str) -> None:
-        """Ask one controller after the other until one accepts."""
+        """Submit a job to the controllers in turn until one accepts it."""
         for attempt in range(MAX_ATTEMPTS):
             if await self.submit_once(job_id, attempt % CONTROLLERS) in (200, 201):
                 return
@@ -125,9 +125,9 @@
         raise AssertionError(f"{job_id} was never accepted")
 
     async def submit_once(self, job_id: str, number: int, **changed: Any) -> int:
-        """Submit a job to one controller, for the first time or again; return the HTTP status.
+        """Submit a job to one controller, possibly again; return the HTTP status.
 
-        ``changed``: fields with other content than the job's.
+        ``changed`` are fields whose values replace those of the job.
         """
         before = self.answers.latest.get(job_id)
         spec = {**self.fleet.jobs[job_id].spec, **changed}
@@ -146,8 +146,8 @@
         return job_id
 
     async def status(self, job_id: str, number: int = 0) -> str | None:
-        """Ask one controller for a job's status, and check the answer against all earlier ones."""
-        # An answer may cross with one that was given to a later question.
+        """Ask one controller for a job's status, and check the answer against earlier answers."""
+        # Answers may arrive out of order, so compare with the newest answer at this time.
         before = self.answers.latest.get(job_id)
         asked_at = now_s()
         http_status, reply = await self.call(
@@ -162,14 +162,14 @@
         return status
 
     async def query_all_controllers(self, job_id: str) -> None:
-        """Ask all controllers about a job, and submit it again to each, within milliseconds."""
+        """Query all controllers for a job and resubmit it to each, concurrently."""
         async with curio.TaskGroup() as group:
             for number in range(CONTROLLERS):
                 await group.spawn(self.status, job_id, number)
                 await group.spawn(self.submit_once, job_id, number)
 
     async def cancel(self, job_id: str, number: int = 0) -> str | None:
-        """Cancel a job once; return the status answered, None if it is not confirmed."""
+        """Request the cancellation of a job once; return the status, or None if not confirmed."""
         self.answers.cancel_requested.add(job_id)
         before = self.answers.latest.get(job_id)
         asked_at = now_s()
@@ -184,36 +184,36 @@
     async def cancel_until_confirmed(
         self, job_id: str, number: int = 0, limit: int = MAX_ATTEMPTS
     ) -> str:
-        """Cancel a job each second at the next controller; return the first status answered."""
+        """Request a cancellation every second, at the controllers in turn; return the status."""
         for attempt in range(limit):
             status = await self.cancel(job_id, (number + attempt) % CONTROLLERS)
             if status is not None:
                 return status
             await curio.sleep(1)
-        raise AssertionError(f"the cancellation of {job_id} is never answered")
+        raise AssertionError(f"the cancellation of {job_id} was never confirmed")
 
     # -- waiting ---------------------------------------------------------------------------
 
     async def wait_until(self, condition: Callable[[], bool], limit: float = 120) -> float:
-        """Wait until a condition holds; return how many seconds that took."""
-        began = now_s()
+        """Wait until a condition holds; return the time in seconds that it took."""
+        started_at = now_s()
         while not condition():
-            assert now_s() - began < limit, "it never came"
+            assert now_s() - started_at < limit, "the condition never held"
             await curio.sleep(0.25)
-        return now_s() - began
+        return now_s() - started_at
 
     async def wait_until_done(self, job_id: str, limit: float = 200) -> None:
         """Wait until a job's status is ``done``."""
-        began = now_s()
+        started_at = now_s()
         number = 0
         while await self.status(job_id, number % CONTROLLERS) != "done":
-            assert now_s() - began < limit, f"{job_id} is never done"
+            assert now_s() - started_at < limit, f"{job_id} was never done"
             number += 1
             await curio.sleep(1)
 
 
 def leader_of(world: World) -> int:
-    """Return the number of the leader; fails if there is none."""
+    """Return the number of the leader; fail if there is none."""
     leader = world.leader()
     assert leader is not None
     return leader
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,11 +1,11 @@
-"""The list of tests that fail for a known fault: ``KNOWN-RED.txt`` at the root.
+"""The list of tests with known failures: ``KNOWN-RED.txt`` at the root.
 
-One entry a line: test, command and seed, what was seen, open issue, separated by `` | ``.
+Each line is one entry: test, command and seed, what was seen, open issue, separated by `` | ``.
 
     python -m tests.known_failures
 
-checks the list, prints it on standard error, and prints on standard output the arguments with which
-pytest passes over just these tests, one a line.  The exit code is 1 if the list can't be used.
+checks the list and prints it to standard error.  To standard output it prints the arguments that
+make pytest deselect exactly these tests, one per line.  The exit code is 1 if the list is invalid.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 LIST = ROOT / "KNOWN-RED.txt"
-#: More known failures than these are to be mended before anything else lands.
+#: With more known failures, some have to be fixed before any other change is merged.
 MAX_ENTRIES = 3
 SEPARATOR = " | "
-PARTS = ("test", "command and seed", "what was seen", "open issue")
+FIELDS = ("test", "command and seed", "what was seen", "open issue")
 ISSUE = re.compile(r"issue \d+\Z")
-#: A test's file and name, and the parameters in brackets if it has any.
+#: File and name of a test, and its parameters in brackets, if any.
 TEST_ID = re.compile(r"(?P<file>tests/\w+\.py)::(?P<name>test_\w+)(\[.+\])?\Z")
 
 
 class KnownFailuresError(Exception):
-    """The list can't be used; the text says which line is wrong, and how."""
+    """The list is invalid; the message names the entry and the error."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,9 +43,9 @@
 
 
 def parse(text: str, root: Path) -> list[KnownFailure]:
-    """Return the entries of a list whose tests are below ``root``.
+    """Return the entries of a list; their tests are files below ``root``.
 
-    Raises ``KnownFailuresError`` for the first fault.
+    Raises ``KnownFailuresError`` for the first invalid entry.
     """
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MAX_ENTRIES:
@@ -55,11 +55,11 @@
 
 def _parse_entry(number: int, line: str, root: Path) -> KnownFailure:
     parts = [part.strip() for part in line.split(SEPARATOR)]
-    for index, part in enumerate(PARTS):
+    for index, field in enumerate(FIELDS):
         if index >= len(parts) or not parts[index]:
-            raise KnownFailuresError(f"entry {number} lacks: {part}")
-    if len(parts) > len(PARTS):
-        raise KnownFailuresError(f"entry {number} has {len(parts)} parts instead of {len(PARTS)}")
+            raise KnownFailuresError(f"entry {number} lacks: {field}")
+    if len(parts) > len(FIELDS):
+        raise KnownFailuresError(f"entry {number} has {len(parts)} parts instead of {len(FIELDS)}")
     entry = KnownFailure(*parts)
     if not ISSUE.match(entry.issue):
         raise KnownFailuresError(f"entry {number}: not an open issue: {entry.issue!r}")
@@ -69,11 +69,11 @@
 
 
 def _exists(test: str, root: Path) -> bool:
-    found = TEST_ID.match(test)
-    if found is None:
+    match = TEST_ID.match(test)
+    if match is None:
         return False
-    file = root / found["file"]
-    definition = re.compile(rf"^(async )?def {found['name']}\(", re.MULTILINE)
+    file = root / match["file"]
+    definition = re.compile(rf"^(async )?def {match['name']}\(", re.MULTILINE)
     return file.is_file() and definition.search(file.read_text()) is not None
 
 
