--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -82,7 +82,7 @@
     """Play the history with this seed."""
     history = History(seed, faults_of(seed), split_jobs=split_jobs)
     broken = history.play()
-    return Outcome(history.line(), faults_of(seed), broken, history.gone_after)
+    return Outcome(history.line(), faults_of(seed), broken, history.stop_delays_s)
 
 
 # -- guards that can be disabled; each function disables one ------------------------------------
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -99,12 +99,12 @@
         )  # fmt: skip
         self._history = [entry for entry in self._history if entry[0] >= now - 3 * self._lag_s]
 
-    async def add(self, zone: str, spot: bool, up_in: float) -> str:
-        """Rent one machine whose boot takes ``up_in`` seconds; return its name."""
+    async def add(self, zone: str, spot: bool, boot_s: float) -> str:
+        """Rent one machine whose boot takes ``boot_s`` seconds; return its name."""
         self._machines_rented += 1
         name = f"i-{self._machines_rented:06d}"
         now = monotonic().total_seconds()
-        up_at = None if self._machines_rented in self.never_boot else now + up_in
+        up_at = None if self._machines_rented in self.never_boot else now + boot_s
         self.machines[name] = RentedMachine(
             name,
             f"10.1.{self._machines_rented // 250}.{self._machines_rented % 250 + 1}:9000",
@@ -148,7 +148,7 @@
         self.capacity[zone_and_spot] -= count
         self.rentals += count
         names = [
-            await self.add(*zone_and_spot, up_in=self.boot_s * self.boot_time_factor)
+            await self.add(*zone_and_spot, boot_s=self.boot_s * self.boot_time_factor)
             for _ in range(count)
         ]
         self._names_by_request[rental["hire"]] = names
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -114,24 +114,24 @@
     async def start(
         self,
         number: int,
-        earlier: bool = False,
+        before_dependencies: bool = False,
         before_levels: bool = False,
         build: Build | None = None,
         removed: int | None = None,
     ) -> None:
         """Start a controller.
 
-        ``earlier``: it behaves like the last version before dependent jobs.  ``before_levels``: it
-        behaves like the last version before feature levels.  ``build``: the levels that it knows.
-        ``removed``: a controller that its settings do not list.
+        ``before_dependencies``: it behaves like the last version before dependent jobs.
+        ``before_levels``: it behaves like the last version before feature levels.  ``build``: the
+        levels that it knows.  ``removed``: a controller that its settings do not list.
         """
         name = f"c{number}"
         process = self._processes[name] = HostProcess()
         changes = self.state.changes_per_s or CHANGES_PER_S
         platform = parse(settings(number, self.teams, self.announced, removed, changes))
         node: Controller
-        if earlier or before_levels:
-            network_type = NetworkBeforeDependencies if earlier else NetworkBeforeLevels
+        if before_dependencies or before_levels:
+            network_type = NetworkBeforeDependencies if before_dependencies else NetworkBeforeLevels
             network = network_type(self.network, name, process)
             options = Options(renew_leases_as_follower=before_levels)
             node = ControllerBeforeLevels(platform, network, options, renews_leases=before_levels)
--- a/tests/fakes/faults/context.py
+++ b/tests/fakes/faults/context.py
@@ -33,7 +33,7 @@
         #: Jobs whose last task has ended, as observed by the faults.
         self.ended: set[str] = set()
         #: Seconds from each cancellation confirmation until the job's last task had ended.
-        self.gone_after: list[float] = []
+        self.stop_delays_s: list[float] = []
 
     # -- draws -----------------------------------------------------------------------------
 
@@ -65,7 +65,7 @@
         await self.world.wait_until(
             lambda: not self.world.tasks_on_machines(job), limit=CANCEL_S + 5
         )
-        self.gone_after.append(now_s() - confirmed_at)
+        self.stop_delays_s.append(now_s() - confirmed_at)
 
     async def spawn_cancel(self, job: str, after: float = 0.0) -> None:
         """Start a task that cancels a job ``after`` seconds from now."""
--- a/tests/fakes/previous_versions.py
+++ b/tests/fakes/previous_versions.py
@@ -48,12 +48,12 @@
 UNKNOWN_KEYS = ("finished/", "part/", "leaving/")
 
 
-def forget(value: Any, fields: set[str] = ALL_FIELDS) -> Any:
+def drop_fields(value: Any, fields: set[str] = ALL_FIELDS) -> Any:
     """Return a message or record after a previous version has decoded and encoded it."""
     if isinstance(value, dict):
-        return {k: forget(v, fields) for k, v in value.items() if k not in fields}
+        return {k: drop_fields(v, fields) for k, v in value.items() if k not in fields}
     if isinstance(value, list):
-        return [forget(entry, fields) for entry in value]
+        return [drop_fields(entry, fields) for entry in value]
     return value
 
 
@@ -71,7 +71,7 @@
 
     def drop_unknown_fields(self, body: bytes) -> bytes:
         """Return a body without the fields that the version does not know."""
-        return encode(forget(decode(Any, body), self.unknown_fields)) if body else body
+        return encode(drop_fields(decode(Any, body), self.unknown_fields)) if body else body
 
     def server(self, address: tuple[str, int], handler: Handler, most: int) -> FakeServer:
         """Return a server that drops unknown fields in both directions."""
--- a/tests/fakes/records_of_previous_versions.py
+++ b/tests/fakes/records_of_previous_versions.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 #: MessagePack in hexadecimal, by the name of the record or message.
-WRITTEN: dict[str, str] = {
+ENCODED_RECORDS: dict[str, str] = {
     "leader": ("82aa636f6e74726f6c6c6572a6646f636b2d30a56c6561736507"),
     "job": (
         "82aa7375626d697373696f6ede0014a76e616d655f6964aa7265712d303030343132a46c616e65a5"
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -49,12 +49,12 @@
         #: Number of requests, without watches.
         self.requests = 0
         #: Number of transactions refused for their size.
-        self.refused = 0
+        self.oversized_transactions = 0
         self.largest_txn = 0
         #: Limit of changes per second, with a burst of one second's changes; None: no limit.
         self.changes_per_s: float | None = None
         #: Number of requests refused for the rate limit.
-        self.too_many = 0
+        self.rate_limited_requests = 0
         #: Number of changes requested.
         self.changes = 0
         #: Changes left in the token bucket, and when it was last updated.
@@ -126,7 +126,7 @@
         if self._exceeds_rate(len(changes)):
             return error(429, "too many changes")
         if self._exceeds_size(conditions, changes):
-            self.refused += 1
+            self.oversized_transactions += 1
             return error(400, "too large")
         self.largest_txn = max(self.largest_txn, len(changes))
         failed = [c["k"] for c in conditions if self._version(c["k"]) != c["stamp"]]
@@ -170,7 +170,7 @@
         now = monotonic().total_seconds()
         left = min(self.changes_per_s, left + (now - updated_at) * self.changes_per_s) - changes
         if left < 0:
-            self.too_many += 1
+            self.rate_limited_requests += 1
             return True
         self._bucket = (left, now)
         return False
--- a/tests/fakes/user_answers.py
+++ b/tests/fakes/user_answers.py
@@ -21,7 +21,7 @@
     latest_at: dict[str, float] = field(default_factory=dict)
     #: Answers that arrived after a newer one, to questions that were asked before the newer answer
     #: arrived: the job, and the delay in seconds.
-    overtaken: list[tuple[str, float]] = field(default_factory=list)
+    stale_answers: list[tuple[str, float]] = field(default_factory=list)
     #: Number of answers checked.
     count: int = 0
     cancel_confirmed_at: dict[str, float] = field(default_factory=dict)
@@ -42,7 +42,7 @@
         if newest in FINAL and status in FINAL and status != newest:
             return f"went_back {job_id}: {status} beside {newest}"
         if newest is not None and STAGES[status] < STAGES[newest]:
-            self.overtaken.append((job_id, now - self.latest_at[job_id]))
+            self.stale_answers.append((job_id, now - self.latest_at[job_id]))
             return None
         if newest is None or STAGES[status] > STAGES[newest]:
             self.latest_at[job_id] = now
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -75,7 +75,7 @@
     gang_wait_s: float
     gang_peer_s: float
     #: Called with "start", "done" or "exit", the worker and the attempt.
-    watch: TaskEventListener
+    on_task_event: TaskEventListener
     jobs: dict[str, Job] = field(default_factory=dict)
     workers: dict[str, FakeWorker] = field(default_factory=dict)
     fetch_gb_per_s: float = 1.0
@@ -152,7 +152,7 @@
         self.fleet.network.close(self.name)
         self.fleet.workers.pop(self.name, None)
 
-    def begin_anew(self) -> None:
+    def restart(self) -> None:
         """Restart the machine without any downtime.
 
         All tasks and images are lost, and incarnation and sequence start again from their first
@@ -188,7 +188,7 @@
             self.images.add(job.spec["build"])
             attempt.state = "waiting" if job.spec["shape"] == "gang" else "running"
             attempt.started = now
-            self.fleet.watch("start", self, attempt)
+            self.fleet.on_task_event("start", self, attempt)
             await self._send_soon()
             if self.name in self.fleet.faulty or job.fails:
                 await self._exit(attempt, "error")
@@ -232,12 +232,12 @@
                 await self._exit(attempt, "mates_gone")
                 return
         if job.spec["shape"] != "daemon" and now - attempt.started >= job.run_s - job.progress:
-            self.fleet.watch("done", self, attempt)
+            self.fleet.on_task_event("done", self, attempt)
             await self._exit(attempt, "done")
 
     async def _exit(self, attempt: TaskAttempt, why: str) -> None:
         attempt.state, attempt.why = "exited", why
-        self.fleet.watch("exit", self, attempt)
+        self.fleet.on_task_event("exit", self, attempt)
         await self._send_soon()
 
     async def _send_soon(self) -> None:
@@ -245,7 +245,7 @@
 
     # -- heartbeats ------------------------------------------------------------------------
 
-    def _on_heartbeat(self) -> dict[str, Any]:
+    def _next_heartbeat(self) -> dict[str, Any]:
         self.sequence += 1
         now = monotonic().total_seconds()
         return {
@@ -270,7 +270,7 @@
                 self.incarnation,
                 self._process_starts,
             )
-            status, body = await self._send(self._on_heartbeat())
+            status, body = await self._send(self._next_heartbeat())
             if process_start != self._process_starts:
                 continue
             if status == 200:
@@ -319,11 +319,11 @@
             await curio.sleep(0.2)
         message = decode(dict, request.body)
         if message["baton"] < self.token or message["shift"] != self.incarnation:
-            return answer(409, self._on_heartbeat())
+            return answer(409, self._next_heartbeat())
         await self._update_token(message["baton"])
         for command in message["orders"]:
             await self._execute(command)
-        return answer(200, self._on_heartbeat())
+        return answer(200, self._next_heartbeat())
 
     # -- commands --------------------------------------------------------------------------
 
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -33,20 +33,22 @@
         self,
         monkeypatch: Any,
         scenario: Callable[[World], Awaitable[None]],
-        earlier: bool = False,
+        before_dependencies: bool = False,
     ) -> World:
         """Run a scenario to its end; fail if it violates a rule of the protocol.
 
-        ``earlier``: the controllers behave like the last version before dependent jobs.
+        ``before_dependencies``: the controllers behave like the last version before dependent jobs.
         """
 
-        run_stepped(lambda: self._play(scenario, earlier), monkeypatch)
+        run_stepped(lambda: self._play(scenario, before_dependencies), monkeypatch)
         return self._without_violations()
 
-    async def _play(self, scenario: Callable[[World], Awaitable[None]], earlier: bool) -> None:
+    async def _play(
+        self, scenario: Callable[[World], Awaitable[None]], before_dependencies: bool
+    ) -> None:
         await self.start_services()
         for number in range(CONTROLLERS):
-            await self.start(number, earlier)
+            await self.start(number, before_dependencies)
         await scenario(self)
         await self._check_nothing_forgotten()
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -64,7 +64,7 @@
     async def start(
         self,
         number: int,
-        earlier: bool = False,
+        before_dependencies: bool = False,
         before_levels: bool = False,
         build: Build | None = None,
         removed: int | None = None,
@@ -123,14 +123,14 @@
         self,
         monkeypatch: Any,
         scenario: Callable[[World], Awaitable[None]],
-        earlier: bool = False,
+        before_dependencies: bool = False,
     ) -> World:
         """Run a scenario in real time; fails if a rule of the protocol was broken."""
 
         async def main() -> None:
             try:
                 await curio.spawn(self._watch_processes, daemon=True)
-                await self._play(scenario, earlier)
+                await self._play(scenario, before_dependencies)
             finally:
                 # Before the servers go: nothing may connect while they are shut down.
                 self.end_all()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -176,7 +176,7 @@
 
     async def scenario(world: World) -> None:
         unnamed: list[str] = []
-        watch = world.fleet.watch
+        watch = world.fleet.on_task_event
 
         def named(what: str, worker: Any, held: Any) -> None:
             if what == "start":
@@ -186,7 +186,7 @@
                     unnamed.append(held.task)
             watch(what, worker, held)
 
-        world.fleet.watch = named
+        world.fleet.on_task_event = named
         await world.wait_until(lambda: world.leader() is not None)
         if late:
             count = 0
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -260,7 +260,7 @@
         await world.wait_until(lambda: world.leader() is not None, limit=10)
         earlier = (leader_of(world) + 1) % 3
         world.crash(earlier)
-        await world.start(earlier, earlier=True)
+        await world.start(earlier, before_dependencies=True)
         service = await _start_service(world)
         world.state.outage = True
         await curio.sleep(3)
--- a/tests/test_partition_scenarios.py
+++ b/tests/test_partition_scenarios.py
@@ -229,10 +229,10 @@
 
     async def scenario(world: World) -> None:
         for _ in range(2):
-            await world.cloud.add("north", spot=False, up_in=0.5)
+            await world.cloud.add("north", spot=False, boot_s=0.5)
         await curio.sleep(8)
         leader = leader_of(world)
-        held = {name: worker._on_heartbeat() for name, worker in world.fleet.workers.items()}
+        held = {name: worker._next_heartbeat() for name, worker in world.fleet.workers.items()}
         job = await world.run_job("array", 1, run_s=60.0, accelerators=2.0)
         await world.wait_until(lambda: world.running(job) == 1)
         worker, _ = world.tasks_on_machines(job)[0]
@@ -307,7 +307,7 @@
     async def scenario(world: World) -> None:
         world.cloud.capacity.update(dict.fromkeys(world.cloud.capacity, 0))
         for _ in range(2):
-            await world.cloud.add("north", spot=False, up_in=0.5)
+            await world.cloud.add("north", spot=False, boot_s=0.5)
         job = await world.run_job("array", 3, run_s=12.0, image_gb=0.1, accelerators=2.0)
         await world.wait_until(lambda: world.running(job) == 2)
         leader = leader_of(world)
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -222,7 +222,7 @@
             _copy_heartbeats(world, 3, (0.5, 30.0))
             await curio.sleep(10)
         machine = workers_running(world, service)[0]
-        machine.begin_anew()
+        machine.restart()
         await world.wait_until(lambda: machine.name in world.cloud.releases, limit=6)
         # Another machine boots, and fetches the image.
         await world.wait_until(lambda: world.running(service) == 3, limit=20)
@@ -243,7 +243,7 @@
         await curio.sleep(0.3)
         await world.start(leader)
         for worker in list(world.fleet.workers.values())[::2]:
-            worker.begin_anew()
+            worker.restart()
         await curio.sleep(1.5)
         world.crash((leader + 1) % 3)
         await curio.sleep(0.2)
--- a/tests/test_reachability_rules.py
+++ b/tests/test_reachability_rules.py
@@ -75,7 +75,7 @@
         job = await world.run_job("array", 1, run_s=20.0)
         await world.wait_until(lambda: world.running(job) == 1)
         worker = workers_running(world, job)[0]
-        heartbeat = worker._on_heartbeat() | malformed
+        heartbeat = worker._next_heartbeat() | malformed
         for number in range(3):
             assert (await world.call(number, "POST", "/checkin", heartbeat))[0] == 400
         await world.wait_until_done(job)
@@ -92,7 +92,7 @@
             {"leg": "no task", "try": 1, "status": "running"},
             {"leg": "req-999999/0", "try": 1, "status": "dreaming"},
         ]
-        heartbeat = worker._on_heartbeat()
+        heartbeat = worker._next_heartbeat()
         heartbeat["legs"] = heartbeat["legs"] + odd
         assert (await world.call(leader_of(world), "POST", "/checkin", heartbeat))[0] == 200
         await world.wait_until_done(job)
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -65,7 +65,7 @@
         assert await world.cancel(job, other) == "cancelled"
         assert not asking.terminated
         assert await asking.join() in ("cancelled", 200)
-        assert world.answers.overtaken == []
+        assert world.answers.stale_answers == []
         assert world.answers.latest[job] == "cancelled"
 
     World().play(monkeypatch, scenario)
@@ -91,7 +91,7 @@
             await curio.sleep(0.05)
         assert not submitting.terminated
         assert await submitting.join() == 200
-        assert world.answers.overtaken == []
+        assert world.answers.stale_answers == []
 
     World().play(monkeypatch, scenario)
 
@@ -121,8 +121,8 @@
         assert asked > 3
         assert await world.status(job, number) == "done"
         if by_leader:
-            assert world.answers.overtaken == []
-        assert all(late <= SLOW + 0.05 for _, late in world.answers.overtaken)
+            assert world.answers.stale_answers == []
+        assert all(late <= SLOW + 0.05 for _, late in world.answers.stale_answers)
 
     World().play(monkeypatch, scenario)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -13,7 +13,7 @@
 from tests.fakes.network import HOLD
 from tests.fakes.world import World, leader_of
 
-BEFORE_PIPELINES: dict[str, Any] = {"earlier": True}
+BEFORE_PIPELINES: dict[str, Any] = {"before_dependencies": True}
 BEFORE_LEVELS: dict[str, Any] = {"before_levels": True}
 NEXT_BUILD: dict[str, Any] = {"build": Build("next", 0, 2)}
 SMALL_TASK: dict[str, Any] = {"image_gb": 0.1, "accelerators": 0.0, "run_s": 5.0}
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -182,7 +182,7 @@
 def test_an_idle_machine_that_nobody_rented_is_returned(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
         await curio.sleep(5)
-        name = await world.cloud.add("north", spot=False, up_in=1.0)
+        name = await world.cloud.add("north", spot=False, boot_s=1.0)
         await world.wait_until(lambda: name in world.cloud.releases, limit=120)
 
     World().play(monkeypatch, scenario)
@@ -192,7 +192,7 @@
     async def scenario(world: World) -> None:
         world.cloud.capacity.update(dict.fromkeys(world.cloud.capacity, 0))
         for _ in range(3):
-            await world.cloud.add("north", spot=False, up_in=0.5)
+            await world.cloud.add("north", spot=False, boot_s=0.5)
         batch = await world.run_job("array", 6, run_s=300.0, bookmark_s=5.0, stow_s=1.0)
         await world.wait_until(lambda: world.running(batch) == 6)
         live = await world.run_job("daemon", 1, rank="production", crew="blue")
@@ -205,7 +205,7 @@
     async def scenario(world: World) -> None:
         world.cloud.capacity.update(dict.fromkeys(world.cloud.capacity, 0))
         for _ in range(4):
-            await world.cloud.add("north", spot=False, up_in=0.5)
+            await world.cloud.add("north", spot=False, boot_s=0.5)
         greedy = await world.run_job("array", 8, run_s=400.0, crew="blue")
         await world.wait_until(lambda: world.running(greedy) == 8)
         poor = await world.run_job("array", 8, run_s=400.0)
--- a/tests/test_split_jobs_at_takeover.py
+++ b/tests/test_split_jobs_at_takeover.py
@@ -192,4 +192,4 @@
     and hand over at instants drawn from the seed."""
     history = History(seed, ["leader crash", "hand over"], split_jobs=True)
     assert history.play() == []
-    assert history.world.state.refused > 0
+    assert history.world.state.oversized_transactions > 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,9 +19,9 @@
 from micadeal.wire.codec import decode, encode, json_size
 from micadeal.wire.users import Shape, Status
 from tests.fakes.deployment_settings import ANNOUNCED_STATE_LIMITS
-from tests.fakes.previous_versions import forget
+from tests.fakes.previous_versions import drop_fields
 from tests.fakes.random_clusters import RandomDeployment
-from tests.fakes.records_of_previous_versions import WRITTEN
+from tests.fakes.records_of_previous_versions import ENCODED_RECORDS
 from tests.fakes.submissions import spec
 from tests.fakes.world import World
 
@@ -47,21 +47,21 @@
 LOW_LIMITS = Limits(150, 18, 5, 2048)
 
 
-@pytest.mark.parametrize("name", WRITTEN)
+@pytest.mark.parametrize("name", ENCODED_RECORDS)
 def test_messages_and_records_round_trip_through_earlier_version(name: str) -> None:
     """The earlier version's bytes decode; encoded again, they mean the same to it."""
-    before = bytes.fromhex(WRITTEN[name])
+    before = bytes.fromhex(ENCODED_RECORDS[name])
     found = decode(MESSAGE_TYPES[name], before)
     again = decode(Any, encode(found))
-    assert forget(again) == decode(Any, before)
+    assert drop_fields(again) == decode(Any, before)
 
 
 def test_earlier_version_loses_only_dependency_fields() -> None:
-    job = decode(records.JobRecord, bytes.fromhex(WRITTEN["job"]))
+    job = decode(records.JobRecord, bytes.fromhex(ENCODED_RECORDS["job"]))
     assert job.submission.prerequisites is None
     later = msgspec.structs.replace(job.submission, prerequisites=["req-000001"])
     record = records.JobRecord(later, job.submitted_at)
-    read = decode(records.JobRecord, encode(forget(decode(Any, encode(record)))))
+    read = decode(records.JobRecord, encode(drop_fields(decode(Any, encode(record)))))
     assert read == job
     # Split records, which only lower limits make necessary, must not decode as anything else.
     parts = split(record, Limits(150, 18, 5, 256))
@@ -86,7 +86,7 @@
         async def restart(number: int) -> None:
             world.crash(number)
             await curio.sleep(5)
-            await world.start(number, earlier=versions[number])
+            await world.start(number, before_dependencies=versions[number])
             await curio.sleep(5)
 
         for number in range(3):
@@ -105,9 +105,11 @@
             await world.wait_until_done(job)
         assert world.running(service) == 2
 
-    world = World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario, earlier=True)
+    world = World(announced=ANNOUNCED_STATE_LIMITS).play(
+        monkeypatch, scenario, before_dependencies=True
+    )
     assert all(count == 1 for count in world.rules.starts.values())
-    assert world.state.refused == 0
+    assert world.state.oversized_transactions == 0
 
 
 def test_largest_jobs_survive_lower_limits_and_failover(
@@ -158,7 +160,7 @@
         assert not [k for k in world.state.keys if k.startswith(("done/", "finished/", "part/"))]
 
     world = World(announced=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
-    assert world.state.refused < 12
+    assert world.state.oversized_transactions < 12
 
 
 @pytest.mark.parametrize("operations", [5, 2])
@@ -208,5 +210,5 @@
 
 
 def test_end_record_states_outcome() -> None:
-    end = decode(records.EndRecord, bytes.fromhex(WRITTEN["end_done"]))
+    end = decode(records.EndRecord, bytes.fromhex(ENCODED_RECORDS["end_done"]))
     assert end.status is Status.DONE and end.ended_at == 1790000100.5
