--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -82,7 +82,7 @@
     """Play the history with this seed."""
     history = History(seed, faults_of(seed), split_jobs=split_jobs)
     broken = history.play()
-    return Outcome(history.line(), faults_of(seed), broken, history.stop_delays_s)
+    return Outcome(history.describe(), faults_of(seed), broken, history.stop_delays_s)
 
 
 # -- guards that can be disabled; each function disables one ------------------------------------
@@ -236,7 +236,7 @@
     broken = history.play()
     if events_file is not None:
         events_file.write_text("".join(f"{event}\n" for event in history.events))
-    click.echo(f"{history.line()}: {'; '.join(broken[:MAX_SHOWN]) or 'nothing broke'}")
+    click.echo(f"{history.describe()}: {'; '.join(broken[:MAX_SHOWN]) or 'nothing broke'}")
     return 1 if broken else 0
 
 
--- a/tests/fakes/fault_histories.py
+++ b/tests/fakes/fault_histories.py
@@ -117,7 +117,7 @@
         self.events: list[str] = []
         world.network.on_sent = self._record_request
 
-    def line(self) -> str:
+    def describe(self) -> str:
         """Describe the history in one line."""
         faults = ", ".join(f"{f.name} at {f.at:.1f}" for f in sorted(self.faults, key=_start_time))
         renewal = "" if self.world.renew_leases_as_follower else ", followers renew no leases"
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -52,7 +52,7 @@
     if workers is None:
         workers = LARGE_WORKERS if seed % LARGE_EVERY == 0 else 0
     history = SoakHistory(seed, folder, workers, options.quiet_s)
-    click.echo(f"{history.line()}, {workers} more workers")
+    click.echo(f"{history.describe()}, {workers} more workers")
     began = time.monotonic()
     broken = history.play()
     forgotten = history.world.rules.forgotten
