--- a/tests/fakes/user_answers.py
+++ b/tests/fakes/user_answers.py
@@ -1,4 +1,4 @@
-"""Records the answers to users, and checks that answers about a job do not contradict."""
+"""Records the answers to users, and checks that the answers about a job are consistent."""
 
 from __future__ import annotations
 
