--- a/tests/test_split_jobs_at_takeover.py
+++ b/tests/test_split_jobs_at_takeover.py
@@ -200,4 +200,4 @@
     """
     history = History(seed, ["leader crash", "hand over"], split_jobs=True)
     assert history.play() == []
-    assert history.world.state.refused > 0
+    assert history.world.state.oversized_transactions > 0
