--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -164,8 +164,8 @@
 def _silence_before_our_token_frees(patch: pytest.MonkeyPatch) -> None:
     def expire(cluster: ClusterState, now: timedelta) -> None:
         for machine in list(cluster.machines.values()):
-            latest = machine.reachability.latest or cluster.term_start
-            if not machine.lease_expired and now - latest > cluster.workers.lease / 2:
+            last_message_at = machine.reachability.last_message_at or cluster.term_start
+            if not machine.lease_expired and now - last_message_at > cluster.workers.lease / 2:
                 machine.lease_expired = True
                 machine_loss.lose_all_attempts(cluster, machine, now)
 
--- a/bench/model_reachability.py
+++ b/bench/model_reachability.py
@@ -73,12 +73,12 @@
 
 
 def _any_absence(_: ClusterState, attempt: Attempt, *_others: object) -> bool:
-    return attempt.ordered is not None
+    return attempt.start_sent_in is not None
 
 
 def _first_message_only(self: Reachability, token: int, now: timedelta) -> None:
     self.token = max(self.token, token)
-    self.latest = now if self.latest is None else self.latest
+    self.last_message_at = now if self.last_message_at is None else self.last_message_at
 
 
 #: For each guard the class or module and the function whose replacement disables it.
--- a/bench/night_simulation.py
+++ b/bench/night_simulation.py
@@ -142,7 +142,7 @@
         tasks = [
             self._run(attempt, now)
             for attempt in list(machine.attempts.values())
-            if attempt.ordered is not None
+            if attempt.start_sent_in is not None
         ]
         heartbeat = Heartbeat(
             machine=name, address=machine.address or "10.0.0.1:9000",
--- a/bench/reachability_world.py
+++ b/bench/reachability_world.py
@@ -113,9 +113,9 @@
             yield Move.PROBE
         if self.process < MAX_PROCESSES:
             yield Move.RESTART
-        if self.machine is not None and self.machine.has_our_token and not self.job.attempts:
+        if self.machine is not None and self.machine.has_current_token and not self.job.attempts:
             yield Move.PLACE
-        if any(attempt.stop is None for attempt in self.job.all_attempts()):
+        if any(attempt.stop_grace is None for attempt in self.job.all_attempts()):
             yield Move.STOP
 
     def _moves_of_heartbeats(self) -> Iterator[Move]:
@@ -178,18 +178,21 @@
             (
                 attempt.number,
                 attempt.state,
-                attempt.stop,
-                attempt.ordered and (attempt.ordered[0], attempt.ordered[1] - self.sequence),
+                attempt.stop_grace,
+                attempt.start_sent_in
+                and (attempt.start_sent_in[0], attempt.start_sent_in[1] - self.sequence),
             )
             for attempt in machine.attempts.values()
         )
         return (
             machine.incarnation,
             machine.sequence - self.sequence,
-            machine.has_our_token,
+            machine.has_current_token,
             machine.lease_expired,
-            None if reachability.latest is None else self.at - reachability.latest,
-            None if machine.heard is None else self.at - machine.heard,
+            None
+            if reachability.last_message_at is None
+            else self.at - reachability.last_message_at,
+            None if machine.last_heartbeat_at is None else self.at - machine.last_heartbeat_at,
             reachability.token,
             reachability.ineffective_responses,
             reachability.restarted,
--- a/micadeal/fleet/boot_times.py
+++ b/micadeal/fleet/boot_times.py
@@ -57,7 +57,7 @@
         """Record that a machine whose rental time is known is up."""
         offer = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
         boots = self._boots.setdefault(offer, deque(maxlen=MAX_REMEMBERED_BOOTS))
-        boots.append(Boot(machine.rented, max(now - machine.rented, ZERO)))
+        boots.append(Boot(machine.rented_at, max(now - machine.rented_at, ZERO)))
 
     def is_late(self, machine: Machine, type_boot_time: timedelta, now: timedelta) -> bool:
         """Tell whether a booting machine is late, so that another may be rented in its place."""
@@ -94,5 +94,5 @@
 
 
 def _durations_since(boots: Iterable[Boot], machine: Machine, now: timedelta) -> list[timedelta]:
-    earliest = max(machine.rented - SAME_RENTAL_WINDOW, now - MAX_BOOT_AGE)
+    earliest = max(machine.rented_at - SAME_RENTAL_WINDOW, now - MAX_BOOT_AGE)
     return [boot.duration for boot in boots if boot.rented >= earliest]
--- a/micadeal/fleet/cloud.py
+++ b/micadeal/fleet/cloud.py
@@ -30,7 +30,7 @@
 #: Machines on one page of the list.
 LIST_PAGE_SIZE = 500
 #: Most machines returned with one request.
-MAX_RELEASES = 100
+MAX_MACHINES_PER_RELEASE = 100
 #: Most connections to the cloud's API.
 MAX_CONNECTIONS = 3
 #: Share of the cloud's request rate that is used.
@@ -109,12 +109,12 @@
         return _decode_response(MachineNames, status, body).machines
 
     async def release(self, names: list[str]) -> None:
-        """Return machines to the cloud, at most the first ``MAX_RELEASES`` of ``names``.
+        """Return the first of ``names`` to the cloud, at most ``MAX_MACHINES_PER_RELEASE``.
 
         Raises ``CloudError`` if it is unknown whether they were returned.
         """
         status, body = await self._request(
-            "POST", "/rentals/release", encode(MachineNames(names[:MAX_RELEASES]))
+            "POST", "/rentals/release", encode(MachineNames(names[:MAX_MACHINES_PER_RELEASE]))
         )
         if status != HTTPStatus.OK:
             raise CloudStatusError(status, body)
--- a/micadeal/fleet/machines.py
+++ b/micadeal/fleet/machines.py
@@ -57,7 +57,7 @@
     #: Name of the machine that the attempt is assigned to.
     machine: str
     #: When the attempt was placed, or when this leader first saw it.
-    placed: timedelta
+    placed_at: timedelta
     #: Key of the record in the state service that names the attempt.  None: not written yet, so
     #: the worker must not be commanded to start it.
     record: str | None = None
@@ -65,20 +65,20 @@
     state: TaskState | None = None
     #: The last heartbeat whose response commanded the start; None: this leader has never
     #: commanded it.
-    ordered: HeartbeatId | None = None
+    start_sent_in: HeartbeatId | None = None
     #: Grace period of the requested stop; None: no stop was requested.
-    stop: timedelta | None = None
+    stop_grace: timedelta | None = None
     #: When the stop was first requested.
     stop_since: timedelta | None = None
     #: When this leader first saw it running.
     running_since: timedelta | None = None
     #: Whether the previous leader had reported all tasks of the job as running.
-    started: bool = False
+    reported_started: bool = False
 
     @property
     def may_still_start(self) -> bool:
         """Whether the task may still start: it has not run, and its image may not be fetched."""
-        return not self.started and self.state in (None, TaskState.FETCHING)
+        return not self.reported_started and self.state in (None, TaskState.FETCHING)
 
     @property
     def key(self) -> AttemptKey:
@@ -91,7 +91,7 @@
         return f"{self.job_id}/{self.index}"
 
     @property
-    def durable(self) -> bool:
+    def recorded(self) -> bool:
         """Whether a record in the state service names the attempt, so that it may be started."""
         return self.record is not None
 
@@ -116,7 +116,7 @@
     #: Number of attempts that may be on the machine.
     tasks: int
     #: Number of those whose jobs do not allow spot machines.
-    bound_tasks: int
+    on_demand_tasks: int
     #: Images that it holds, not counting those being fetched.
     images: frozenset[str]
     fetching: frozenset[str]
@@ -135,7 +135,7 @@
     #: When this leader first learned of the machine.
     known_since: timedelta
     #: When it was rented: the earliest instant that any source gives.
-    rented: timedelta
+    rented_at: timedelta
 
     # -- newest heartbeat ------------------------------------------------------------------
 
@@ -143,7 +143,7 @@
     incarnation: int = 0
     sequence: int = 0
     #: Receipt of the newest heartbeat, not counting answers to commands.
-    heard: timedelta | None = None
+    last_heartbeat_at: timedelta | None = None
     #: Evidence from its messages about the connection in both directions.
     reachability: Reachability = field(default_factory=Reachability)
     #: Whether a record of an earlier leader names the machine, the cloud lists it, or this leader
@@ -151,7 +151,7 @@
     confirmed: bool = True
     #: Whether its worker has shown this leader's fencing token.  From then on the worker ignores
     #: earlier leaders.
-    has_our_token: bool = False
+    has_current_token: bool = False
     #: Receipt of its first message; None: it is still booting or silent.
     up_since: timedelta | None = None
     #: When the cloud reclaims the machine, by the reclaim notice that its worker passed on.
@@ -199,30 +199,30 @@
     #: Whether any of the cloud's lists has named it.
     listed: bool = False
     #: How many consecutive lists since then have not named it.
-    missing_lists: int = 0
+    absent_list_count: int = 0
 
     @property
     def up(self) -> bool:
         """Whether its worker has sent any message."""
         return self.up_since is not None
 
-    def usable(self, now: timedelta, silence: timedelta) -> bool:
+    def usable(self, now: timedelta, heartbeat_timeout: timedelta) -> bool:
         """Tell whether the machine may get new tasks.
 
         Its worker must have shown this leader's token, be reachable, and have sent a heartbeat
-        within ``silence``.  The machine must be neither drained nor about to be reclaimed, and its
-        lease must not have expired.
+        within ``heartbeat_timeout``.  The machine must be neither drained nor about to be
+        reclaimed, and its lease must not have expired.
         """
         return (
-            self.has_our_token
+            self.has_current_token
             and self.draining is None
-            and not self.reachability.receives_nothing
+            and not self.reachability.receives_no_responses
             and not self.lease_expired
             and self.reclaim_expected_at is None
-            and self.heard is not None
-            and now - self.heard <= silence
+            and self.last_heartbeat_at is not None
+            and now - self.last_heartbeat_at <= heartbeat_timeout
         )
 
     def age(self, now: timedelta) -> timedelta:
         """Return the time since the machine was rented."""
-        return max(now - self.rented, ZERO)
+        return max(now - self.rented_at, ZERO)
--- a/micadeal/fleet/reachability.py
+++ b/micadeal/fleet/reachability.py
@@ -42,7 +42,7 @@
     #: Receipt of its newest message, either a heartbeat or an answer to a command.  A response to
     #: an older heartbeat, however late it arrives, renews the lease only from when that heartbeat
     #: was sent, which is before this instant.
-    latest: timedelta | None = None
+    last_message_at: timedelta | None = None
     #: Consecutive responses without effect.
     ineffective_responses: int = 0
     #: When the first of these was noticed.
@@ -56,7 +56,7 @@
     def record_message(self, token: int, now: timedelta) -> None:
         """Record the receipt of a message that is newer than all earlier ones."""
         self.token = max(self.token, token)
-        self.latest = now
+        self.last_message_at = now
 
     def response_took_effect(self) -> None:
         """Record that a heartbeat showed the effect of an earlier response."""
@@ -68,41 +68,44 @@
         if self.first_ineffective_at is None:
             self.first_ineffective_at = now
 
-    def probe_answered(self, asked: timedelta) -> None:
-        """Record an answer to a probe sent at ``asked``."""
+    def probe_answered(self, probe_sent_at: timedelta) -> None:
+        """Record an answer to a probe sent at ``probe_sent_at``."""
         sent_after_failure = (
-            self.first_ineffective_at is not None and asked >= self.first_ineffective_at
+            self.first_ineffective_at is not None and probe_sent_at >= self.first_ineffective_at
         )
         if sent_after_failure and self.ineffective_responses < MAX_EXCUSED_FAILURES:
             self.response_took_effect()
 
-    def probe_unanswered(self, asked: timedelta) -> None:
-        """Record that a probe sent at ``asked`` was not answered.
+    def probe_unanswered(self, probe_sent_at: timedelta) -> None:
+        """Record that a probe sent at ``probe_sent_at`` was not answered.
 
         One response without effect and one unanswered probe make the machine unreachable.
         """
-        if self.first_ineffective_at is not None and asked >= self.first_ineffective_at:
+        if self.first_ineffective_at is not None and probe_sent_at >= self.first_ineffective_at:
             self.ineffective_responses = max(self.ineffective_responses, UNREACHABLE_AFTER)
 
     @property
-    def receives_nothing(self) -> bool:
+    def receives_no_responses(self) -> bool:
         """Whether the machine counts as unreachable for responses and commands."""
         return self.ineffective_responses >= UNREACHABLE_AFTER
 
-    def receives_nothing_for(self, now: timedelta) -> timedelta:
+    def no_responses_for(self, now: timedelta) -> timedelta:
         """Return how long the machine has been unreachable; zero if it is reachable."""
-        if self.first_ineffective_at is None or not self.receives_nothing:
+        if self.first_ineffective_at is None or not self.receives_no_responses:
             return ZERO
         return now - self.first_ineffective_at
 
-    def proves_restart(self, asked: timedelta | None) -> bool:
+    def proves_restart(self, probe_sent_at: timedelta | None) -> bool:
         """Tell whether a message that looks old proves that the worker process was restarted.
 
-        ``asked``: when the probe that it answers was sent, None if it answers no probe.  Only an
-        answer to a probe sent after the receipt of the newest message is proof.  A probe sent at
-        the same clock reading is not enough: the clock moves in steps, so the order is unknown.
+        ``probe_sent_at``: when the probe that it answers was sent, None if it answers no probe.
+        Only an answer to a probe sent after the receipt of the newest message is proof.  A probe
+        sent at the same clock reading is not enough: the clock moves in steps, so the order is
+        unknown.
         """
-        return asked is not None and (self.latest is None or asked > self.latest)
+        return probe_sent_at is not None and (
+            self.last_message_at is None or probe_sent_at > self.last_message_at
+        )
 
     def may_probe(self, now: timedelta) -> bool:
         """Tell whether enough time has passed since the last probe to send another."""
--- a/micadeal/placement/bin_packing.py
+++ b/micadeal/placement/bin_packing.py
@@ -61,7 +61,7 @@
     stage = 2 if capacity.planned else 0 if capacity.up else 1
     # A service pays for the idle rest of its machine until it is cancelled.  So sharing a machine
     # with other services matters more than finding the image cached.
-    unshared = 1 if spec.shape is Shape.SERVICE and not capacity.bound_tasks else 0
+    unshared = 1 if spec.shape is Shape.SERVICE and not capacity.on_demand_tasks else 0
     strands_accelerators = 1 if not spec.gpus and capacity.gpus > EPSILON else 0
     return (
         stage,
@@ -82,7 +82,7 @@
     An on-demand machine is not used for a task that may run on a cheaper spot machine, unless spot
     machines are scarce or tasks bound to on-demand machines run there anyway.
     """
-    return bool(capacity.spot or capacity.bound_tasks or spot_scarce or not spec.spot_allowed)
+    return bool(capacity.spot or capacity.on_demand_tasks or spot_scarce or not spec.spot_allowed)
 
 
 def choose_machine(
--- a/micadeal/placement/machine_capacity.py
+++ b/micadeal/placement/machine_capacity.py
@@ -71,7 +71,7 @@
     fetching: frozenset[str] = frozenset()
     tasks: int = 0
     #: Tasks on it that must not run on a spot machine.
-    bound_tasks: int = 0
+    on_demand_tasks: int = 0
     #: Tasks booked in this cycle.
     booked: int = 0
     #: Position in the cycle, which decides between equally good machines.
@@ -119,7 +119,7 @@
         self.tasks += 1
         self.booked += 1
         if not spec.spot_allowed:
-            self.bound_tasks += 1
+            self.on_demand_tasks += 1
 
     def unbook(self, spec: Submission) -> None:
         """Add the resources of one task back; undoes ``book``."""
@@ -129,4 +129,4 @@
         self.tasks -= 1
         self.booked -= 1
         if not spec.spot_allowed:
-            self.bound_tasks -= 1
+            self.on_demand_tasks -= 1
--- a/micadeal/scheduling/attempts.py
+++ b/micadeal/scheduling/attempts.py
@@ -34,8 +34,8 @@
         for other in job.all_attempts()
         if other is not attempt and other.number == attempt.number
     ]
-    if attempt.state is TaskState.SAVING or attempt.stop is not None:
+    if attempt.state is TaskState.SAVING or attempt.stop_grace is not None:
         # An orderly stop: members that are being stopped save and exit by themselves.
-        members = [member for member in members if member.stop is None]
+        members = [member for member in members if member.stop_grace is None]
     for member in members:
         cluster.stop(member, ZERO, now)
--- a/micadeal/scheduling/capacity.py
+++ b/micadeal/scheduling/capacity.py
@@ -53,7 +53,7 @@
 ) -> bool:
     """Return whether capacity may be reserved on a machine that can't get work yet."""
     if machine.up:
-        return not machine.has_our_token and not _token_overdue(machine, now, timeout)
+        return not machine.has_current_token and not _token_overdue(machine, now, timeout)
     # If its boot is overdue, pending work gets capacity elsewhere.  If it comes up after all, it is
     # used or returned.
     return not cluster.boot_times.is_late(machine, seconds(kind.boot_s), now)
@@ -66,7 +66,7 @@
     delayed by the network.
     """
     return (
-        machine.reachability.receives_nothing
+        machine.reachability.receives_no_responses
         or machine.up_since is None
         or now - machine.up_since > timeout
     )
@@ -111,7 +111,7 @@
         free.images,
         free.fetching,
         free.tasks,
-        free.bound_tasks,
+        free.on_demand_tasks,
         0,
         order,
         machine.reserved_for if machine.preempted_for is None else machine.preempted_for.job_id,
@@ -121,7 +121,7 @@
 
 def _free_capacity(cluster: ClusterState, machine: Machine, kind: MachineType) -> FreeCapacity:
     cpus, gpus, memory_gb = kind.cpus, kind.gpus, kind.memory_gb
-    bound_tasks = 0
+    on_demand_tasks = 0
     fetching: set[str] = set()
     for attempt in machine.attempts.values():
         spec = cluster.jobs[attempt.job_id].spec
@@ -129,7 +129,7 @@
         gpus -= spec.gpus
         memory_gb -= spec.memory_gb
         if not spec.spot_allowed:
-            bound_tasks += 1
+            on_demand_tasks += 1
         if attempt.running_since is None and spec.image in machine.images:
             fetching.add(spec.image)
     return FreeCapacity(
@@ -137,7 +137,7 @@
         gpus,
         memory_gb,
         len(machine.attempts),
-        bound_tasks,
+        on_demand_tasks,
         frozenset(_cached_images(cluster, machine, kind) - fetching),
         frozenset(fetching),
     )
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -222,14 +222,14 @@
 
     def stop(self, attempt: Attempt, grace: timedelta, now: timedelta) -> None:
         """Request the stop of an attempt; of two grace periods the shorter one applies."""
-        if attempt.stop is not None and attempt.stop <= grace:
+        if attempt.stop_grace is not None and attempt.stop_grace <= grace:
             return
-        attempt.stop = grace
+        attempt.stop_grace = grace
         if attempt.stop_since is None:
             attempt.stop_since = now
         if (
             attempt.state is None
-            and attempt.ordered is None
+            and attempt.start_sent_in is None
             and self.placed_by_this_leader(attempt)
         ):
             # Its start command was never sent, so there is nothing to stop.
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -162,7 +162,7 @@
     timeout = cluster.workers.heartbeat_interval * UNRESPONSIVE_AFTER_INTERVALS
     if machine.draining or machine.reclaim_expected_at is not None:
         line.draining += 1
-    elif machine.heard is None or now - machine.heard > timeout:
+    elif machine.last_heartbeat_at is None or now - machine.last_heartbeat_at > timeout:
         line.unresponsive += 1
     else:
         line.up += 1
@@ -198,7 +198,7 @@
         return "failed tasks of several jobs and are being emptied"
     if machine.reclaim_expected_at is not None:
         return "about to be taken by the cloud"
-    if machine.reachability.receives_nothing:
+    if machine.reachability.receives_no_responses:
         return "report, but don't hear us, and get nothing new"
     kind = cluster.types.get(machine.machine_type)
     if machine.up or kind is None:
--- a/micadeal/scheduling/job_reasons.py
+++ b/micadeal/scheduling/job_reasons.py
@@ -87,7 +87,7 @@
 
 def _starting_text(attempt: Attempt) -> str | None:
     """Return the state of an attempt that is starting or being stopped, or None."""
-    if attempt.stop is not None:
+    if attempt.stop_grace is not None:
         return "is being stopped"
     match attempt.state:
         case None:
--- a/micadeal/scheduling/machine_inventory.py
+++ b/micadeal/scheduling/machine_inventory.py
@@ -48,10 +48,10 @@
                 self._update_listed(entry, now)
         for machine in self._cluster.machines.values():
             if machine.name not in present and machine.listed:
-                machine.missing_lists += 1
+                machine.absent_list_count += 1
 
     def _update_listed(self, entry: ListedMachine, now: timedelta) -> None:
-        rented = now - seconds(entry.age_s)
+        rented_at = now - seconds(entry.age_s)
         machine = self._cluster.machines.get(entry.name)
         if machine is None:
             # Rented by an earlier leader, or by a request that the cloud executed late.
@@ -62,13 +62,13 @@
                 entry.zone,
                 entry.spot,
                 now,
-                rented,
+                rented_at,
             )
             self._cluster.machines[entry.name] = machine
             self._cluster.changed = True
-        machine.rented = min(machine.rented, rented)
+        machine.rented_at = min(machine.rented_at, rented_at)
         machine.address = machine.address or entry.address
-        machine.missing_lists = 0
+        machine.absent_list_count = 0
         machine.listed = machine.confirmed = True
         machine.listed_failed |= entry.status == LISTED_FAILED
         machine.listed_running |= entry.status == LISTED_RUNNING
--- a/micadeal/scheduling/machine_loss.py
+++ b/micadeal/scheduling/machine_loss.py
@@ -23,10 +23,10 @@
     """
     limit = cluster.lease_expiry
     for machine in list(cluster.machines.values()):
-        latest = machine.reachability.latest
-        if machine.lease_expired or latest is None or not machine.has_our_token:
+        last_message_at = machine.reachability.last_message_at
+        if machine.lease_expired or last_message_at is None or not machine.has_current_token:
             continue
-        if now - latest > limit:
+        if now - last_message_at > limit:
             machine.lease_expired = True
             cluster.changed = True
             log.info(
--- a/micadeal/scheduling/machine_monitor.py
+++ b/micadeal/scheduling/machine_monitor.py
@@ -50,9 +50,12 @@
         lease_expiry = self._cluster.lease_expiry
         reporting = unreachable = 0
         for machine in list(self._cluster.machines.values()):
-            if machine.heard is not None and now - machine.heard <= lease_expiry:
+            if (
+                machine.last_heartbeat_at is not None
+                and now - machine.last_heartbeat_at <= lease_expiry
+            ):
                 reporting += 1
-                unreachable += machine.reachability.receives_nothing
+                unreachable += machine.reachability.receives_no_responses
             if machine.release_requested is None:
                 self._return_or_drain(machine, plan, now)
                 self._request_contact(machine, now)
@@ -82,7 +85,7 @@
         # worker in another incarnation can refuse it, so it is repeated.  Otherwise an earlier
         # leader that lost only the state service could keep answering the worker, and this leader
         # could not stop its tasks.
-        lacks_token = bool(machine.attempts) and not machine.has_our_token
+        lacks_token = bool(machine.attempts) and not machine.has_current_token
         if (lacks_token or _has_stopping_task(machine)) and now >= self._direct_due.get(
             machine.name, ZERO
         ):
@@ -90,7 +93,7 @@
         reachability = machine.reachability
         if (
             reachability.ineffective_responses
-            and reachability.receives_nothing
+            and reachability.receives_no_responses
             and reachability.may_probe(now)
         ):
             # An answer proves that it receives messages again.
@@ -120,6 +123,6 @@
 def _has_stopping_task(machine: Machine) -> bool:
     # A loop: for most machines a generator would cost more than the rest of the tick.
     for attempt in machine.attempts.values():  # noqa: SIM110 - see above
-        if attempt.stop is not None:
+        if attempt.stop_grace is not None:
             return True
     return False
--- a/micadeal/scheduling/preemption.py
+++ b/micadeal/scheduling/preemption.py
@@ -112,7 +112,9 @@
         names: set[str] = set()
         for job in self._cluster.live_jobs():
             if (job.production or job.is_service) and not job.spec.spot_allowed:
-                names |= {attempt.machine for attempt in job.all_attempts() if attempt.stop is None}
+                names |= {
+                    attempt.machine for attempt in job.all_attempts() if attempt.stop_grace is None
+                }
         return names
 
     def _capacities_after_stops(self) -> dict[str, MachineCapacity]:
@@ -124,7 +126,7 @@
             if capacity is None:
                 continue
             for attempt in machine.attempts.values():
-                if attempt.stop is not None:
+                if attempt.stop_grace is not None:
                     capacity.unbook(self._cluster.jobs[attempt.job_id].spec)
         return capacities
 
@@ -197,7 +199,7 @@
         else:
             groups = [[attempt] for attempt in job.all_attempts()]
         for group in groups:
-            running = [attempt for attempt in group if attempt.stop is None]
+            running = [attempt for attempt in group if attempt.stop_grace is None]
             if not running:
                 continue
             victim = _victim(job, running)
@@ -212,7 +214,7 @@
         job.id,
         spec.team,
         job.rank,
-        min(attempt.placed for attempt in running),
+        min(attempt.placed_at for attempt in running),
         tuple(FreedAmounts(a.machine, spec.cpus, spec.gpus, spec.memory_gb) for a in running),
         job.units * len(running),
         None if job.is_gang else running[0].index,
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -66,7 +66,7 @@
     if is_heartbeat:
         _record_heartbeat(cluster, machine, now)
     _update_reclaim_notice(cluster, machine, heartbeat, now)
-    if reachability.receives_nothing:
+    if reachability.receives_no_responses:
         withdraw_unconfirmed_starts(cluster, machine, now)
     reconcile_tasks(cluster, machine, heartbeat, now, is_heartbeat)
     return machine
@@ -124,9 +124,11 @@
     If newer messages arrived recently, this one is a late copy.  Many late copies are no reason to
     probe hundreds of machines.
     """
-    latest = machine.reachability.latest
+    last_message_at = machine.reachability.last_message_at
     overdue = cluster.workers.heartbeat_interval * PROBE_AFTER_INTERVALS
-    return (latest is None or now - latest > overdue) and machine.reachability.may_probe(now)
+    return (
+        last_message_at is None or now - last_message_at > overdue
+    ) and machine.reachability.may_probe(now)
 
 
 def _handle_worker_restart(
@@ -169,14 +171,14 @@
         machine.exited.clear()
     machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
     machine.address = heartbeat.address
-    had_token = machine.has_our_token
-    machine.has_our_token = heartbeat.token == cluster.token
-    if machine.has_our_token and not had_token:
+    had_token = machine.has_current_token
+    machine.has_current_token = heartbeat.token == cluster.token
+    if machine.has_current_token and not had_token:
         cluster.changed = True
 
 
 def _record_heartbeat(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
-    machine.heard = now
+    machine.last_heartbeat_at = now
     if machine.lease_expired:
         machine.lease_expired = False
         cluster.changed = True
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -88,17 +88,18 @@
         # Only a response of an earlier leader can start it.  The worker drops such responses once
         # it has seen this leader's token; until then a delayed heartbeat proves nothing.
         # Guards ``ran_twice``: with two leaders, one delayed heartbeat would break it.
-        return machine.has_our_token
-    if attempt.ordered is None:
+        return machine.has_current_token
+    if attempt.start_sent_in is None:
         return False
     if not is_heartbeat:
         # The worker may answer a command while the response with the start is in transit.
         return False
-    # The worker has one heartbeat in flight at a time.  It sent a heartbeat newer than ``ordered``
-    # after it had processed or given up on the response with the start, and that heartbeat does not
-    # show the task.  An attempt that is not to be stopped stays: its start command is sent again.
+    # The worker has one heartbeat in flight at a time.  It sent a heartbeat newer than
+    # ``start_sent_in`` after it had processed or given up on the response with the start, and that
+    # heartbeat does not show the task.  An attempt that is not to be stopped stays: its start
+    # command is sent again.
     latest = (machine.incarnation, machine.sequence)
-    return attempt.stop is not None and attempt.ordered < latest
+    return attempt.stop_grace is not None and attempt.start_sent_in < latest
 
 
 def _update_task_state(
@@ -143,7 +144,7 @@
         job.spec.job_class,
         machine.name,
         (now - job.ready).total_seconds(),
-        (now - attempt.placed).total_seconds(),
+        (now - attempt.placed_at).total_seconds(),
     )
 
 
--- a/micadeal/scheduling/response_effects.py
+++ b/micadeal/scheduling/response_effects.py
@@ -32,12 +32,12 @@
     starts = [
         attempt
         for attempt in machine.attempts.values()
-        if attempt.state is None and attempt.ordered is not None
+        if attempt.state is None and attempt.start_sent_in is not None
     ]
     if (
         not starts
         and shows_our_token
-        and machine.has_our_token
+        and machine.has_current_token
         and heartbeat.incarnation == machine.incarnation
     ):
         # The last response asked for nothing that a message could show.
@@ -45,23 +45,25 @@
     reachability = machine.reachability
     shown = {(task.task, task.attempt) for task in heartbeat.tasks}
     started = any((attempt.task, attempt.number) in shown for attempt in starts)
-    if started or (shows_our_token and not machine.has_our_token):
+    if started or (shows_our_token and not machine.has_current_token):
         reachability.response_took_effect()
         return
-    if not is_heartbeat or machine.heard is None:
+    if not is_heartbeat or machine.last_heartbeat_at is None:
         # The message may have been sent while the response was in transit.
         return
     latest = (machine.incarnation, machine.sequence)
-    start_missing = any(attempt.ordered == latest and attempt.stop is None for attempt in starts)
+    start_missing = any(
+        attempt.start_sent_in == latest and attempt.stop_grace is None for attempt in starts
+    )
     lease_not_renewed = (
         heartbeat.incarnation > machine.incarnation
-        and now - machine.heard < cluster.workers.lease * UNRENEWED_LEASE_SHARE
+        and now - machine.last_heartbeat_at < cluster.workers.lease * UNRENEWED_LEASE_SHARE
     )
     if start_missing or lease_not_renewed or not shows_our_token:
         reachability.response_had_no_effect(now)
         if reachability.may_probe(now):
             cluster.pending_probes.add(machine.name)
-        cluster.changed |= reachability.receives_nothing
+        cluster.changed |= reachability.receives_no_responses
 
 
 def withdraw_unconfirmed_starts(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
@@ -75,7 +77,7 @@
         if (
             attempt.state is None
             and cluster.placed_by_this_leader(attempt)
-            and attempt.stop is None
+            and attempt.stop_grace is None
         ):
             stop_gang_members(cluster, attempt, now)
             cluster.stop(attempt, ZERO, now)
--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -98,7 +98,10 @@
             return self._reason_not_up(machine, now)
         if (reason := self._reason_lost(machine, now)) is not None:
             return reason
-        if machine.heard is None or now - machine.heard > self._lease_expiry:
+        if (
+            machine.last_heartbeat_at is None
+            or now - machine.last_heartbeat_at > self._lease_expiry
+        ):
             return self._reason_no_heartbeat(machine, now)
         return self._reason_in_contact(machine, plan, now)
 
@@ -111,7 +114,7 @@
             limit = self._lease_expiry + UNREACHABLE_WITH_TASKS_TIMEOUT
             return ReturnReason.NO_HEARTBEAT_SINCE_FAILOVER if waited > limit else None
         if (
-            machine.missing_lists > MAX_MISSING_LISTS
+            machine.absent_list_count > MAX_MISSING_LISTS
             and now - machine.known_since > UNLISTED_TIMEOUT
         ):
             return ReturnReason.UNLISTED
@@ -135,7 +138,7 @@
         """Return why a machine is of no use although its lease may still be valid, or None."""
         if self._is_probably_gone(machine, now):
             return ReturnReason.RECLAIMED
-        if not machine.has_our_token and self._is_unknown(machine, now):
+        if not machine.has_current_token and self._is_unknown(machine, now):
             return ReturnReason.UNKNOWN
         if machine.reachability.ineffective_responses and self._lease_expired_without_responses(
             machine, now
@@ -149,15 +152,15 @@
         Returning it is then better than waiting for its lease to expire: the cloud's confirmation
         is certain, and its tasks start elsewhere sooner.
         """
-        if machine.heard is None or (
-            machine.reclaim_expected_at is None and machine.missing_lists <= 1
+        if machine.last_heartbeat_at is None or (
+            machine.reclaim_expected_at is None and machine.absent_list_count <= 1
         ):
             return False
-        silence = now - machine.heard
+        silence = now - machine.last_heartbeat_at
         heartbeat = self._cluster.workers.heartbeat_interval
         if machine.reclaim_expected_at is not None and now > machine.reclaim_expected_at:
             return silence > heartbeat * RECLAIMED_TIMEOUT_HEARTBEATS
-        return machine.missing_lists > 1 and silence > heartbeat * MAX_MISSED_HEARTBEATS
+        return machine.absent_list_count > 1 and silence > heartbeat * MAX_MISSED_HEARTBEATS
 
     def _is_unknown(self, machine: Machine, now: timedelta) -> bool:
         """Return whether a machine known from heartbeats alone failed to show the current token.
@@ -175,15 +178,19 @@
         This holds regardless of what was answered to it: its tasks were moved or are lost.
         """
         return (
-            machine.reachability.receives_nothing_for(now) > self._lease_expiry
+            machine.reachability.no_responses_for(now) > self._lease_expiry
             and not self._own_responses_lost
         )
 
     def _reason_no_heartbeat(self, machine: Machine, now: timedelta) -> str | None:
-        last_message_at = machine.reachability.latest if machine.lease_expired else machine.heard
+        last_message_at = (
+            machine.reachability.last_message_at
+            if machine.lease_expired
+            else machine.last_heartbeat_at
+        )
         silence = now - max(last_message_at or machine.up_since or now, self._observing_since)
         if (
-            machine.missing_lists > MAX_MISSING_LISTS
+            machine.absent_list_count > MAX_MISSING_LISTS
             or silence > self._lease_expiry + UNREACHABLE_TIMEOUT
         ):
             return ReturnReason.NO_HEARTBEAT
--- a/micadeal/scheduling/status_counts.py
+++ b/micadeal/scheduling/status_counts.py
@@ -90,7 +90,7 @@
         """Log how soon after the failover machines sent heartbeats; until then they get no work."""
         machines = self._cluster.machines.values()
         known = [machine for machine in machines if machine.attempts or machine.up]
-        reporting = sum(1 for machine in known if machine.heard is not None)
+        reporting = sum(1 for machine in known if machine.last_heartbeat_at is not None)
         while self._pending_shares and known and reporting >= self._pending_shares[0] * len(known):
             share = self._pending_shares.pop(0)
             log.info(
--- a/micadeal/scheduling/warm_capacity.py
+++ b/micadeal/scheduling/warm_capacity.py
@@ -56,7 +56,7 @@
     caches more of the job class's images ranks better, since a fetch takes longer than such work
     may wait.
     """
-    shared = capacity.up and (capacity.bound_tasks > 0 or work.spec.spot_allowed)
+    shared = capacity.up and (capacity.on_demand_tasks > 0 or work.spec.spot_allowed)
     images = len(capacity.images & work.images) if capacity.up else 0
     return (
         0 if shared else 1,
--- a/micadeal/scheduling/worker_commands.py
+++ b/micadeal/scheduling/worker_commands.py
@@ -20,7 +20,11 @@
         return commands
     if machine.exited:
         commands += _forget_commands(cluster, machine)
-    if not machine.has_our_token or machine.lease_expired or machine.reachability.receives_nothing:
+    if (
+        not machine.has_current_token
+        or machine.lease_expired
+        or machine.reachability.receives_no_responses
+    ):
         return commands
     commands += _start_commands(cluster, machine)
     return commands
@@ -29,9 +33,9 @@
 def stop_commands_for(cluster: ClusterState, machine: Machine) -> list[Command]:
     """Return the stop commands for a machine; they may be sent at any time and repeated."""
     return [
-        Command(CommandKind.STOP, attempt.task, attempt.number, attempt.stop.total_seconds())
+        Command(CommandKind.STOP, attempt.task, attempt.number, attempt.stop_grace.total_seconds())
         for attempt in machine.attempts.values()
-        if attempt.stop is not None
+        if attempt.stop_grace is not None
         and (attempt.state is not None or not cluster.placed_by_this_leader(attempt))
     ]
 
@@ -57,13 +61,13 @@
     commands: list[Command] = []
     for attempt in machine.attempts.values():
         # The most selective conditions come first: this runs with each heartbeat.
-        if attempt.state is not None or attempt.stop is not None:
+        if attempt.state is not None or attempt.stop_grace is not None:
             continue
-        if attempt.durable and cluster.placed_by_this_leader(attempt):
+        if attempt.recorded and cluster.placed_by_this_leader(attempt):
             violation = find_start_violation(cluster, machine, attempt)
             if violation is not None:
                 report_violation(violation.invariant, attempt.task, violation.reason)
                 continue
-            attempt.ordered = HeartbeatId(machine.incarnation, machine.sequence)
+            attempt.start_sent_in = HeartbeatId(machine.incarnation, machine.sequence)
             commands.append(Command(CommandKind.START, attempt.task, attempt.number))
     return commands
--- a/micadeal/zones/zone_monitor.py
+++ b/micadeal/zones/zone_monitor.py
@@ -109,7 +109,9 @@
                 continue
             if not machine.up and not machine.attempts:
                 continue
-            last_heartbeat_at = max(machine.heard or self._observing_since, self._observing_since)
+            last_heartbeat_at = max(
+                machine.last_heartbeat_at or self._observing_since, self._observing_since
+            )
             count.machines += 1
             count.unreachable += now - last_heartbeat_at > heartbeat_timeout
             count.ended += machine.lease_expired
--- a/tests/fakes/random_clusters.py
+++ b/tests/fakes/random_clusters.py
@@ -91,7 +91,7 @@
         tasks = [
             TaskStatus(a.task, a.number, "running")
             for a in machine.attempts.values()
-            if a.ordered is not None and a.stop is None
+            if a.start_sent_in is not None and a.stop_grace is None
         ]
         for task in tasks[:done]:
             task.state, task.why = "exited", "done"
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -156,9 +156,9 @@
     load_placements(cluster, "placed/6/2", runs, ZERO)
     load_placements(cluster, "placed/6/1", PlacedRecord([placed("gone", 0, 5)]), ZERO)
     remove_machine(cluster, "gone", seconds(20))
-    assert [(attempt.number, attempt.stop) for attempt in job.all_attempts()] == [
+    assert [(attempt.number, attempt.stop_grace) for attempt in job.all_attempts()] == [
         (6, None),
         (6, None),
     ]
     remove_machine(cluster, "n", seconds(21))
-    assert [(attempt.number, attempt.stop) for attempt in job.all_attempts()] == [(6, ZERO)]
+    assert [(attempt.number, attempt.stop_grace) for attempt in job.all_attempts()] == [(6, ZERO)]
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -93,7 +93,7 @@
         (name, a.job_id, a.index, a.number)
         for name, machine in deployment.cluster.machines.items()
         for a in machine.attempts.values()
-        if a.ordered is not None
+        if a.start_sent_in is not None
     }
 
 
--- a/tests/test_reachability_rules.py
+++ b/tests/test_reachability_rules.py
@@ -25,22 +25,23 @@
 def test_missing_effects_make_a_machine_unreachable_and_answered_probes_end_that() -> None:
     reachability = Reachability()
     reachability.response_had_no_effect(seconds(1))
-    assert not reachability.receives_nothing
+    assert not reachability.receives_no_responses
     reachability.probe_unanswered(seconds(0))
-    assert not reachability.receives_nothing
+    assert not reachability.receives_no_responses
     reachability.probe_unanswered(seconds(2))
-    assert reachability.receives_nothing
-    assert reachability.receives_nothing_for(seconds(5)) == seconds(4)
+    assert reachability.receives_no_responses
+    assert reachability.no_responses_for(seconds(5)) == seconds(4)
     reachability.probe_answered(seconds(6))
     assert (
-        not reachability.receives_nothing and reachability.ineffective_responses < UNREACHABLE_AFTER
+        not reachability.receives_no_responses
+        and reachability.ineffective_responses < UNREACHABLE_AFTER
     )
     for _ in range(MAX_EXCUSED_FAILURES):
         reachability.response_had_no_effect(seconds(7))
     reachability.probe_answered(seconds(8))
-    assert reachability.receives_nothing
+    assert reachability.receives_no_responses
     reachability.response_took_effect()
-    assert not reachability.receives_nothing
+    assert not reachability.receives_no_responses
 
 
 def test_model_of_one_worker_keeps_the_rule_and_breaks_it_without_each_guard() -> None:
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -180,7 +180,7 @@
     )  # fmt: skip
     now += seconds(60)
     for machine in cluster.machines.values():
-        machine.heard = now
+        machine.last_heartbeat_at = now
     no_teams: frozenset[TeamResource] = frozenset()
     inputs = ReservationInputs(
         cluster, deployment.scheduler.instance_offers, deployment.scheduler.policy,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -191,7 +191,9 @@
     written = [b for b in write_all(record_writer, deployment) if b.placed]
     assert placed > 400
     assert sum(len(batch.operations) for batch in written) <= placed / 40
-    assert all(a.durable for m in deployment.cluster.machines.values() for a in m.attempts.values())
+    assert all(
+        a.recorded for m in deployment.cluster.machines.values() for a in m.attempts.values()
+    )
     # As tasks end, records are dropped or merged: what is left names what is left.
     kept: set[str] = {op.key for b in written for op in b.operations}
     for _ in range(40):
--- a/tests/test_start_invariants.py
+++ b/tests/test_start_invariants.py
@@ -56,5 +56,5 @@
 ) -> None:
     cluster, job, machine, attempt = cluster_with_ordered_start()
     change(cluster, job, machine)
-    assert attempt.stop is None
+    assert attempt.stop_grace is None
     assert commands_for(cluster, machine, full_authority=True) == []
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -197,7 +197,7 @@
                     assert json_size(operation.value) <= 2048
             record_writer.committed(batch, 1, deployment.now)
     assert not deployment.cluster.unwritten
-    assert all(attempt.durable for attempt in job.all_attempts())
+    assert all(attempt.recorded for attempt in job.all_attempts())
 
 
 def test_rejected_record_size_is_not_retried() -> None:
