--- a/micadeal/controller/persistence/finished_tasks.py
+++ b/micadeal/controller/persistence/finished_tasks.py
@@ -51,12 +51,12 @@
 
     def _due_job(self, job_id: str, now: timedelta) -> Job | None:
         job = self._cluster.jobs.get(job_id)
-        if job is None or job.over or job.complete:
+        if job is None or job.ended or job.complete:
             self._collecting_since.pop(job_id, None)
             return None
         if now - self._collecting_since.setdefault(job_id, now) < COLLECT_TIME:
             return None
-        if not job.finished - job.durable:
+        if not job.finished - job.recorded_finished:
             self._cluster.jobs_with_unwritten_results.discard(job_id)
             del self._collecting_since[job_id]
             return None
@@ -65,7 +65,7 @@
     def _unwritten_chunks(self, job: Job) -> Iterator[FinishedChunk]:
         """Yield the chunks to write: large ones, which all versions read, where they fit."""
         limits = self._context.limits
-        unwritten = job.finished - job.durable
+        unwritten = job.finished - job.recorded_finished
         for number in LARGE_CHUNKS.numbers(unwritten):
             large = LARGE_CHUNKS.chunk(job, number)
             if not self._context.writes_fenced_layouts and limits.present.fits(large.record):
@@ -75,7 +75,7 @@
                 yield SMALL_CHUNKS.chunk(job, small_number)
 
     def committed(self, batch: WriteBatch) -> None:
-        """Mark the written tasks as durable, and forget the deleted chunks."""
+        """Mark the written tasks as recorded, and forget the deleted chunks."""
         for operation in batch.operations:
             if isinstance(operation, Delete) and operation.key.startswith(FINISHED_PREFIXES):
                 job = self._cluster.jobs.get(job_id_of_key(operation.key))
@@ -83,8 +83,8 @@
                     job.record_keys.discard(operation.key)
         for write in batch.finished:
             job = self._cluster.jobs.get(write.job_id)
-            if job is not None and not job.over:
-                job.durable |= write.tasks
+            if job is not None and not job.ended:
+                job.recorded_finished |= write.tasks
             else:
                 self._delete_written(batch, write)
 
--- a/micadeal/controller/persistence/job_ends.py
+++ b/micadeal/controller/persistence/job_ends.py
@@ -52,7 +52,7 @@
         complete: list[Job] = []
         for job_id in list(self._cluster.jobs_with_unwritten_results):
             job = self._cluster.jobs.get(job_id)
-            if job is None or job.over:
+            if job is None or job.ended:
                 self._cluster.jobs_with_unwritten_results.discard(job_id)
             elif job.complete and job_id not in self._in_flight:
                 complete.append(job)
--- a/micadeal/controller/persistence/layout_migration.py
+++ b/micadeal/controller/persistence/layout_migration.py
@@ -106,7 +106,7 @@
         """
         prefix, job_id, number = key.split("/")
         job = self._cluster.jobs.get(job_id)
-        if job is None or job.over or not number.isdigit():
+        if job is None or job.ended or not number.isdigit():
             return []
         large = prefix + "/" == DONE
         source, target = (LARGE_CHUNKS, SMALL_CHUNKS) if large else (SMALL_CHUNKS, LARGE_CHUNKS)
--- a/micadeal/jobs/dependencies.py
+++ b/micadeal/jobs/dependencies.py
@@ -126,7 +126,7 @@
     def _is_live(self, job_id: str) -> bool:
         """Tell whether a job is known and not over."""
         job = self.jobs.get(job_id)
-        return job is not None and not job.over
+        return job is not None and not job.ended
 
     def has_dependents(self, job_id: str) -> bool:
         """Tell whether a live job depends on this one."""
@@ -140,14 +140,14 @@
             self._cancel_with_dependents(job)
             return
         job.unfinished_prerequisites.discard(prerequisite_id)
-        job.ready = max(job.ready, end.at)
+        job.ready_at = max(job.ready_at, end.at)
 
     def _cancel_with_dependents(self, first: Job) -> None:
         """Mark a job and all its direct and indirect dependents as to be cancelled."""
         stack = [first]
         while stack:
             job = stack.pop()
-            if job.over or job.cancelled_by_dependency:
+            if job.ended or job.cancelled_by_dependency:
                 continue
             job.cancelled_by_dependency = True
             self.cancelled_by_dependency[job.id] = job
@@ -168,7 +168,8 @@
                 stack += [
                     prerequisite
                     for job_id in job.spec.prerequisites or ()
-                    if (prerequisite := self.jobs.get(job_id)) is not None and not prerequisite.over
+                    if (prerequisite := self.jobs.get(job_id)) is not None
+                    and not prerequisite.ended
                 ]
 
     def _inherited(self, job: Job) -> _Inherited:
--- a/micadeal/jobs/model.py
+++ b/micadeal/jobs/model.py
@@ -36,19 +36,19 @@
     #: The submission as the user sent it; it never changes.
     spec: Submission
     #: Instant of submission; negative if the job is older than this process.
-    submitted: timedelta
+    submitted_at: timedelta
     #: Version of the job's record in the state service, for compare-and-swap.
     version: int
     #: Tasks that ended successfully, as far as the leader knows.
     finished: set[int] = field(default_factory=set)
     #: Finished tasks that are known to be stored in the state service.
-    durable: set[int] = field(default_factory=set)
+    recorded_finished: set[int] = field(default_factory=set)
     #: Keys of the chunks of the finished set that are, or may be, stored in the state service.
     record_keys: set[str] = field(default_factory=set)
     #: Attempts that may be on a machine, by task, whether the task is finished or not.
     attempts: dict[int, list[Attempt]] = field(default_factory=dict)
     #: The state service no longer lists the job: none of its tasks may be started any more.
-    over: bool = False
+    ended: bool = False
     #: Errors of this job since the last success of one of its tasks, by machine.
     errors: Counter[str] = field(default_factory=Counter)
     #: After an error, no task of the job is placed before this instant.
@@ -57,7 +57,7 @@
     last_progress: timedelta = ZERO
     #: Since when the job has declined machines without its image (delay scheduling); None if its
     #: last start was on a machine that holds it.
-    declined_since: timedelta | None = None
+    delayed_since: timedelta | None = None
     #: Why tasks were not placed in the last scheduling cycle: number of tasks by reason.
     reasons: Counter[str] = field(default_factory=Counter)
     #: Ids of the prerequisites that are not recorded done (``jobs/dependencies.py``).
@@ -65,7 +65,7 @@
     #: A prerequisite was cancelled: the end of this job is about to be recorded.
     cancelled_by_dependency: bool = False
     #: Start of the waiting time: the submission, or the end of the last prerequisite.
-    ready: timedelta = field(init=False)
+    ready_at: timedelta = field(init=False)
     #: Best (lowest) priority rank of the job itself and its dependents.
     rank: int = field(init=False)
     #: Id of the dependent whose rank the job has inherited; None if the rank is its own.
@@ -82,7 +82,7 @@
     _finished_with_attempts: int = 0
 
     def __post_init__(self) -> None:
-        self.ready, self.rank, self.latest = self.submitted, self.own_rank, self.own_latest
+        self.ready_at, self.rank, self.latest = self.submitted_at, self.own_rank, self.own_latest
 
     @property
     def id(self) -> str:
@@ -113,7 +113,9 @@
     def own_latest(self) -> timedelta | None:
         """Instant of the submission's deadline; None if it has none."""
         deadline = self.spec.deadline_s
-        return None if deadline is None else self.submitted + seconds(min(deadline, MAX_DURATION_S))
+        return (
+            None if deadline is None else self.submitted_at + seconds(min(deadline, MAX_DURATION_S))
+        )
 
     @property
     def latest_start(self) -> timedelta | None:
@@ -135,7 +137,7 @@
         that its dependents finish in time.  The id makes the order total.
         """
         start = self.latest_start
-        since = self.ready if start is None else min(self.ready, start)
+        since = self.ready_at if start is None else min(self.ready_at, start)
         return (self.rank, since, self.spec.job_id)
 
     @property
@@ -182,7 +184,7 @@
 
     def waiting_count(self) -> int:
         """Count tasks that wait to be placed; none while the job is blocked."""
-        return 0 if self.over or self.blocked else self.unassigned_count()
+        return 0 if self.ended or self.blocked else self.unassigned_count()
 
     def unassigned_count(self) -> int:
         """Count tasks that are neither finished nor possibly on a machine."""
@@ -278,7 +280,7 @@
                 index = start + byte_index * 8 + bit
                 if byte >> bit & 1 and index < self.spec.tasks:
                     self.finish(index)
-                    self.durable.add(index)
+                    self.recorded_finished.add(index)
 
 
 def encode_bit_set(indexes: Iterable[int], start: int) -> str:
--- a/micadeal/scheduling/arrivals.py
+++ b/micadeal/scheduling/arrivals.py
@@ -82,7 +82,7 @@
         if job.is_gang:
             # Warm capacity rarely suffices for a large gang: it counts as one machine's worth.
             tasks = min(tasks, self._offers.max_tasks_per_machine(job.spec))
-        history.arrivals.append(_Arrival(max(job.submitted, now - MAX_ARRIVAL_AGE), tasks))
+        history.arrivals.append(_Arrival(max(job.submitted_at, now - MAX_ARRIVAL_AGE), tasks))
         history.spec = job.spec
         history.images.append(job.spec.image)
 
--- a/micadeal/scheduling/attempts.py
+++ b/micadeal/scheduling/attempts.py
@@ -27,7 +27,7 @@
     runs.
     """
     job = cluster.jobs.get(attempt.job_id)
-    if job is None or not job.is_gang or job.over or job.complete:
+    if job is None or not job.is_gang or job.ended or job.complete:
         return
     members = [
         other
--- a/micadeal/scheduling/bookings.py
+++ b/micadeal/scheduling/bookings.py
@@ -60,7 +60,7 @@
         if capacity.up and index is not None:
             machine = self._cluster.machines[capacity.name]
             if job.spec.image in capacity.images:
-                job.declined_since = None
+                job.delayed_since = None
             attempt = self._cluster.place(
                 job, index, number or self._cluster.next_number(), machine, self._now
             )
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -141,9 +141,9 @@
         """
         self.dependencies.retry_end(job_id)
         job = self.jobs.get(job_id)
-        if job is None or job.over:
+        if job is None or job.ended:
             return
-        job.over = True
+        job.ended = True
         self.unannounced_ends.append(job_id)
         self.dependencies.remove(job)
         self.changed = True
@@ -155,7 +155,7 @@
         """Apply the recorded end of a job: its tasks on machines only have to exit."""
         job = self.jobs.get(job_id)
         if job is not None and end.status is Status.DONE:
-            job.durable |= job.finished
+            job.recorded_finished |= job.finished
         self.job_record_removed(job_id, now)
         self.dependencies.record_end(
             job_id, JobEnd(end.status is Status.DONE, monotonic_at(end.ended_at, now))
@@ -170,7 +170,7 @@
         return job
 
     def _remove_if_gone(self, job: Job) -> None:
-        if job.over and not job.attempts and self.jobs.pop(job.id, None) is not None:
+        if job.ended and not job.attempts and self.jobs.pop(job.id, None) is not None:
             log.debug("ended job removed from memory: job=%s", job.id)
 
     # -- attempts --------------------------------------------------------------------------
@@ -273,12 +273,12 @@
     def has_remaining_tasks(self, job_id: str) -> bool:
         """Tell whether a task of the job may be on a machine, or may still be started."""
         job = self.jobs.get(job_id)
-        return job is not None and (not job.over or bool(job.attempts))
+        return job is not None and (not job.ended or bool(job.attempts))
 
     def may_start(self, job_id: str) -> bool:
         """Tell whether a task of a cancelled job may still start."""
         job = self.jobs.get(job_id)
-        return job is not None and (not job.over or job.may_start)
+        return job is not None and (not job.ended or job.may_start)
 
     def usage(self) -> dict[str, tuple[float, float]]:
         """Return the (CPUs, GPUs) by team of everything that may be on a machine."""
@@ -309,7 +309,7 @@
 
     def live_jobs(self) -> Iterator[Job]:
         """Yield the jobs that are neither done nor cancelled."""
-        return (job for job in self.jobs.values() if not job.over)
+        return (job for job in self.jobs.values() if not job.ended)
 
 
 def placeholder_job(
@@ -323,4 +323,4 @@
         job_id, "", team, Shape.ARRAY, Priority.LOW, 0, cpus, gpus, memory_gb, "", 0.0,
         False, False, False, 0.0, 0.0, 0.0,
     )  # fmt: skip
-    return Job(spec, ZERO, 0, over=True)
+    return Job(spec, ZERO, 0, ended=True)
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -208,7 +208,7 @@
         task_rounds = math.ceil(units / parallel_units - ROUND_TOLERANCE)
         estimate = seconds(min(spec.estimate_s, MAX_ESTIMATE_S)) * task_rounds
         latest = latest_safe_start(
-            self._to_utc(job.ready),
+            self._to_utc(job.ready_at),
             self._to_utc(job.latest),
             estimate,
             self._error_factors[spec.job_class],
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -52,14 +52,14 @@
         delay = self._delay(spec, capacity)
         if delay < self._cluster.workers.heartbeat_interval * MIN_DELAY_HEARTBEATS:
             return False
-        if job.declined_since is not None and self._now - job.declined_since >= delay:
+        if job.delayed_since is not None and self._now - job.delayed_since >= delay:
             return False
         already_waiting = self._delayed_tasks.get(spec.image, 0)
         if self._end_rate(spec) * delay.total_seconds() < already_waiting + tasks:
             return False
         self._delayed_tasks[spec.image] = already_waiting + tasks
-        if job.declined_since is None:
-            job.declined_since = self._now
+        if job.delayed_since is None:
+            job.delayed_since = self._now
         return True
 
     def _delay(self, spec: Submission, capacity: MachineCapacity) -> timedelta:
--- a/micadeal/scheduling/draining.py
+++ b/micadeal/scheduling/draining.py
@@ -22,7 +22,7 @@
         remaining = machine.reclaim_expected_at - now
         for attempt in list(machine.attempts.values()):
             job = cluster.jobs[attempt.job_id]
-            if attempt.stop_grace is not None or job.over:
+            if attempt.stop_grace is not None or job.ended:
                 continue
             if job.can_save and remaining >= job.save_time:
                 if job.is_gang:
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -33,7 +33,7 @@
 def why(scheduler: Scheduler, job_id: str, now: timedelta) -> WhyAnswer | None:
     """Return why tasks of a job are pending; None if the leader has no live job of this id."""
     job = scheduler.cluster.jobs.get(job_id)
-    if job is None or job.over:
+    if job is None or job.ended:
         return None
     running = job.running_count()
     return WhyAnswer(
@@ -44,7 +44,7 @@
         running,
         len(job.attempts) - running,
         job.unassigned_count(),
-        max((now - job.submitted).total_seconds(), 0.0),
+        max((now - job.submitted_at).total_seconds(), 0.0),
         [WhyLine(reason.text, reason.tasks) for reason in job_reasons(scheduler, job, now)],
     )
 
@@ -118,7 +118,7 @@
     """Return all stuck jobs, sorted by waiting time, longest first."""
     stuck: list[_StuckEntry] = []
     for job in scheduler.cluster.live_jobs():
-        waited = now - max(job.ready, job.last_progress)
+        waited = now - max(job.ready_at, job.last_progress)
         fails_often = sum(job.errors.values()) > STUCK_FAILURES
         if not fails_often and (waited < STUCK_AFTER or job.attempts or not job.waiting_count()):
             continue
--- a/micadeal/scheduling/job_reasons.py
+++ b/micadeal/scheduling/job_reasons.py
@@ -139,7 +139,7 @@
 
 def _dependency_reason(cluster: ClusterState, job_id: str) -> _DependencyReason:
     dependency = cluster.jobs.get(job_id)
-    if dependency is None or dependency.over:
+    if dependency is None or dependency.ended:
         text = f"waits for {job_id}, whose end is being looked up"
         return _DependencyReason(2, job_id, text)
     running = dependency.running_count()
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -126,9 +126,9 @@
         # Otherwise a replica lost later would not be replaced while another one runs.
         job.errors.clear()
         job.retry_at = timedelta.min
-    if not job.over:
+    if not job.ended:
         machine.images[job.spec.image] = now
-    if unknown and (job.over or len(job.attempts[index]) > 1 or index in job.finished):
+    if unknown and (job.ended or len(job.attempts[index]) > 1 or index in job.finished):
         # Must follow the update of its state: ``stop`` immediately releases an attempt without a
         # state, as one that was never started.
         cluster.stop(attempt, ZERO, now)
@@ -143,7 +143,7 @@
         attempt.index,
         job.spec.job_class,
         machine.name,
-        (now - job.ready).total_seconds(),
+        (now - job.ready_at).total_seconds(),
         (now - attempt.placed_at).total_seconds(),
     )
 
@@ -165,7 +165,7 @@
     if already_reported and attempt is None:
         return
     job = cluster.jobs.get(job_id)
-    if job is not None and not job.over:
+    if job is not None and not job.ended:
         if done:
             _collect_run_time(cluster, job, attempt, now)
             _finish_task(cluster, job, index, machine, now)
--- a/micadeal/scheduling/reservations.py
+++ b/micadeal/scheduling/reservations.py
@@ -152,19 +152,19 @@
         earliest = min(inputs.policy.reserve_after, inputs.policy.minimum_timeout)
         for job in cluster.live_jobs():
             # The cheapest test comes first: there may be many jobs.
-            if inputs.now - job.ready < earliest or not job.not_started or job.errors:
+            if inputs.now - job.ready_at < earliest or not job.not_started or job.errors:
                 continue
             if not self._has_waited_enough(job, inputs) or not _wants_reservation(job, inputs):
                 continue
             usage = cluster.usage() if usage is None else usage
             if _within_limits(job, cluster, usage):
                 result.append(job)
-        result.sort(key=lambda job: (job.ready, job.id))
+        result.sort(key=lambda job: (job.ready_at, job.id))
         return result
 
     def _has_waited_enough(self, job: Job, inputs: ReservationInputs) -> bool:
         policy = inputs.policy
-        waited = inputs.now - job.ready
+        waited = inputs.now - job.ready_at
         team = (job.spec.team, job.resource)
         # Reserved capacity counts as used by the team, so a reservation may lift the team to its
         # guarantee or share.  That is no reason to give the reservation up.
--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -209,7 +209,7 @@
         limit = self._cluster.workers.cancel_timeout - self._cluster.workers.lease
         for attempt in machine.attempts.values():
             job = self._cluster.jobs[attempt.job_id]
-            if job.over and attempt.stop_since and now - attempt.stop_since > limit:
+            if job.ended and attempt.stop_since and now - attempt.stop_since > limit:
                 return True
         return False
 
--- a/micadeal/scheduling/scheduling_cycle.py
+++ b/micadeal/scheduling/scheduling_cycle.py
@@ -129,5 +129,5 @@
         if queue[0].spec.team in self._inputs.served_by_age:
             return None
         min_wait, now = self._inputs.policy.reserve_after_at_fair_share, self._inputs.now
-        waiting = [job for job in queue[1:] if job.not_started and now - job.ready >= min_wait]
-        return min(waiting, key=lambda job: (job.ready, job.id), default=None)
+        waiting = [job for job in queue[1:] if job.not_started and now - job.ready_at >= min_wait]
+        return min(waiting, key=lambda job: (job.ready_at, job.id), default=None)
--- a/micadeal/scheduling/slot_forecast.py
+++ b/micadeal/scheduling/slot_forecast.py
@@ -89,7 +89,7 @@
 
 def _seconds_left(job: Job, attempt: Attempt, now: timedelta) -> float | None:
     """Return how long a task is likely to stay, or None if it does not end by itself."""
-    if attempt.stop_grace is not None or job.over:
+    if attempt.stop_grace is not None or job.ended:
         return STOPPING_S
     if job.is_service or job.production:
         return None
--- a/micadeal/scheduling/start_invariants.py
+++ b/micadeal/scheduling/start_invariants.py
@@ -26,7 +26,7 @@
 ) -> StartViolation | None:
     """Return the invariant that the start of an attempt would violate, or None."""
     job = cluster.jobs.get(attempt.job_id)
-    if job is None or job.over:
+    if job is None or job.ended:
         return StartViolation(Invariant.RAN_CANCELLED, "start of a job that is over")
     if any(other is not attempt for other in job.attempts.get(attempt.index, ())):
         return StartViolation(
--- a/micadeal/scheduling/takeover.py
+++ b/micadeal/scheduling/takeover.py
@@ -61,5 +61,5 @@
         cluster.stale_records.setdefault(key, now)
         return
     cluster.add_attempt(job, machine, attempt)
-    if job.over:
+    if job.ended:
         cluster.stop(attempt, ZERO, now)
--- a/micadeal/scheduling/worker_commands.py
+++ b/micadeal/scheduling/worker_commands.py
@@ -48,9 +48,9 @@
         if (
             not exited.done
             or job is None
-            or job.over
+            or job.ended
             or job.is_service
-            or exited.task_index in job.durable
+            or exited.task_index in job.recorded_finished
         ):
             commands.append(Command(CommandKind.FORGET, task, number))
     return commands
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -91,7 +91,7 @@
     reconcile_heartbeat(cluster, heartbeat(2, done), seconds(9), is_heartbeat=True)
     assert job.complete and not machine.attempts
     assert commands_for(cluster, machine, full_authority=True) == []
-    job.durable.add(0)
+    job.recorded_finished.add(0)
     commands = commands_for(cluster, machine, full_authority=True)
     assert [command.verb for command in commands] == [CommandKind.FORGET]
 
--- a/tests/test_deferral.py
+++ b/tests/test_deferral.py
@@ -242,5 +242,5 @@
     advance(simulation, 0.01)
     assert simulation.scheduler.deferral is not None
     hold = simulation.scheduler.deferral.held(later, simulation.now)
-    latest = NOW + (later.submitted - seconds(100)) + 9 * HOUR - 2.2 * HOUR
+    latest = NOW + (later.submitted_at - seconds(100)) + 9 * HOUR - 2.2 * HOUR
     assert hold is not None and latest - HOUR / 10 < hold.latest < latest + HOUR / 20
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -323,7 +323,7 @@
     latest = [job.latest.total_seconds() if job.latest else None for job in jobs]
     assert latest == [185.0, 225.0, 225.0, 230.0]
     # A job past its latest start comes before one that became ready slightly earlier.
-    jobs[1].ready = jobs[2].ready = seconds(210)
+    jobs[1].ready_at = jobs[2].ready_at = seconds(210)
     assert sorted(jobs[1:3], key=lambda job: job.order) == [jobs[2], jobs[1]]
     # Without the last job the others have their own ranks again.
     cluster.job_record_removed("req-4", seconds(50))
@@ -343,7 +343,7 @@
     assert third.blocked
     cluster.job_ended("req-1", EndRecord(Status.DONE, 1, timestamp - 50.0), now)
     assert not third.blocked and third.waiting_count() == third.spec.tasks
-    assert abs((now - third.ready).total_seconds() - 20.0) < 0.5
+    assert abs((now - third.ready_at).total_seconds() - 20.0) < 0.5
     # The next leader does not know the prerequisites: it reads their ends, with the same result.
     later = _job(3, 1, 2, submitted=-100.0)
     other = _cluster(later)
@@ -351,7 +351,7 @@
     for name, age in (("req-1", 50.0), ("req-2", 20.0)):
         other.job_ended(name, EndRecord(Status.DONE, 1, timestamp - age), now)
     assert not later.blocked
-    assert abs((now - later.ready).total_seconds() - 20.0) < 0.5
+    assert abs((now - later.ready_at).total_seconds() - 20.0) < 0.5
     assert other.dependencies.ends_to_read(now) == []
 
 
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -329,7 +329,7 @@
                         for c in batch.conditions
                     }
                     self.record_writer.failed(batch, found, self.picture.now)
-        self.written = set(self.job.durable)
+        self.written = set(self.job.recorded_finished)
 
     def _apply(self, batch: WriteBatch) -> None:
         for condition in batch.conditions:
@@ -372,7 +372,7 @@
         for chunk in read(finished, FinishedRecord):
             record_loader._load_finished(chunk)
         assert self.written <= self.job.finished <= before.finished
-        self.written = set(self.job.durable)
+        self.written = set(self.job.recorded_finished)
 
     @invariant()
     def stored_layouts_match_the_level(self) -> None:
--- a/tests/test_start_invariants.py
+++ b/tests/test_start_invariants.py
@@ -18,7 +18,7 @@
 
 def over(_: ClusterState, job: Job, __: Machine) -> None:
     # Whoever ends a job stops its attempts; this one was left out.
-    job.over = True
+    job.ended = True
 
 
 def on_another_machine(_: ClusterState, job: Job, __: Machine) -> None:
