--- a/bench/night_simulation.py
+++ b/bench/night_simulation.py
@@ -103,13 +103,13 @@
     def _serve_cloud(self, now: timedelta) -> None:
         """Rent, boot, return and list machines."""
         scheduler = self._scheduler
-        for request in list(scheduler.rentals.values()):
+        for request in list(scheduler.pending_rental_requests.values()):
             free = self._night.machines - len(self._up) - len(self._booting)
             count = min(request.count, free)
             names = [f"i-{self._rented + number:06d}" for number in range(count)]
             self._rented += len(names)
             if names:
-                scheduler.rented(request, names, now)
+                scheduler.rental_granted(request, names, now)
                 ready = now + seconds(MACHINE_TYPE.boot_s)
                 self._booting |= dict.fromkeys(names, ready)
             else:
@@ -117,12 +117,12 @@
         for name in [name for name, ready in self._booting.items() if ready <= now]:
             del self._booting[name]
             self._up[name] = 0
-        returned = sorted(scheduler.releases)
+        returned = sorted(scheduler.pending_returns)
         for name in returned:
             self._up.pop(name, None)
             self._booting.pop(name, None)
-        scheduler.released(returned, now)
-        scheduler.on_list(self._listed(), now)
+        scheduler.return_confirmed(returned, now)
+        scheduler.apply_machine_list(self._listed(), now)
 
     def _listed(self) -> list[ListedMachine]:
         return [
@@ -149,7 +149,7 @@
             machine_type=MACHINE_TYPE.name, zone=ZONE, spot=False, incarnation=1,
             sequence=self._up[name], token=TOKEN, tasks=tasks,
         )  # fmt: skip
-        self._scheduler.on_heartbeat(heartbeat, now, is_heartbeat=True, full=True)
+        self._scheduler.on_heartbeat(heartbeat, now, is_heartbeat=True, full_authority=True)
         for job in list(cluster.live_jobs()):
             if job.complete:
                 cluster.job_record_removed(job.id, now)
--- a/bench/reachability_world.py
+++ b/bench/reachability_world.py
@@ -299,7 +299,9 @@
         assert machine is not None
         if machine.draining is None and not machine.lease_expired:
             self.cluster.place(self.job, 0, self.cluster.next_number(), machine, self.at)
-            self.cluster.placements_written("placed/1/0", list(self.cluster.unwritten), self.at)
+            self.cluster.placements_written(
+                "placed/1/0", list(self.cluster.unwritten_placements), self.at
+            )
 
     def _stop(self) -> None:
         for attempt in list(self.job.all_attempts()):
--- a/micadeal/controller/action_executor.py
+++ b/micadeal/controller/action_executor.py
@@ -48,14 +48,14 @@
         for batch in self._record_writer.next(monotonic()):
             self._cpu_metrics.add(Activity.RECORD_CHANGES, times=len(batch.operations))
             await self._background_tasks.spawn(self._outbound.write, batch, fence)
-        for request in list(self._scheduler.rentals.values()):
+        for request in list(self._scheduler.pending_rental_requests.values()):
             if request.request not in self._rentals_in_flight:
                 self._rentals_in_flight.add(request.request)
                 self._cpu_metrics.add(Activity.RENTALS)
                 await self._background_tasks.spawn(self._outbound.rent, request)
-        if self._scheduler.releases and not self._release_in_flight:
+        if self._scheduler.pending_returns and not self._release_in_flight:
             self._release_in_flight = True
-            machine_names = sorted(self._scheduler.releases)[:MAX_MACHINES_PER_RELEASE]
+            machine_names = sorted(self._scheduler.pending_returns)[:MAX_MACHINES_PER_RELEASE]
             await self._background_tasks.spawn(self._outbound.release, machine_names)
 
     def write_completed(self, message: WriteCompleted, now: timedelta) -> None:
@@ -73,10 +73,10 @@
         if message.machine_names is None:
             self._scheduler.rental_refused(message.request, now)
         else:
-            self._scheduler.rented(message.request, message.machine_names, now)
+            self._scheduler.rental_granted(message.request, message.machine_names, now)
 
     def release_completed(self, message: ReleaseCompleted, now: timedelta) -> None:
         """Process the cloud's response to a return of machines."""
         self._release_in_flight = False
         if message.accepted:
-            self._scheduler.released(message.machine_names, now)
+            self._scheduler.return_confirmed(message.machine_names, now)
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -77,7 +77,7 @@
             platform.workers,
             platform.teams,
             now,
-            all_started=initial_knowledge.all_started,
+            fully_started_jobs=initial_knowledge.all_started,
         )
         self._scheduler = Scheduler(
             self._cluster, InstanceOffers(), Policy(), platform.objectives, now
@@ -210,8 +210,8 @@
         """Handle one message, then do the work that is due and that the term allows."""
         started_at = monotonic()
         result = self._handlers[type(message)](message, started_at)
-        while self._cluster.unannounced_ends:
-            self._on_job_ended(self._cluster.unannounced_ends.pop())
+        while self._cluster.unreported_ends:
+            self._on_job_ended(self._cluster.unreported_ends.pop())
         now = self._cpu_metrics.add_since(
             Activity.HEARTBEATS
             if isinstance(message, messages.HeartbeatReceived)
@@ -249,7 +249,7 @@
                 self.token,
                 metrics,
                 self._mailbox.qsize(),
-                len(self._cluster.unwritten),
+                len(self._cluster.unwritten_placements),
                 len(self._cluster.jobs_with_unwritten_results),
             )
         return self._cpu_metrics.add_since(Activity.TICKS, now)
@@ -295,7 +295,7 @@
             # renews starts before the newer message, whose receipt is recorded
             # (fleet/reachability.py).
             commands = self._scheduler.on_heartbeat(
-                heartbeat, now, is_heartbeat=True, full=authority is Authority.FULL
+                heartbeat, now, is_heartbeat=True, full_authority=authority is Authority.FULL
             )
         if commands is None:
             # Guards ``ran_cancelled`` while the records can't be read: without them, or for an old
@@ -370,7 +370,7 @@
         self._scheduler.set_catalog(message.machine_types)
 
     def _on_machine_list_loaded(self, message: messages.MachineListLoaded, now: timedelta) -> None:
-        self._scheduler.on_list(message.machines, now)
+        self._scheduler.apply_machine_list(message.machines, now)
 
     # -- queries ---------------------------------------------------------------------------
 
--- a/micadeal/controller/persistence/placements.py
+++ b/micadeal/controller/persistence/placements.py
@@ -146,7 +146,7 @@
     def _unwritten_chunks(self) -> Iterator[PlacementChunk]:
         """Yield the unwritten attempts in chunks that each fit into a value."""
         chunk = self._new_chunk()
-        for attempt in self._cluster.unwritten:
+        for attempt in self._cluster.unwritten_placements:
             if not chunk.add(attempt):
                 yield chunk
                 chunk = self._new_chunk()
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -82,7 +82,7 @@
     def busy(self) -> bool:
         """Whether any placement, finished task or job end is not written yet."""
         return bool(
-            self._cluster.unwritten
+            self._cluster.unwritten_placements
             or self._cluster.jobs_with_unwritten_results
             or self._placements_in_flight
             or self._deferred_in_flight
@@ -121,7 +121,7 @@
     def next(self, now: timedelta) -> list[WriteBatch]:
         """Return the batches to commit now; the caller must report the outcome of each."""
         batches = self._job_ends.next_batches()
-        if not self._placements_in_flight and self._cluster.unwritten:
+        if not self._placements_in_flight and self._cluster.unwritten_placements:
             self._placements_in_flight = True
             batches.append(self._placements.next_batch())
         if not self._deferred_in_flight and now >= self._deferred_due:
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -75,7 +75,7 @@
             self.job_over(job_id, now)
         for returned in loaded.returned_machines:
             names = self._record_writer.load_returned_machines(returned, now)
-            self._scheduler.return_again(names, now)
+            self._scheduler.retry_returns(names, now)
         for job in list(self._cluster.live_jobs()):
             if job.complete:
                 self._cluster.jobs_with_unwritten_results.add(job.id)
--- a/micadeal/scheduling/attempts.py
+++ b/micadeal/scheduling/attempts.py
@@ -13,9 +13,9 @@
 def lose_attempt(cluster: ClusterState, machine: Machine, attempt: Attempt, now: timedelta) -> None:
     """Remove an attempt that can no longer be on the machine or be started there."""
     stop_gang_members(cluster, attempt, now)
-    # Stopping the other members may already have released this attempt.
+    # Stopping the other members may already have removed this attempt.
     if attempt.key in machine.attempts:
-        cluster.release(attempt, now)
+        cluster.remove_attempt(attempt, now)
 
 
 def stop_gang_members(cluster: ClusterState, attempt: Attempt, now: timedelta) -> None:
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -87,7 +87,7 @@
     #: Jobs whose set of finished tasks must be written to the state service.
     jobs_with_unwritten_results: MutableSet[str] = field(default_factory=OrderedSet)
     #: Attempts that no record in the state service names yet, in order of placement.
-    unwritten: dict[Attempt, None] = field(default_factory=dict)
+    unwritten_placements: dict[Attempt, None] = field(default_factory=dict)
     #: Remaining attempts of each placement record in the state service, by its key.
     records: dict[str, OrderedSet[Attempt]] = field(default_factory=dict)
     #: Placement records that name removed attempts, with the time of the first removal.
@@ -107,9 +107,9 @@
     #: only while deferral is switched on; None otherwise.
     completed_run_times: list[tuple[str, float]] | None = None
     #: Jobs whose tasks had all started, according to the previous leader's last report.
-    all_started: frozenset[str] = frozenset()
+    fully_started_jobs: frozenset[str] = frozenset()
     #: Jobs that are over, of which users have not been notified yet.
-    unannounced_ends: list[str] = field(default_factory=list)
+    unreported_ends: list[str] = field(default_factory=list)
     #: Dependencies between jobs.
     dependencies: JobDependencies = field(init=False)
     _attempt_count: int = 0
@@ -144,7 +144,7 @@
         if job is None or job.ended:
             return
         job.ended = True
-        self.unannounced_ends.append(job_id)
+        self.unreported_ends.append(job_id)
         self.dependencies.remove(job)
         self.changed = True
         for attempt in list(job.all_attempts()):
@@ -198,11 +198,11 @@
         machine.free_capacity = None
         job.add(attempt)
         if attempt.record is None:
-            self.unwritten[attempt] = None
+            self.unwritten_placements[attempt] = None
         else:
             self.records[attempt.record].add(attempt)
 
-    def release(self, attempt: Attempt, now: timedelta) -> None:
+    def remove_attempt(self, attempt: Attempt, now: timedelta) -> None:
         """Remove an attempt that is certainly not on its machine and can't be started there."""
         machine = self.machines.get(attempt.machine)
         if machine is not None:
@@ -210,7 +210,7 @@
             machine.free_capacity = None
             if not machine.attempts:
                 machine.idle_since = now
-        self.unwritten.pop(attempt, None)
+        self.unwritten_placements.pop(attempt, None)
         if attempt.record is not None:
             self.records[attempt.record].discard(attempt)
             self.stale_records.setdefault(attempt.record, now)
@@ -233,7 +233,7 @@
             and self.placed_by_this_leader(attempt)
         ):
             # Its start command was never sent, so there is nothing to stop.
-            self.release(attempt, now)
+            self.remove_attempt(attempt, now)
             return
         self.pending_direct_commands.add(attempt.machine)
 
@@ -251,7 +251,7 @@
         for attempt in attempts:
             machine = self.machines.get(attempt.machine)
             if machine is None or machine.attempts.get(attempt.key) is not attempt:
-                # Released while the record was being written.
+                # Removed while the record was being written.
                 self.stale_records.setdefault(key, now)
                 continue
             if attempt.record is not None and attempt.record != key:
@@ -259,14 +259,14 @@
                 self.stale_records.setdefault(attempt.record, now)
             attempt.record = key
             remaining.add(attempt)
-            self.unwritten.pop(attempt, None)
+            self.unwritten_placements.pop(attempt, None)
 
     def placement_record_missing(self, key: str) -> None:
         """Note that the state service holds no such record: its attempts are written again."""
         self.stale_records.pop(key, None)
         for attempt in self.records.pop(key, OrderedSet()):
             attempt.record = None
-            self.unwritten[attempt] = None
+            self.unwritten_placements[attempt] = None
 
     # -- queries ---------------------------------------------------------------------------
 
--- a/micadeal/scheduling/cycle_data.py
+++ b/micadeal/scheduling/cycle_data.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CycleFindings:
+class PlacementOutcome:
     """Outcome of placement, passed on to preemption, the last step of a cycle."""
 
     inputs: CycleInputs
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -83,7 +83,7 @@
         """Add new prices or carbon intensities of a zone."""
         key = (series.zone, series.quantity)
         signal = self._signals.setdefault(key, Signal(Profile(self._local)))
-        signal.update(series)
+        signal.add_series(series)
         self._refreshed_at = None
 
     def record_run_times(self, ended_tasks: Iterable[tuple[str, float]]) -> None:
@@ -103,8 +103,8 @@
     ) -> None:
         """Choose windows for flexible jobs again, every ``REFRESH_INTERVAL``.
 
-        Each call decides on a limited number of jobs.  ``held`` decides on jobs that arrive in
-        between.
+        Each call decides on a limited number of jobs.  ``active_hold`` decides on jobs that arrive
+        in between.
 
         ``teams``: team states of the last cycle, by resource.  ``urgent_classes``: classes with a
         waiting-time objective, which are never deferred.
@@ -172,7 +172,7 @@
             (name, resource)
             for resource, states in self._teams.items()
             for name, state in states.items()
-            if booked(usage[name], resource) < min(state.minimum, state.demand) - EPSILON
+            if booked(usage[name], resource) < min(state.guarantee, state.demand) - EPSILON
         }
         self._starved_since = {
             team: self._starved_since.get(team, self._refreshed_at) for team in starved
@@ -249,7 +249,7 @@
             return None
         return self._refreshed_at + (latest - self._refreshed_utc)
 
-    def held(self, job: Job, now: timedelta) -> Hold | None:
+    def active_hold(self, job: Job, now: timedelta) -> Hold | None:
         """Return the hold by which the job is deferred, or None."""
         tracker = self._hold_trackers.get(job.spec.job_class)
         if tracker is None or self._refreshed_at is None:
@@ -282,5 +282,5 @@
     state = teams.get(job.resource, {}).get(job.spec.team)
     if state is None:
         return math.inf
-    amount = state.minimum or state.share
+    amount = state.guarantee or state.share
     return max(amount, job.units) if amount > 0 else math.inf
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -87,7 +87,7 @@
                 if job.spec.team == name and job.resource == resource and not job.blocked
             ]
             used = booked(usage[name], resource)
-            if not jobs and not state.minimum and not used:
+            if not jobs and not state.guarantee and not used:
                 continue
             running = sum(1 for job in jobs if job.attempts)
             lines.append(
@@ -95,7 +95,7 @@
                     name,
                     resource,
                     used,
-                    state.minimum,
+                    state.guarantee,
                     cluster.teams[name].limit(resource) or 0.0,
                     state.share,
                     state.demand,
@@ -123,7 +123,7 @@
         if not fails_often and (waited < STUCK_AFTER or job.attempts or not job.waiting_count()):
             continue
         # A deferred job is pending on purpose; ``why`` states until when.
-        if scheduler.deferral is None or scheduler.deferral.held(job, now) is None:
+        if scheduler.deferral is None or scheduler.deferral.active_hold(job, now) is None:
             stuck.append(_StuckEntry(waited, job))
     stuck.sort(key=lambda entry: (-entry.waited, entry.job.id))
     return stuck
--- a/micadeal/scheduling/job_reasons.py
+++ b/micadeal/scheduling/job_reasons.py
@@ -37,7 +37,7 @@
         reasons.append(Reason(f"it has the priority of {job.rank_inherited_from}, which needs it"))
     if job.blocked:
         return reasons
-    hold = scheduler.deferral.held(job, now) if scheduler.deferral is not None else None
+    hold = scheduler.deferral.active_hold(job, now) if scheduler.deferral is not None else None
     if hold is not None:
         return [*reasons, *_deferral_reasons(hold)]
     reasons += [Reason(text, tasks) for text, tasks in job.reasons.most_common()]
--- a/micadeal/scheduling/machine_inventory.py
+++ b/micadeal/scheduling/machine_inventory.py
@@ -31,14 +31,14 @@
         #: Whether the cloud's list has been read in this term.
         self.listed = False
         #: Rental requests that the cloud has not answered yet, at most one for each offer.
-        self.rentals: dict[InstanceOffer, RentalRequest] = {}
+        self.pending_rental_requests: dict[InstanceOffer, RentalRequest] = {}
         #: Machines to be returned; each stays here until the cloud confirms its return.
-        self.releases: set[str] = set()
+        self.pending_returns: set[str] = set()
         self._rental_count = 0
 
     # -- the cloud's list ------------------------------------------------------------------
 
-    def on_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
+    def apply_machine_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
         """Apply the cloud's list of all machines."""
         self.listed = True
         present: set[str] = set()
@@ -78,15 +78,17 @@
 
     def pending_rentals(self) -> Counter[InstanceOffer]:
         """Return the number of machines in unanswered rental requests, by offer."""
-        return Counter({offer: request.count for offer, request in self.rentals.items()})
+        return Counter(
+            {offer: request.count for offer, request in self.pending_rental_requests.items()}
+        )
 
     def request_rentals(self, wanted: Counter[InstanceOffer]) -> None:
         """Create rental requests for the offers that have none pending."""
         for offer, count in wanted.most_common():
-            if offer in self.rentals:
+            if offer in self.pending_rental_requests:
                 continue
             self._rental_count += 1
-            self.rentals[offer] = RentalRequest(
+            self.pending_rental_requests[offer] = RentalRequest(
                 f"{self._cluster.token}-{self._rental_count}",
                 offer.machine_type,
                 offer.zone,
@@ -94,10 +96,10 @@
                 min(count, MAX_PER_RENTAL),
             )
 
-    def rented(self, request: RentalRequest, names: list[str], now: timedelta) -> None:
+    def rental_granted(self, request: RentalRequest, names: list[str], now: timedelta) -> None:
         """Apply a granted request; fewer machines than requested count as a refusal of more."""
         offer = _offer_of(request)
-        self.rentals.pop(offer, None)
+        self.pending_rental_requests.pop(offer, None)
         self._offers.record_grant(offer)
         for name in names:
             if name in self._cluster.removed_machines:
@@ -116,13 +118,13 @@
     def rental_refused(self, request: RentalRequest, now: timedelta) -> None:
         """Apply a refused request."""
         offer = _offer_of(request)
-        self.rentals.pop(offer, None)
+        self.pending_rental_requests.pop(offer, None)
         self._offers.record_refusal(offer, self._cluster.machines_by_offer()[offer], now)
         self._cluster.changed = True
 
     # -- scale in --------------------------------------------------------------------------
 
-    def return_again(self, names: Iterable[str], now: timedelta) -> None:
+    def retry_returns(self, names: Iterable[str], now: timedelta) -> None:
         """Request again the return of machines that an earlier leader was returning.
 
         The cloud's answer proves that their tasks are gone before their leases expire.
@@ -130,18 +132,18 @@
         for name in names:
             machine = self._cluster.machines.get(name)
             if machine is not None and machine.attempts:
-                self.release(machine, ReturnReason.RETURNED_EARLIER, now)
+                self.request_return(machine, ReturnReason.RETURNED_EARLIER, now)
 
-    def release(self, machine: Machine, reason: str, now: timedelta) -> None:
+    def request_return(self, machine: Machine, reason: str, now: timedelta) -> None:
         """Request the return of the machine."""
         machine.draining = reason
         machine.release_requested = now
-        self.releases.add(machine.name)
+        self.pending_returns.add(machine.name)
 
-    def released(self, names: Iterable[str], now: timedelta) -> None:
+    def return_confirmed(self, names: Iterable[str], now: timedelta) -> None:
         """Remove machines after the cloud has confirmed that they are gone."""
         for name in names:
-            self.releases.discard(name)
+            self.pending_returns.discard(name)
             machine_loss.remove_machine(self._cluster, name, now)
 
 
--- a/micadeal/scheduling/machine_monitor.py
+++ b/micadeal/scheduling/machine_monitor.py
@@ -38,9 +38,9 @@
         #: Earliest time of the next direct command to each machine.
         self._direct_due: dict[str, timedelta] = {}
 
-    def observe_from(self, now: timedelta) -> None:
+    def restart_silence_timers(self, now: timedelta) -> None:
         """Restart the count of each machine's silence, since this process was stalled until now."""
-        self._scale_in.observe_from(now)
+        self._scale_in.restart_silence_timers(now)
 
     def check(self, plan: Plan, now: timedelta) -> None:
         """Return, drain, command or probe each machine for which that is due.
@@ -69,7 +69,7 @@
             log.info(
                 "machine returned: machine=%s zone=%s reason=%s", machine.name, machine.zone, reason
             )
-            self._inventory.release(machine, reason, now)
+            self._inventory.request_return(machine, reason, now)
             self._cluster.changed = True
         elif machine.errors and machine.draining is None and self.is_faulty(machine, now):
             reason = ReturnReason.FAULTY
--- a/micadeal/scheduling/plan.py
+++ b/micadeal/scheduling/plan.py
@@ -16,14 +16,14 @@
 class TeamState:
     """A team's entitlement, usage and demand in a cycle, in booked units of one resource."""
 
-    minimum: float
+    guarantee: float
     weight: float
     used: float = 0.0
     demand: float = 0.0
     share: float = 0.0
 
 
-class Kill(NamedTuple):
+class PlannedPreemption(NamedTuple):
     """A victim and the job for which it is preempted."""
 
     preemptor: str
@@ -41,7 +41,7 @@
     reserved: set[str] = field(default_factory=set)
     #: Names of machines kept as warm capacity for expected work.
     warm: set[str] = field(default_factory=set)
-    kills: list[Kill] = field(default_factory=list)
+    preemptions: list[PlannedPreemption] = field(default_factory=list)
     #: Team states by resource and team name.
     teams: dict[str, dict[str, TeamState]] = field(default_factory=dict)
 
--- a/micadeal/scheduling/preemption.py
+++ b/micadeal/scheduling/preemption.py
@@ -14,8 +14,8 @@
 from micadeal.placement.machine_capacity import MachineCapacity, RequestKey, allowed
 from micadeal.scheduling.capacity import build_capacities
 from micadeal.scheduling.cluster_state import ClusterState
-from micadeal.scheduling.cycle_data import CycleFindings
-from micadeal.scheduling.plan import Kill
+from micadeal.scheduling.cycle_data import PlacementOutcome
+from micadeal.scheduling.plan import PlannedPreemption
 from micadeal.scheduling.preemption_demand import LOW_RANK, PreemptionDemand, Preemptor
 from micadeal.sharing.shares import booked
 from micadeal.sharing.victims import FreedAmounts, Victim, choose_victims, may_preempt
@@ -25,11 +25,11 @@
 
 
 class Preemption:
-    """Reads the findings of a cycle and adds the victims to its plan."""
+    """Reads the outcome of placement and adds the victims to its plan."""
 
-    def __init__(self, findings: CycleFindings) -> None:
-        self._findings = findings
-        self._cluster = findings.inputs.cluster
+    def __init__(self, outcome: PlacementOutcome) -> None:
+        self._outcome = outcome
+        self._cluster = outcome.inputs.cluster
         #: Cores and accelerators of tasks that may be running, by team; without reserved capacity.
         self._usage = self._cluster.usage()
         #: Capacities by machine name, and victims by machine.
@@ -42,7 +42,7 @@
 
     def select(self) -> None:
         """Choose the victims of this cycle."""
-        preemptors = PreemptionDemand(self._findings, self._usage).preemptors()
+        preemptors = PreemptionDemand(self._outcome, self._usage).preemptors()
         if not preemptors:
             return
         self._capacities = self._capacities_after_stops()
@@ -65,7 +65,7 @@
                 return
             chosen = self._victims_for_task(preemptor, rule, usable, surplus)
             if chosen is None:
-                if all(map(rule.permits, self._findings.machines_by_zone)):
+                if all(map(rule.permits, self._outcome.machines_by_zone)):
                     self._unservable.add(preemptor.key)
                 return
             for victim in chosen:
@@ -73,7 +73,7 @@
             self._tasks_left -= bool(chosen)
 
     def _kill(self, preemptor: Preemptor, victim: Victim) -> None:
-        self._findings.plan.kills.append(Kill(preemptor.job.id, victim))
+        self._outcome.plan.preemptions.append(PlannedPreemption(preemptor.job.id, victim))
         for name in {freed.machine for freed in victim.freed}:
             self._victims[name] = [v for v in self._victims[name] if v is not victim]
 
@@ -83,8 +83,8 @@
         Reserved capacity does not count: preemption frees only what tasks use.
         """
         return {
-            name: booked(self._usage[name], resource) - state.minimum
-            for name, state in self._findings.plan.teams[resource].items()
+            name: booked(self._usage[name], resource) - state.guarantee
+            for name, state in self._outcome.plan.teams[resource].items()
         }
 
     def _usable_capacities(self, job: Job, with_on_demand_work: set[str]) -> list[MachineCapacity]:
@@ -97,7 +97,7 @@
         only machines reserved for it are usable: it can't start on a part of its slots.
         """
         spec = job.spec
-        on_demand_allowed = not spec.spot_allowed or self._findings.spot_scarce
+        on_demand_allowed = not spec.spot_allowed or self._outcome.spot_scarce
         return [
             capacity
             for capacity in self._capacities.values()
@@ -119,7 +119,7 @@
 
     def _capacities_after_stops(self) -> dict[str, MachineCapacity]:
         """Return the capacities of machines that are up, as if all stopping tasks had ended."""
-        all_capacities = build_capacities(self._cluster, self._findings.inputs.now, Counter())
+        all_capacities = build_capacities(self._cluster, self._outcome.inputs.now, Counter())
         capacities = {capacity.name: capacity for capacity in all_capacities if capacity.up}
         for machine in self._cluster.machines.values():
             capacity = capacities.get(machine.name)
--- a/micadeal/scheduling/preemption_demand.py
+++ b/micadeal/scheduling/preemption_demand.py
@@ -9,7 +9,7 @@
 
 from micadeal.jobs.model import Job
 from micadeal.placement.machine_capacity import EPSILON, RequestKey, request_key
-from micadeal.scheduling.cycle_data import CycleFindings, TeamResource
+from micadeal.scheduling.cycle_data import PlacementOutcome, TeamResource
 from micadeal.scheduling.plan import TeamState
 from micadeal.sharing.order import RANK
 from micadeal.sharing.shares import Amounts, booked
@@ -61,10 +61,10 @@
 class PreemptionDemand:
     """Finds the preemptors among the jobs that a cycle could not place."""
 
-    def __init__(self, findings: CycleFindings, usage: dict[str, Amounts]) -> None:
-        self._findings = findings
+    def __init__(self, outcome: PlacementOutcome, usage: dict[str, Amounts]) -> None:
+        self._outcome = outcome
         self._shortages = self._update_timers(usage)
-        cluster = findings.inputs.cluster
+        cluster = outcome.inputs.cluster
         #: Ids of jobs for which machines are reserved.
         self._with_reservation = {m.reserved_for for m in cluster.machines.values()} - {None}
         low_priority_runs = any(
@@ -76,7 +76,7 @@
         """Return the preemptors in the order in which their jobs were considered."""
         result: list[Preemptor] = []
         considered: set[str] = set()
-        for job in self._findings.unplaced:
+        for job in self._outcome.unplaced:
             if job.id in considered:
                 continue
             if job.is_gang and job.spec.tasks > 1 and job.id not in self._with_reservation:
@@ -119,7 +119,7 @@
         """Update the starvation timers and return the shortage of each team."""
         return {
             (name, resource): self._shortage(name, resource, state, booked(usage[name], resource))
-            for resource, states in self._findings.plan.teams.items()
+            for resource, states in self._outcome.plan.teams.items()
             for name, state in states.items()
         }
 
@@ -128,10 +128,10 @@
 
         ``used``: units of running tasks, without reserved capacity.
         """
-        inputs = self._findings.inputs
+        inputs = self._outcome.inputs
         now, policy = inputs.now, inputs.policy
         timer = inputs.timers.setdefault((name, resource), StarvationTimer(now, now))
-        team = TeamUsage(used, state.demand, state.minimum, state.share)
+        team = TeamUsage(used, state.demand, state.guarantee, state.share)
         timer.update(now, team)
         preemptible_units, for_guarantee = timer.starved_amount(
             now,
@@ -139,5 +139,5 @@
             policy.team(name).minimum_timeout or policy.minimum_timeout,
             policy.share_timeout,
         )
-        units_below_guarantee = max(min(state.minimum, state.demand) - used, 0.0)
+        units_below_guarantee = max(min(state.guarantee, state.demand) - used, 0.0)
         return _Shortage(preemptible_units, for_guarantee, units_below_guarantee)
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -109,7 +109,7 @@
     """Handle a message that looks old: delayed, duplicated, or sent by a restarted worker.
 
     Its list of tasks may be out of date.  Unless it proves a restart, the message renews no lease
-    and neither releases nor adds attempts.
+    and neither removes nor adds attempts.
     """
     reachability = machine.reachability
     if reachability.proves_restart(command_sent_at):
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -39,7 +39,7 @@
     now: timedelta,
     is_heartbeat: bool,
 ) -> None:
-    """Apply the tasks that a message shows, and release attempts that it proves to be gone.
+    """Apply the tasks that a message shows, and remove attempts that it proves to be gone.
 
     ``is_heartbeat`` is False for an answer to a command, which proves less.
     """
@@ -64,7 +64,7 @@
     for attempt in [a for key, a in machine.attempts.items() if key not in shown]:
         if _is_certainly_gone(cluster, attempt, machine, is_heartbeat):
             if attempt.state is None:
-                cluster.release(attempt, now)
+                cluster.remove_attempt(attempt, now)
             else:
                 lose_attempt(cluster, machine, attempt, now)
 
@@ -129,7 +129,7 @@
     if not job.ended:
         machine.images[job.spec.image] = now
     if unknown and (job.ended or len(job.attempts[index]) > 1 or index in job.finished):
-        # Must follow the update of its state: ``stop`` immediately releases an attempt without a
+        # Must follow the update of its state: ``stop`` immediately removes an attempt without a
         # state, as one that was never started.
         cluster.stop(attempt, ZERO, now)
 
@@ -174,7 +174,7 @@
     if attempt is not None:
         if not done:
             stop_gang_members(cluster, attempt, now)
-        cluster.release(attempt, now)
+        cluster.remove_attempt(attempt, now)
 
 
 def _collect_run_time(
--- a/micadeal/scheduling/response_effects.py
+++ b/micadeal/scheduling/response_effects.py
@@ -69,7 +69,7 @@
 def withdraw_unconfirmed_starts(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
     """Stop attempts whose start an unreachable machine has not shown, so that they go elsewhere.
 
-    Each is released only when that is certainly safe: once a heartbeat that was sent after the
+    Each is removed only when that is certainly safe: once a heartbeat that was sent after the
     response with the start does not show it.  A gang is withdrawn as a whole, since its other tasks
     would wait for the missing one.
     """
--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -75,7 +75,7 @@
         #: Whether most machines did not receive responses, as of the last tick.
         self._own_responses_lost = False
 
-    def observe_from(self, now: timedelta) -> None:
+    def restart_silence_timers(self, now: timedelta) -> None:
         """Count silence of machines from ``now`` on: this process did not observe them before."""
         self._observing_since = now
 
--- a/micadeal/scheduling/scheduler.py
+++ b/micadeal/scheduling/scheduler.py
@@ -1,8 +1,8 @@
 """The leader's scheduling decisions during one term: cycles, rentals and returns.  No I/O.
 
 ``Scheduler`` is the interface to the controller.  It receives events (jobs, heartbeats, responses
-of the cloud) and stores its decisions in the cluster state, ``rentals`` and ``releases``.  The
-controller carries them out.
+of the cloud) and stores its decisions in the cluster state, ``pending_rental_requests`` and
+``pending_returns``.  The controller carries them out.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from micadeal.scheduling.draining import drain_reclaimed_machines
 from micadeal.scheduling.machine_inventory import MachineInventory
 from micadeal.scheduling.machine_monitor import MachineMonitor
-from micadeal.scheduling.plan import Kill, Plan
+from micadeal.scheduling.plan import Plan, PlannedPreemption
 from micadeal.scheduling.reservations import GangReservations, ReservationInputs
 from micadeal.scheduling.scheduling_cycle import SchedulingCycle
 from micadeal.scheduling.status_counts import (
@@ -98,7 +98,7 @@
             self._arrivals.add(job, now)
 
     def on_heartbeat(
-        self, heartbeat: Heartbeat, now: timedelta, *, is_heartbeat: bool, full: bool
+        self, heartbeat: Heartbeat, now: timedelta, *, is_heartbeat: bool, full_authority: bool
     ) -> list[Command] | None:
         """Return the commands to respond with; None if the machine is gone or the report is old."""
         machine = reconciliation.reconcile_heartbeat(
@@ -106,7 +106,11 @@
         )
         if machine is None:
             return None
-        return worker_commands.commands_for(self.cluster, machine, full) if is_heartbeat else []
+        return (
+            worker_commands.commands_for(self.cluster, machine, full_authority)
+            if is_heartbeat
+            else []
+        )
 
     # -- responses of the cloud ------------------------------------------------------------
 
@@ -120,14 +124,14 @@
         self._inventory.listed = listed
 
     @property
-    def rentals(self) -> dict[InstanceOffer, RentalRequest]:
+    def pending_rental_requests(self) -> dict[InstanceOffer, RentalRequest]:
         """Rental requests without a response yet, at most one for each offer."""
-        return self._inventory.rentals
+        return self._inventory.pending_rental_requests
 
     @property
-    def releases(self) -> set[str]:
+    def pending_returns(self) -> set[str]:
         """Names of machines to be returned; each stays until the cloud confirms the return."""
-        return self._inventory.releases
+        return self._inventory.pending_returns
 
     def set_catalog(self, types: Iterable[MachineType]) -> None:
         """Set the cloud's machine types."""
@@ -135,25 +139,25 @@
         self.cluster.types = self.instance_offers.types
         self.cluster.changed = True
 
-    def on_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
+    def apply_machine_list(self, listed: Iterable[ListedMachine], now: timedelta) -> None:
         """Process the cloud's list of all machines."""
-        self._inventory.on_list(listed, now)
+        self._inventory.apply_machine_list(listed, now)
 
-    def rented(self, request: RentalRequest, names: list[str], now: timedelta) -> None:
+    def rental_granted(self, request: RentalRequest, names: list[str], now: timedelta) -> None:
         """Process a granted rental request; the cloud may grant fewer machines than requested."""
-        self._inventory.rented(request, names, now)
+        self._inventory.rental_granted(request, names, now)
 
     def rental_refused(self, request: RentalRequest, now: timedelta) -> None:
         """Process a refused rental request."""
         self._inventory.rental_refused(request, now)
 
-    def released(self, names: Iterable[str], now: timedelta) -> None:
+    def return_confirmed(self, names: Iterable[str], now: timedelta) -> None:
         """Process the cloud's confirmation that these machines are gone."""
-        self._inventory.released(names, now)
+        self._inventory.return_confirmed(names, now)
 
-    def return_again(self, names: Iterable[str], now: timedelta) -> None:
+    def retry_returns(self, names: Iterable[str], now: timedelta) -> None:
         """Request again the return of machines that an earlier leader was returning."""
-        self._inventory.return_again(names, now)
+        self._inventory.retry_returns(names, now)
 
     # -- time ------------------------------------------------------------------------------
 
@@ -169,7 +173,7 @@
             # heartbeats that arrived during the stall are processed first.
             stalled = (now - self._last_tick).total_seconds()
             log.info("scheduler stalled: seconds=%.1f", stalled)
-            self._monitor.observe_from(now)
+            self._monitor.restart_silence_timers(now)
         self._last_tick = now
         if may_expire_leases:
             machine_loss.expire_leases(self.cluster, now)
@@ -198,8 +202,8 @@
         self._last_cycle = now
         self.plan = SchedulingCycle(self._cycle_inputs(now)).run()
         self.plan.reserved |= self.reservations.reserved_machines()
-        for kill in self.plan.kills:
-            self._preempt(kill, now)
+        for preemption in self.plan.preemptions:
+            self._preempt(preemption, now)
         self._inventory.request_rentals(self.plan.rentals)
 
     def _cycle_inputs(self, now: timedelta) -> CycleInputs:
@@ -223,7 +227,7 @@
         below_guarantee: set[TeamResource] = set()
         for resource, states in self.plan.teams.items():
             for name, state in states.items():
-                guaranteed = min(state.minimum, state.demand)
+                guaranteed = min(state.guarantee, state.demand)
                 if state.used + EPSILON >= max(state.share, guaranteed):
                     satisfied.add((name, resource))
                 elif state.used + EPSILON < guaranteed:
@@ -254,9 +258,9 @@
                 if job is None or not job.waiting_count() or now >= until:
                     machine.preempted_for = None
 
-    def _preempt(self, kill: Kill, now: timedelta) -> None:
+    def _preempt(self, preemption: PlannedPreemption, now: timedelta) -> None:
         """Stop a victim with a grace period to save, and close its machines to other jobs."""
-        victim = kill.victim
+        victim = preemption.victim
         job = self.cluster.jobs[victim.job_id]
         grace = grace_to_save(job)
         machines = {freed.machine for freed in victim.freed}
@@ -265,11 +269,11 @@
             victim.job_id,
             "all" if victim.index is None else victim.index,
             ",".join(sorted(machines)),
-            kill.preemptor,
+            preemption.preemptor,
         )
         for name in machines:
             self.cluster.machines[name].preempted_for = PreemptionHold(
-                kill.preemptor, now + grace + PREEMPTION_MARGIN
+                preemption.preemptor, now + grace + PREEMPTION_MARGIN
             )
         if victim.index is None:
             self.cluster.stop_job(job, now, save=True)
--- a/micadeal/scheduling/scheduling_cycle.py
+++ b/micadeal/scheduling/scheduling_cycle.py
@@ -10,7 +10,7 @@
 from micadeal.scheduling.bookings import Bookings
 from micadeal.scheduling.capacity import build_capacities
 from micadeal.scheduling.capacity_pool import CapacityPool
-from micadeal.scheduling.cycle_data import CycleFindings, CycleInputs
+from micadeal.scheduling.cycle_data import CycleInputs, PlacementOutcome
 from micadeal.scheduling.delay import DelayScheduling
 from micadeal.scheduling.gang_placement import GangPlacement
 from micadeal.scheduling.plan import Plan, TeamState
@@ -53,14 +53,14 @@
         for capacity in self.pool.capacities:
             if capacity.booked and not capacity.planned and not capacity.up:
                 self.plan.reserved.add(capacity.name)
-        findings = CycleFindings(
+        outcome = PlacementOutcome(
             self._inputs,
             self.plan,
             self.pool.machines_by_zone,
             self._bookings.unplaced,
             self.pool.spot_scarce,
         )
-        Preemption(findings).select()
+        Preemption(outcome).select()
         return self.plan
 
     def _serve_resource(self, resource: str, jobs: list[Job]) -> None:
@@ -91,7 +91,7 @@
             team = min(
                 queues,
                 key=lambda name: (
-                    *team_key(states[name].used, states[name].minimum, states[name].weight),
+                    *team_key(states[name].used, states[name].guarantee, states[name].weight),
                     name,
                 ),
             )
--- a/micadeal/scheduling/status_counts.py
+++ b/micadeal/scheduling/status_counts.py
@@ -55,7 +55,7 @@
     for job in cluster.live_jobs():
         if job.blocked:
             states["blocked"] += 1
-        elif deferral is not None and deferral.held(job, now) is not None:
+        elif deferral is not None and deferral.active_hold(job, now) is not None:
             states["held"] += 1
         elif job.running_count():
             states["running"] += 1
--- a/micadeal/scheduling/takeover.py
+++ b/micadeal/scheduling/takeover.py
@@ -55,7 +55,7 @@
 ) -> None:
     job = cluster.job_or_placeholder(placed.job_id)
     attempt = Attempt(placed.job_id, placed.index, placed.attempt, machine.name, now, record=key)
-    attempt.reported_started = placed.job_id in cluster.all_started
+    attempt.reported_started = placed.job_id in cluster.fully_started_jobs
     if attempt.key in machine.attempts:
         # Another record names it already, so this one is redundant.
         cluster.stale_records.setdefault(key, now)
--- a/micadeal/scheduling/team_shares.py
+++ b/micadeal/scheduling/team_shares.py
@@ -53,7 +53,9 @@
     deferral = inputs.deferral
     if deferral is None:
         return list(inputs.cluster.live_jobs())
-    return [job for job in inputs.cluster.live_jobs() if deferral.held(job, inputs.now) is None]
+    return [
+        job for job in inputs.cluster.live_jobs() if deferral.active_hold(job, inputs.now) is None
+    ]
 
 
 def _queue_order(inputs: CycleInputs, job: Job) -> tuple[int, timedelta, str]:
@@ -85,7 +87,7 @@
         limit = teams[name].limit(resource)
         if limit is not None:
             state.demand = min(state.demand, limit)
-    claims = [Claim(state.demand, state.weight, state.minimum) for state in states.values()]
+    claims = [Claim(state.demand, state.weight, state.guarantee) for state in states.values()]
     shares = fair_shares(claims, _shared_amount(resource, states, inputs, pool))
     for state, share in zip(states.values(), shares, strict=True):
         state.share = share
--- a/micadeal/timing/signal.py
+++ b/micadeal/timing/signal.py
@@ -63,7 +63,7 @@
     #: The last valid series.
     series: Series | None = None
 
-    def update(self, series: Series) -> None:
+    def add_series(self, series: Series) -> None:
         """Replace the series and learn from it."""
         self.series = series
         self.profile.learn(series)
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -157,7 +157,7 @@
             )
             for w in self.workers.values()
         ]  # fmt: skip
-        self.scheduler.on_list(listed, self.now)
+        self.scheduler.apply_machine_list(listed, self.now)
 
     def submit(self, job_id: str, **fields: Any) -> str:
         """Submit a job at another controller; return its id."""
@@ -259,13 +259,13 @@
         if returns:
             for name in returns:
                 self.workers.pop(name, None)
-            self.scheduler.released(returns, self.now)
+            self.scheduler.return_confirmed(returns, self.now)
 
     def _run_cycle(self) -> None:
         """Run a scheduling cycle and note what it decides."""
         self.scheduler.run_cycle(self.now)
         plan = self.scheduler.plan
-        for preemptor, victim in plan.kills:
+        for preemptor, victim in plan.preemptions:
             machines = sorted({entry[0] for entry in victim.freed})
             self._note("killed", preemptor, victim.job_id, victim.index, machines)
         for task in plan.placed:
@@ -315,12 +315,12 @@
 
     def _ask_cloud(self) -> None:
         """Send new requests for rentals and returns; answers come in the next step."""
-        for request in self.scheduler.rentals.values():
+        for request in self.scheduler.pending_rental_requests.values():
             if request not in self._rentals:
                 self._rentals.append(request)
                 self._note("rented", wire(request))
-        if self.scheduler.releases and not self._returns:
-            self._returns = sorted(self.scheduler.releases)[:100]
+        if self.scheduler.pending_returns and not self._returns:
+            self._returns = sorted(self.scheduler.pending_returns)[:100]
             self._note("returned", self._returns)
 
     def _rent(self, request: RentalRequest) -> None:
@@ -336,7 +336,7 @@
             return
         boot_s = (BOX if asked["rig"] == "box" else SLAB)["boot_s"]
         names = [self.add_machine(*offer, after=boot_s + i % 3) for i in range(granted)]
-        self.scheduler.rented(request, names, self.now)
+        self.scheduler.rental_granted(request, names, self.now)
 
     # -- workers ---------------------------------------------------------------------------
 
@@ -345,7 +345,9 @@
         if worker.unreachable or self.time < worker.up_at:
             return
         heartbeat = worker.heartbeat(self.time)
-        commands = self.scheduler.on_heartbeat(heartbeat, self.now, is_heartbeat=True, full=True)
+        commands = self.scheduler.on_heartbeat(
+            heartbeat, self.now, is_heartbeat=True, full_authority=True
+        )
         if commands:
             self._note("ordered", worker.name, [wire(order) for order in commands])
         if commands is None or worker.receives_nothing:
--- a/tests/fakes/random_clusters.py
+++ b/tests/fakes/random_clusters.py
@@ -47,7 +47,7 @@
             )
             for i in range(machines)
         ]  # fmt: skip
-        self.scheduler.on_list(listed, self.now)
+        self.scheduler.apply_machine_list(listed, self.now)
         for entry in listed:
             self.heartbeat(entry.name)
         for _ in range(jobs):
@@ -98,5 +98,5 @@
         self.scheduler.on_heartbeat(
             Heartbeat(name, machine.address, "box", machine.zone, machine.spot, 1, sequence, TOKEN,
                    None, tasks),
-            self.now, is_heartbeat=True, full=True,
+            self.now, is_heartbeat=True, full_authority=True,
         )  # fmt: skip
--- a/tests/test_deferral.py
+++ b/tests/test_deferral.py
@@ -122,9 +122,9 @@
     job = below_guarantee.submit(**NIGHTLY)
     advance(below_guarantee, 0.01)
     assert below_guarantee.scheduler.deferral is not None
-    assert below_guarantee.scheduler.deferral.held(job, below_guarantee.now) is not None
+    assert below_guarantee.scheduler.deferral.active_hold(job, below_guarantee.now) is not None
     advance(below_guarantee, 0.05)
-    assert below_guarantee.scheduler.deferral.held(job, below_guarantee.now) is None
+    assert below_guarantee.scheduler.deferral.active_hold(job, below_guarantee.now) is None
 
 
 def test_new_leader_decides_alike_and_holds_no_job_longer() -> None:
@@ -132,12 +132,12 @@
     job = simulation.submit(**NIGHTLY)
     advance(simulation)
     assert simulation.scheduler.deferral is not None
-    first = simulation.scheduler.deferral.held(job, simulation.now)
+    first = simulation.scheduler.deferral.active_hold(job, simulation.now)
     assert first is not None
     # The next leader has the records and the series, but not the state of the first leader.
     simulation.scheduler.deferral = deferral_with_prices(simulation)
     advance(simulation, 0.5)
-    second = simulation.scheduler.deferral.held(job, simulation.now)
+    second = simulation.scheduler.deferral.active_hold(job, simulation.now)
     assert second is not None
     assert (second.until, second.latest) == (first.until, first.latest)
     # A leader without a series holds no jobs.
@@ -152,7 +152,7 @@
     simulation.submit(**(NIGHTLY | {"prerequisites": [first.id], "deadline_s": 3.5 * 3600.0}))
     advance(simulation)
     assert simulation.scheduler.deferral is not None
-    hold = simulation.scheduler.deferral.held(first, simulation.now)
+    hold = simulation.scheduler.deferral.active_hold(first, simulation.now)
     # The second takes an hour, so the first must end an hour before its deadline.
     assert hold is None or hold.latest < NOW + 1.5 * HOUR
 
@@ -208,7 +208,7 @@
         **(NIGHTLY | {"job_class": "daily", "tasks": 8, "deadline_s": 36_000})
     )
     advance(simulation)
-    assert simulation.scheduler.deferral.held(flexible, simulation.now) is None
+    assert simulation.scheduler.deferral.active_hold(flexible, simulation.now) is None
     assert len(daily.attempts) == 6 and not flexible.attempts
 
 
@@ -221,7 +221,7 @@
     advance(simulation, 0.01)
     advance(simulation, 0.01)
     assert simulation.scheduler.deferral is not None
-    hold = simulation.scheduler.deferral.held(job, simulation.now)
+    hold = simulation.scheduler.deferral.active_hold(job, simulation.now)
     assert hold is not None and NOW + 4 * HOUR < hold.latest < NOW + 4.8 * HOUR
 
 
@@ -241,6 +241,6 @@
     later = simulation.submit(**NIGHTLY)
     advance(simulation, 0.01)
     assert simulation.scheduler.deferral is not None
-    hold = simulation.scheduler.deferral.held(later, simulation.now)
+    hold = simulation.scheduler.deferral.active_hold(later, simulation.now)
     latest = NOW + (later.submitted_at - seconds(100)) + 9 * HOUR - 2.2 * HOUR
     assert hold is not None and latest - HOUR / 10 < hold.latest < latest + HOUR / 20
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -399,4 +399,4 @@
     few, many = picture.submit(**fields, tasks=3), picture.submit(**fields, tasks=30)
     picture.scheduler.run_cycle(picture.now)
     assert few.reasons == {CAPACITY_FREES_SOON: 3}
-    assert CAPACITY_FREES_SOON not in many.reasons and picture.scheduler.rentals
+    assert CAPACITY_FREES_SOON not in many.reasons and picture.scheduler.pending_rental_requests
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -150,7 +150,7 @@
     damaged = Item(key, {"machines": "none"}, store.keys[key].version)
     record_writer.failed(batch, {**store.read(batch), key: damaged}, deployment.now)
     assert f"unreadable record: key={key}" in caplog.text
-    assert set(batch.placed[0].attempts) <= set(deployment.cluster.unwritten)
+    assert set(batch.placed[0].attempts) <= set(deployment.cluster.unwritten_placements)
     next_batches = [b for b in record_writer.next(deployment.now) if b.placed]
     assert key not in {write.key for b in next_batches for write in b.placed}
     revision = store.apply(next_batches[0])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -251,7 +251,9 @@
     assert all(deployment.cluster.machines[name].attempts for name in ordinary)
     live.errors.update(ordinary[:1])
     deployment.scheduler.run_cycle(deployment.now)
-    killed = {entry[0] for _, victim in deployment.scheduler.plan.kills for entry in victim.freed}
+    killed = {
+        entry[0] for _, victim in deployment.scheduler.plan.preemptions for entry in victim.freed
+    }
     assert killed and ordinary[0] not in killed
 
 
@@ -274,15 +276,15 @@
     )  # fmt: skip
     for name, guarantee in zip(deployment.teams, (0.0, 4.0), strict=False):
         deployment.cluster.teams[name] = Team(name, 0.0, guarantee, None, 6.0)
-    kills = 0
+    preemptions = 0
     for _ in range(40):
         deployment.now += seconds(1)
         for name in deployment.cluster.machines:
             deployment.heartbeat(name)
         deployment.scheduler.run_cycle(deployment.now)
-        kills += len(deployment.scheduler.plan.kills)
+        preemptions += len(deployment.scheduler.plan.preemptions)
     assert len(array.attempts) == 1 and array.waiting_count() == 1
-    assert kills == 0
+    assert preemptions == 0
 
 
 def test_preempted_capacity_is_kept_for_the_preemptor() -> None:
@@ -315,15 +317,15 @@
     )  # fmt: skip
     for _ in range(6):
         deployment.submit(**fields, shape=Shape.ARRAY, tasks=1)
-    kills = 0
+    preemptions = 0
     for step in range(20):
         deployment.now += seconds(0.2)
         if step == 5:
             # One of the two has ended, the other one still saves.
-            deployment.cluster.release(next(iter(machine.attempts.values())), deployment.now)
+            deployment.cluster.remove_attempt(next(iter(machine.attempts.values())), deployment.now)
         if step == 15:
-            deployment.cluster.release(next(iter(machine.attempts.values())), deployment.now)
+            deployment.cluster.remove_attempt(next(iter(machine.attempts.values())), deployment.now)
         deployment.scheduler.run_cycle(deployment.now)
-        kills += len(deployment.scheduler.plan.kills)
+        preemptions += len(deployment.scheduler.plan.preemptions)
     assert len(live.attempts) == 1
-    assert kills == 2
+    assert preemptions == 2
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -135,8 +135,8 @@
         points=points(*[0.2] * 20, 0.4, 0.4, 0.4, 0.4, first=NOW - 23 * HOUR),
         measured_until=(NOW + HOUR).isoformat(),
     )
-    signal.update(read_document(day))
-    signal.update(read_document(series_document(valid_until=(NOW + 4 * HOUR).isoformat())))
+    signal.add_series(read_document(day))
+    signal.add_series(read_document(series_document(valid_until=(NOW + 4 * HOUR).isoformat())))
     assert signal.at(NOW + 2 * HOUR, NOW) == (0.10, Quality.FORECAST)
     late = NOW + 5 * HOUR
     assert signal.at(late, late) == (0.2, Quality.PROFILE)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -196,7 +196,7 @@
                 if isinstance(operation, records.Put):
                     assert json_size(operation.value) <= 2048
             record_writer.committed(batch, 1, deployment.now)
-    assert not deployment.cluster.unwritten
+    assert not deployment.cluster.unwritten_placements
     assert all(attempt.recorded for attempt in job.all_attempts())
 
 
@@ -218,7 +218,7 @@
             else:
                 record_writer.committed(batch, 1, deployment.now)
     assert 0 < refused < 12
-    assert not deployment.cluster.unwritten
+    assert not deployment.cluster.unwritten_placements
 
 
 def test_end_record_states_outcome() -> None:
