--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -93,13 +93,13 @@
 
     def informed(self: Any, *args: Any, **named: Any) -> None:
         begin(self, *args, **named)
-        self._authority.mark_informed(self._cluster.term_start)
+        self._authority.mark_cancellations_read(self._cluster.term_start)
 
     patch.setattr(Leader, "__init__", informed)
 
 
 def _early_notices_lost(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RecordLoader, "job_cancelled", lambda self, job, now: self.job_over(job, now))
+    patch.setattr(RecordLoader, "job_cancelled", lambda self, job, now: self.job_ended(job, now))
 
 
 def _lists_empty(patch: pytest.MonkeyPatch) -> None:
@@ -143,7 +143,7 @@
 
 
 def _stale_heartbeats_count(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(reconciliation, "_looks_older", lambda machine, heartbeat: False)
+    patch.setattr(reconciliation, "_is_stale", lambda machine, heartbeat: False)
 
 
 def _any_absence_frees(patch: pytest.MonkeyPatch) -> None:
--- a/bench/model_reachability.py
+++ b/bench/model_reachability.py
@@ -83,7 +83,7 @@
 
 #: For each guard the class or module and the function whose replacement disables it.
 GUARDS: dict[str, tuple[Any, str, Callable[..., Any]]] = {
-    "a stale message changes nothing": (reconciliation, "_looks_older", _never_older),
+    "a stale message changes nothing": (reconciliation, "_is_stale", _never_older),
     "only an answer to a probe proves a restart": (
         Reachability,
         "proves_restart",
--- a/micadeal/clock.py
+++ b/micadeal/clock.py
@@ -10,7 +10,7 @@
 
 ZERO = timedelta(0)
 #: The monotonic clocks of two machines drift apart by at most this fraction of the elapsed time.
-DRIFT = 0.0005
+MAX_CLOCK_DRIFT = 0.0005
 #: Upper bound of a record's age, so that a damaged timestamp can't cause an overflow.
 MAX_AGE_S = 1e9
 
--- a/micadeal/controller/api/confirmation.py
+++ b/micadeal/controller/api/confirmation.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from micadeal.clock import DRIFT, monotonic
+from micadeal.clock import MAX_CLOCK_DRIFT, monotonic
 from micadeal.controller.api.cancellation_ages import CancellationAges
 from micadeal.controller.api.known_answers import KnownAnswers
 from micadeal.state.service import StateServiceError
@@ -85,7 +85,7 @@
         if self._ages.note(job_id, now):
             self._answers.last_cancel_answered_at = now
         age = self._ages.age(job_id, now)
-        if age is None or age <= self._cancel_timeout * (1 + 2 * DRIFT):
+        if age is None or age <= self._cancel_timeout * (1 + 2 * MAX_CLOCK_DRIFT):
             raise _unconfirmed(job_id, "a task may still start")
 
 
--- a/micadeal/controller/api/dependencies.py
+++ b/micadeal/controller/api/dependencies.py
@@ -29,7 +29,7 @@
         self._answers = answers
         self._cancel_timeout = cancel_timeout
         #: All jobs that depend on a job cancelled before this instant are recorded as cancelled.
-        self.propagated_until: timedelta | None = None
+        self.cancellations_propagated_until: timedelta | None = None
 
     def cancellations_propagated(self, asked_at: timedelta) -> bool:
         """Return whether a job's own record is enough to answer a request received at ``asked_at``.
@@ -38,8 +38,8 @@
         jobs that depend on the cancelled job.
         """
         return (
-            self.propagated_until is not None
-            and asked_at - self.propagated_until < self._cancel_timeout / 2
+            self.cancellations_propagated_until is not None
+            and asked_at - self.cancellations_propagated_until < self._cancel_timeout / 2
         )
 
     async def has_cancelled_prerequisite(self, spec: Submission) -> bool:
--- a/micadeal/controller/api/jobs.py
+++ b/micadeal/controller/api/jobs.py
@@ -105,7 +105,7 @@
 
     def set_cancellations_propagated_until(self, until: timedelta | None) -> None:
         """Store the instant up to which cancellations are recorded for all dependent jobs."""
-        self._dependencies.propagated_until = until
+        self._dependencies.cancellations_propagated_until = until
 
     def note_ended(self, job_id: str) -> None:
         """Note that a job's end is recorded, by a report of the leader or another controller."""
--- a/micadeal/controller/api/peers.py
+++ b/micadeal/controller/api/peers.py
@@ -143,8 +143,8 @@
             # Nothing counted yet: repeats the last report of the previous leader.
             counts, all_started = self._jobs.counts, list(self._jobs.all_started())
         cascade_age_ms = None
-        if progress.cascaded_until is not None:
-            cascade_age_ms = _milliseconds(monotonic() - progress.cascaded_until)
+        if progress.cancellations_propagated_until is not None:
+            cascade_age_ms = _milliseconds(monotonic() - progress.cancellations_propagated_until)
         return _Progress(counts, all_started, cascade_age_ms)
 
     def _renewal_promise(self, ping: Ping) -> RenewalPromise | None:
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -244,9 +244,9 @@
         await curio.spawn(self.run, daemon=True)
         while not shutdown_requested():
             await sleep(SHUTDOWN_POLL_INTERVAL)
-        await self.retire()
+        await self.shut_down()
 
-    async def retire(self) -> None:
+    async def shut_down(self) -> None:
         """Stop accepting work, finish pending writes and hand over leadership."""
         log.info("shutdown requested: controller=%s", self._platform.name)
         self._readiness.shutting_down = True
@@ -258,7 +258,7 @@
             except (MailboxFullError, TimeoutError):
                 pass
             await sleep(SHUTDOWN_POLL_INTERVAL)
-        self._election.retire()
+        self._election.shut_down()
         while self._leader.actor is not None and monotonic() < deadline + SHUTDOWN_TIMEOUT:
             await sleep(SHUTDOWN_POLL_INTERVAL)
 
@@ -372,11 +372,13 @@
             progress = await actor.ask(GetProgress(), QUERY_TIMEOUT)
             if not actor.loading:
                 self._job_api.set_counts(progress.counts, progress.all_started)
-            self._job_api.set_cancellations_propagated_until(progress.cascaded_until)
+            self._job_api.set_cancellations_propagated_until(
+                progress.cancellations_propagated_until
+            )
         elif pong.leading and name == self._leader.name:
             self._job_api.set_counts(pong.counts, pong.all_started)
             self._job_api.set_cancellations_propagated_until(
-                self._peer_links.reported_cascaded_until(name)
+                self._peer_links.reported_propagation(name)
             )
 
     def _peer_status(self) -> PeerStatus:
--- a/micadeal/controller/feature_level_updater.py
+++ b/micadeal/controller/feature_level_updater.py
@@ -95,7 +95,9 @@
         """Plan the next level change, and write it if nothing prevents it."""
         base_record = self._feature_levels.record
         status: MigrationStatus = await self._ask(GetMigrationBacklog(), REQUEST_TIMEOUT)
-        planned = self._feature_levels.plan(status.ceiling, status.migration_backlog, monotonic())
+        planned = self._feature_levels.plan(
+            status.highest_allowed_level, status.migration_backlog, monotonic()
+        )
         if planned.next_record is None:
             return
         leader_lock = await self._refresh()
--- a/micadeal/controller/feature_levels.py
+++ b/micadeal/controller/feature_levels.py
@@ -167,11 +167,16 @@
     # -- as leader -------------------------------------------------------------------------
 
     def plan(
-        self, ceiling: int | None, migration_backlog: MigrationBacklog, now: timedelta
+        self, highest_allowed_level: int | None, migration_backlog: MigrationBacklog, now: timedelta
     ) -> Plan:
         """Plan the next level change; see ``rollout.migration.plan``."""
         planned = plan(
-            self.record, self.process, self._observations, ceiling, migration_backlog, now
+            self.record,
+            self.process,
+            self._observations,
+            highest_allowed_level,
+            migration_backlog,
+            now,
         )
         self.set_waits(planned.waits)
         return planned
--- a/micadeal/controller/initial_records.py
+++ b/micadeal/controller/initial_records.py
@@ -9,7 +9,7 @@
 from micadeal.clock import monotonic
 from micadeal.controller.messages import StateLoaded
 from micadeal.rollout.feature_level import FeatureLevel
-from micadeal.schema.decoding import VersionedRecord, decode_item, decode_placements, read
+from micadeal.schema.decoding import VersionedRecord, decode_item, decode_items, decode_placements
 from micadeal.schema.job_listing import JobListing
 from micadeal.schema.keys import (
     DONE,
@@ -87,9 +87,9 @@
     return StateLoaded(
         jobs=JobListing(jobs, revision),
         placed=placed,
-        images=read(range_reads.items(IMAGES), ImagesRecord),
-        returned_machines=read(range_reads.items(LEAVING), ReturnedMachinesRecord),
-        finished=read(range_reads.items(*finished_prefixes), FinishedRecord),
+        images=decode_items(range_reads.items(IMAGES), ImagesRecord),
+        returned_machines=decode_items(range_reads.items(LEAVING), ReturnedMachinesRecord),
+        finished=decode_items(range_reads.items(*finished_prefixes), FinishedRecord),
         parts=parts,
         ended=await _read_ends_of_placed(state, jobs, placed),
         settings=settings,
--- a/micadeal/controller/job_end_reader.py
+++ b/micadeal/controller/job_end_reader.py
@@ -32,17 +32,17 @@
         self._in_flight: set[str] = set()
         self._pending: list[str] = []
         #: Every job that depends on one cancelled before this instant is recorded as cancelled.
-        self.cascaded_until: timedelta | None = None
+        self.cancellations_propagated_until: timedelta | None = None
 
     def completed(self, job_id: str) -> None:
         """Record that a read has completed."""
         self._in_flight.discard(job_id)
 
-    async def read_pending(self, rescan: bool, informed: timedelta | None) -> None:
+    async def read_pending(self, rescan: bool, cancellations_read_until: timedelta | None) -> None:
         """Start pending reads within the limit on reads in flight.
 
         With ``rescan``, ends to read are determined even if no dependency has changed.  Every
-        cancellation recorded before ``informed`` is known.
+        cancellation recorded before ``cancellations_read_until`` is known.
         """
         dependencies = self._dependencies
         if rescan or dependencies.changed:
@@ -54,7 +54,7 @@
             if not (self._pending or self._in_flight or dependencies.cancelled_by_dependency):
                 # All jobs that were cancelled before the last answered watch was opened, and all
                 # their dependents, are recorded as cancelled.
-                self.cascaded_until = informed
+                self.cancellations_propagated_until = cancellations_read_until
         while self._pending and len(self._in_flight) < MAX_IN_FLIGHT:
             job_id = self._pending.pop()
             if job_id not in self._in_flight:
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -337,16 +337,16 @@
     def _on_state_loaded(self, message: messages.StateLoaded, now: timedelta) -> None:
         self._record_loader.take_over(message, now)
         self._loaded = True
-        self._authority.mark_informed(message.requested_at)
+        self._authority.mark_cancellations_read(message.requested_at)
 
     def _on_jobs_changed(self, message: messages.JobsChanged, now: timedelta) -> None:
         for event in message.events:
             self._record_loader.job_event(event, now, message.parts)
-        self._authority.mark_informed(message.requested_at)
+        self._authority.mark_cancellations_read(message.requested_at)
 
     def _on_jobs_reloaded(self, message: messages.JobsReloaded, now: timedelta) -> None:
         self._record_loader.jobs_reloaded(message.items, now, message.parts)
-        self._authority.mark_informed(message.requested_at)
+        self._authority.mark_cancellations_read(message.requested_at)
 
     def _jobs_to_reread(self, _message: messages.GetJobsToReread, _now: timedelta) -> list[str]:
         return self._record_loader.unreadable.next_to_reread()
@@ -387,7 +387,9 @@
 
     def _progress(self, _message: messages.GetProgress, _now: timedelta) -> messages.Progress:
         return messages.Progress(
-            self._scheduler.counts(), self._job_ends.cascaded_until, self._scheduler.all_started()
+            self._scheduler.counts(),
+            self._job_ends.cancellations_propagated_until,
+            self._scheduler.all_started(),
         )
 
     def _has_remaining_tasks(self, message: messages.HasRemainingTasks, _now: timedelta) -> bool:
--- a/micadeal/controller/messages.py
+++ b/micadeal/controller/messages.py
@@ -108,7 +108,7 @@
 
     migration_backlog: MigrationBacklog
     #: The highest level allowed; None: any.
-    ceiling: int | None
+    highest_allowed_level: int | None
 
 
 # -- records -----------------------------------------------------------------------------------
@@ -253,7 +253,7 @@
 
     counts: list[Counts]
     #: Every job that depends on one cancelled before this instant is recorded as cancelled.
-    cascaded_until: timedelta | None
+    cancellations_propagated_until: timedelta | None
     #: Jobs whose unfinished tasks are all running.
     all_started: list[str]
 
--- a/micadeal/controller/peer_links.py
+++ b/micadeal/controller/peer_links.py
@@ -59,7 +59,7 @@
     #: When the peer last received a response from the state service.
     state_contact_at: timedelta | None = None
     #: If the peer leads: cancellations before this instant have reached all dependent jobs.
-    cascaded_until: timedelta | None = None
+    cancellations_propagated_until: timedelta | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -168,15 +168,15 @@
         link.contact = PeerContact(asked_at, now - _milliseconds(pong.cancel_age_ms))
         if pong.cascade_age_ms is not None:
             # Counted from the sending of the ping, so a delayed answer does not count as recent.
-            link.cascaded_until = asked_at - _milliseconds(pong.cascade_age_ms)
+            link.cancellations_propagated_until = asked_at - _milliseconds(pong.cascade_age_ms)
         return cancelled
 
     # -- state of the peers ----------------------------------------------------------------
 
-    def reported_cascaded_until(self, leader: str) -> timedelta | None:
+    def reported_propagation(self, leader: str) -> timedelta | None:
         """Return until when ``leader`` reports that cancellations have reached all dependents."""
         link = self._links.get(leader)
-        return None if link is None else link.cascaded_until
+        return None if link is None else link.cancellations_propagated_until
 
     def contacts(self) -> tuple[PeerContact | None, ...]:
         """Return the last contact with each peer; None: there was none."""
--- a/micadeal/controller/persistence/record_writer.py
+++ b/micadeal/controller/persistence/record_writer.py
@@ -145,7 +145,7 @@
             self._images.add_changed_page(draft, now)
         if draft.is_empty:
             return None
-        return draft.build(self._keys.conditions(draft.operations), Urgency.REST)
+        return draft.build(self._keys.conditions(draft.operations), Urgency.DEFERRED)
 
     def _max_deferred_operations(self) -> int:
         limits = self._context.limits.guaranteed
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -72,7 +72,7 @@
             self._load_images(page, now)
         # After the placements: a cancelled job's tasks count for its team until they are gone.
         for job_id in [job_id for job_id in self.cancelled if job_id in self._cluster.jobs]:
-            self.job_over(job_id, now)
+            self.job_ended(job_id, now)
         for returned in loaded.returned_machines:
             names = self._record_writer.load_returned_machines(returned, now)
             self._scheduler.retry_returns(names, now)
@@ -201,7 +201,7 @@
     def job_event(self, event: Event, now: timedelta, parts: Mapping[str, Item]) -> None:
         """Apply one change of a job record; ``parts`` holds the parts of split descriptions."""
         if event.drop is not None:
-            self.job_over(event.drop.removeprefix(JOBS), now)
+            self.job_ended(event.drop.removeprefix(JOBS), now)
         elif event.put is not None:
             self._job_changed(Item(event.put, event.value, event.version), now, parts)
 
@@ -210,7 +210,7 @@
         present = {item.key.removeprefix(JOBS) for item in items}
         for job in list(self._cluster.live_jobs()):
             if job.id not in present:
-                self.job_over(job.id, now)
+                self.job_ended(job.id, now)
         for item in items:
             self._job_changed(item, now, parts)
 
@@ -218,7 +218,7 @@
         self._load_job(item, now, parts)
         job_id = item.key.removeprefix(JOBS)
         if job_id in self.cancelled:
-            self.job_over(job_id, now)
+            self.job_ended(job_id, now)
 
     def job_cancelled(self, job_id: str, now: timedelta) -> None:
         """Apply a cancellation that a controller reports, perhaps before the records show it.
@@ -230,9 +230,9 @@
         self.cancelled[job_id] = None
         if len(self.cancelled) > MAX_CANCELLED_JOBS:
             del self.cancelled[next(iter(self.cancelled))]
-        self.job_over(job_id, now)
+        self.job_ended(job_id, now)
 
-    def job_over(self, job_id: str, now: timedelta) -> None:
+    def job_ended(self, job_id: str, now: timedelta) -> None:
         """Apply the removal of a job's record: the job is done or cancelled."""
         self.unreadable.remove(job_id)
         self._record_writer.delete_job_records(self._cluster.jobs.get(job_id))
--- a/micadeal/controller/term_authority.py
+++ b/micadeal/controller/term_authority.py
@@ -101,8 +101,8 @@
         """Apply a new fencing version, on which all further writes depend."""
         self.term = replace(self.term, fence=fence)
 
-    def mark_informed(self, requested_at: timedelta) -> None:
+    def mark_cancellations_read(self, requested_at: timedelta) -> None:
         """Note that every cancellation recorded before ``requested_at`` is known to this leader."""
-        informed = self.term.cancellations_read_until
-        if informed is None or requested_at > informed:
+        cancellations_read_until = self.term.cancellations_read_until
+        if cancellations_read_until is None or requested_at > cancellations_read_until:
             self.term = replace(self.term, cancellations_read_until=requested_at)
--- a/micadeal/fleet/instance_offers.py
+++ b/micadeal/fleet/instance_offers.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from micadeal.clock import seconds
-from micadeal.placement.machine_capacity import EPSILON, allowed, type_fits
+from micadeal.placement.machine_capacity import EPSILON, placement_allowed, type_fits
 from micadeal.wire.cloud import MachineType
 from micadeal.wire.users import Submission
 
@@ -103,7 +103,7 @@
         """Tell whether a task fits an empty machine of any machine type that the job allows."""
         return any(
             type_fits(spec, kind)
-            and any(allowed(spec, kind.name, zone, spot=False) for zone in kind.zones)
+            and any(placement_allowed(spec, kind.name, zone, spot=False) for zone in kind.zones)
             for kind in self.types.values()
         )
 
@@ -129,7 +129,9 @@
                     continue
                 for zone in kind.zones:
                     offer = InstanceOffer(kind.name, zone, spot)
-                    if allowed(spec, kind.name, zone, spot) and not self.is_backing_off(offer, now):
+                    if placement_allowed(spec, kind.name, zone, spot) and not self.is_backing_off(
+                        offer, now
+                    ):
                         per_task = _price_per_task(spec, kind, price)
                         candidates.append((per_task, machines_by_zone[zone], zone, offer, kind))
         candidates.sort(key=lambda candidate: candidate[:3])
--- a/micadeal/leadership/election.py
+++ b/micadeal/leadership/election.py
@@ -99,7 +99,7 @@
 class Election:
     """Takes part in elections and reports every event to its listener.
 
-    Owns the leader's lease.  Other components call only ``resign`` and ``retire``.
+    Owns the leader's lease.  Other components call only ``resign`` and ``shut_down``.
     """
 
     def __init__(
@@ -132,7 +132,7 @@
         """End the current term; the controller remains a candidate for later terms."""
         self._resign_reason = reason
 
-    def retire(self) -> None:
+    def shut_down(self) -> None:
         """Resign if leading, and take part in no further election."""
         self._is_candidate = False
         self.resign("this process ends")
--- a/micadeal/leadership/follower_leases.py
+++ b/micadeal/leadership/follower_leases.py
@@ -32,7 +32,7 @@
 from dataclasses import dataclass, replace
 from datetime import timedelta
 
-from micadeal.clock import DRIFT, seconds
+from micadeal.clock import MAX_CLOCK_DRIFT, seconds
 from micadeal.wire.workers import Command, CommandKind, Heartbeat, TaskState
 
 #: How long the renewal promise in an answer to a leader's ping holds.  Leaders ping every second.
@@ -80,7 +80,7 @@
     @property
     def cancellation_retention(self) -> timedelta:
         """How long a cancellation must be remembered; by then the job's tasks must have ended."""
-        return self.cancel_timeout * (1 + 2 * DRIFT) + self.clock_slack
+        return self.cancel_timeout * (1 + 2 * MAX_CLOCK_DRIFT) + self.clock_slack
 
 
 @dataclass(frozen=True, slots=True)
--- a/micadeal/leadership/term.py
+++ b/micadeal/leadership/term.py
@@ -16,7 +16,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from micadeal.clock import DRIFT
+from micadeal.clock import MAX_CLOCK_DRIFT
 
 #: Allowance for responses in flight, timers that fire late, and leases that end slightly late.
 SAFETY_MARGIN = timedelta(seconds=2.5)
@@ -79,7 +79,7 @@
         ``cancellations_known_until``; None: unknown.
         """
         # Guards ``ran_cancelled``: see the docstring of this module.
-        max_age = (cancel_timeout - lease_duration) * (1 - DRIFT) - SAFETY_MARGIN
+        max_age = (cancel_timeout - lease_duration) * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN
         read_until = self.cancellations_read_until
         known_until = [
             instant for instant in (read_until, cancellations_known_until) if instant is not None
--- a/micadeal/placement/bin_packing.py
+++ b/micadeal/placement/bin_packing.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop, heappush, heapreplace
 
-from micadeal.placement.machine_capacity import EPSILON, MachineCapacity, allowed
+from micadeal.placement.machine_capacity import EPSILON, MachineCapacity, placement_allowed
 from micadeal.wire.users import Shape, Submission
 
 #: Smaller is better; compared field by field.
@@ -92,7 +92,7 @@
     best: MachineCapacity | None = None
     best_rank: Rank = ()
     for capacity in capacities:
-        if not capacity.fits(spec) or not allowed(
+        if not capacity.fits(spec) or not placement_allowed(
             spec, capacity.machine_type, capacity.zone, capacity.spot
         ):
             continue
@@ -136,9 +136,9 @@
 
     def _suits(self, capacity: MachineCapacity) -> bool:
         spec = self._spec
-        return allowed(spec, capacity.machine_type, capacity.zone, capacity.spot) and is_economical(
-            spec, capacity, self._spot_scarce
-        )
+        return placement_allowed(
+            spec, capacity.machine_type, capacity.zone, capacity.spot
+        ) and is_economical(spec, capacity, self._spot_scarce)
 
     def refresh(self, capacity: MachineCapacity) -> None:
         """Rank a machine again after a booking on it, or rank an added machine."""
@@ -198,7 +198,7 @@
     """Return machines with room for a task, by zone; all under None unless ``one_zone`` is set."""
     by_zone: dict[str | None, list[MachineCapacity]] = {}
     for capacity in capacities:
-        if capacity.fits(spec) and allowed(
+        if capacity.fits(spec) and placement_allowed(
             spec, capacity.machine_type, capacity.zone, capacity.spot
         ):
             by_zone.setdefault(capacity.zone if spec.one_zone else None, []).append(capacity)
--- a/micadeal/placement/machine_capacity.py
+++ b/micadeal/placement/machine_capacity.py
@@ -35,7 +35,7 @@
     return (spec.cpus, spec.gpus, spec.memory_gb, spec.zone, spec.spot_allowed, machine_types)
 
 
-def allowed(spec: Submission, machine_type: str, zone: str, spot: bool) -> bool:
+def placement_allowed(spec: Submission, machine_type: str, zone: str, spot: bool) -> bool:
     """Return whether the constraints of a task allow such a machine.
 
     This is the part of the PROTOCOL rule ``wrong_place`` that a single machine decides.
--- a/micadeal/rollout/migration.py
+++ b/micadeal/rollout/migration.py
@@ -45,16 +45,20 @@
     record: LevelRecord,
     own: Process,
     observations: Mapping[str, PeerObservation],
-    ceiling: int | None,
+    highest_allowed_level: int | None,
     migration_backlog: MigrationBacklog,
     now: timedelta,
 ) -> Plan:
     """Return the next change of the level ``record`` that is in force.
 
-    ``observations`` has an entry for every peer that the settings name.  ``ceiling`` is the highest
-    level that the operators allow; None: any.
+    ``observations`` has an entry for every peer that the settings name.
+    ``highest_allowed_level`` is the highest level that the operators allow; None: any.
     """
-    highest = own.build.highest if ceiling is None else min(own.build.highest, ceiling)
+    highest = (
+        own.build.highest
+        if highest_allowed_level is None
+        else min(own.build.highest, highest_allowed_level)
+    )
     if highest < record.writes:
         return _plan_lowering(record, own, observations, highest)
     waits: tuple[str, ...] = ()
@@ -70,8 +74,11 @@
         if not migration_backlog.older:
             return Plan(_with(record, oldest=record.writes), waits=waits)
         waits = (*waits, f"{migration_backlog.older} records of earlier levels are still rewritten")
-    if ceiling is not None and own.build.highest > ceiling == record.writes:
-        waits = (*waits, f"the settings hold the level at {ceiling}")
+    if (
+        highest_allowed_level is not None
+        and own.build.highest > highest_allowed_level == record.writes
+    ):
+        waits = (*waits, f"the settings hold the level at {highest_allowed_level}")
     return Plan(waits=waits)
 
 
--- a/micadeal/scheduling/capacity_pool.py
+++ b/micadeal/scheduling/capacity_pool.py
@@ -18,7 +18,7 @@
     EPSILON,
     MachineCapacity,
     RequestKey,
-    allowed,
+    placement_allowed,
     request_key,
 )
 from micadeal.scheduling.cluster_state import ClusterState
@@ -132,7 +132,7 @@
             capacity
             for capacity in (self._open[start:] if start else self._open)
             if capacity.fits(spec)
-            and allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
+            and placement_allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
         ]
 
     @property
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from micadeal.clock import DRIFT, ZERO, monotonic_at, seconds
+from micadeal.clock import MAX_CLOCK_DRIFT, ZERO, monotonic_at, seconds
 from micadeal.fleet.boot_times import BootTimes
 from micadeal.fleet.instance_offers import InstanceOffer
 from micadeal.fleet.machines import Attempt, Machine
@@ -52,7 +52,7 @@
 
 def lease_expiry(workers: Workers) -> timedelta:
     """Return how long a worker must be silent for its lease to have certainly expired."""
-    return workers.lease * (1 + 2 * DRIFT) + LEASE_MARGIN
+    return workers.lease * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_MARGIN
 
 
 class StaleTokenError(Exception):
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -18,7 +18,7 @@
 from micadeal.placement.machine_capacity import EPSILON
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.plan import TeamState
-from micadeal.sharing.shares import booked
+from micadeal.sharing.shares import resource_amount
 from micadeal.timing.estimate_errors import EstimateErrors
 from micadeal.timing.series import Quantity, Series
 from micadeal.timing.shift import (
@@ -172,7 +172,7 @@
             (name, resource)
             for resource, states in self._teams.items()
             for name, state in states.items()
-            if booked(usage[name], resource) < min(state.guarantee, state.demand) - EPSILON
+            if resource_amount(usage[name], resource) < min(state.guarantee, state.demand) - EPSILON
         }
         self._starved_since = {
             team: self._starved_since.get(team, self._refreshed_at) for team in starved
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -18,8 +18,8 @@
 from micadeal.placement.machine_capacity import (
     MachineCapacity,
     RequestKey,
-    allowed,
     fits_into,
+    placement_allowed,
     request_key,
 )
 from micadeal.scheduling.cluster_state import ClusterState
@@ -87,7 +87,9 @@
         """Yield the estimates of running tasks whose end leaves capacity for such a task."""
         for machine in self._machines_caching(spec.image):
             free = machine.free_capacity
-            if free is None or not allowed(spec, machine.machine_type, machine.zone, machine.spot):
+            if free is None or not placement_allowed(
+                spec, machine.machine_type, machine.zone, machine.spot
+            ):
                 continue
             for attempt in machine.attempts.values():
                 job = self._cluster.jobs[attempt.job_id]
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -16,7 +16,7 @@
 from micadeal.scheduling.job_reasons import job_reasons
 from micadeal.scheduling.scale_in import ReturnReason
 from micadeal.scheduling.scheduler import Scheduler
-from micadeal.sharing.shares import booked
+from micadeal.sharing.shares import resource_amount
 from micadeal.wire.peers import MachineLine, Overview, StuckJob, TeamLine, WhyAnswer, WhyLine
 
 #: A job without started tasks is stuck after waiting this long.
@@ -86,7 +86,7 @@
                 for job in cluster.live_jobs()
                 if job.spec.team == name and job.resource == resource and not job.blocked
             ]
-            used = booked(usage[name], resource)
+            used = resource_amount(usage[name], resource)
             if not jobs and not state.guarantee and not used:
                 continue
             running = sum(1 for job in jobs if job.attempts)
--- a/micadeal/scheduling/preemption.py
+++ b/micadeal/scheduling/preemption.py
@@ -11,13 +11,13 @@
 from micadeal.fleet.machines import Attempt
 from micadeal.jobs.model import Job
 from micadeal.placement.bin_packing import ZoneRule
-from micadeal.placement.machine_capacity import MachineCapacity, RequestKey, allowed
+from micadeal.placement.machine_capacity import MachineCapacity, RequestKey, placement_allowed
 from micadeal.scheduling.capacity import build_capacities
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.cycle_data import PlacementOutcome
 from micadeal.scheduling.plan import PlannedPreemption
 from micadeal.scheduling.preemption_demand import LOW_RANK, PreemptionDemand, Preemptor
-from micadeal.sharing.shares import booked
+from micadeal.sharing.shares import resource_amount
 from micadeal.sharing.victims import FreedAmounts, Victim, choose_victims, may_preempt
 
 #: Maximum number of tasks for which victims are chosen in one cycle; the next cycle continues.
@@ -83,7 +83,7 @@
         Reserved capacity does not count: preemption frees only what tasks use.
         """
         return {
-            name: booked(self._usage[name], resource) - state.guarantee
+            name: resource_amount(self._usage[name], resource) - state.guarantee
             for name, state in self._outcome.plan.teams[resource].items()
         }
 
@@ -101,7 +101,7 @@
         return [
             capacity
             for capacity in self._capacities.values()
-            if allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
+            if placement_allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
             and capacity.name not in job.errors
             and (capacity.dedicated_to == job.id or not job.is_gang or spec.tasks == 1)
             and (capacity.spot or on_demand_allowed or capacity.name in with_on_demand_work)
--- a/micadeal/scheduling/preemption_demand.py
+++ b/micadeal/scheduling/preemption_demand.py
@@ -12,7 +12,7 @@
 from micadeal.scheduling.cycle_data import PlacementOutcome, TeamResource
 from micadeal.scheduling.plan import TeamState
 from micadeal.sharing.order import RANK
-from micadeal.sharing.shares import Amounts, booked
+from micadeal.sharing.shares import Amounts, resource_amount
 from micadeal.sharing.starvation import StarvationTimer, TeamUsage
 from micadeal.wire.users import Priority
 
@@ -118,7 +118,9 @@
     def _update_timers(self, usage: dict[str, Amounts]) -> dict[TeamResource, _Shortage]:
         """Update the starvation timers and return the shortage of each team."""
         return {
-            (name, resource): self._shortage(name, resource, state, booked(usage[name], resource))
+            (name, resource): self._shortage(
+                name, resource, state, resource_amount(usage[name], resource)
+            )
             for resource, states in self._outcome.plan.teams.items()
             for name, state in states.items()
         }
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -48,7 +48,7 @@
     if machine is None:
         machine = _add_unknown_machine(cluster, heartbeat, now)
     reachability = machine.reachability
-    if reachability.restarted or _looks_older(machine, heartbeat):
+    if reachability.restarted or _is_stale(machine, heartbeat):
         _handle_old_message(cluster, machine, heartbeat, now, is_heartbeat, command_sent_at)
         return None
     if machine.lease_expired and heartbeat.incarnation == machine.incarnation:
@@ -88,7 +88,7 @@
     return machine
 
 
-def _looks_older(machine: Machine, heartbeat: Heartbeat) -> bool:
+def _is_stale(machine: Machine, heartbeat: Heartbeat) -> bool:
     """Tell whether a message looks older than one already applied.
 
     Within one worker process, incarnation, sequence and token never decrease.
--- a/micadeal/scheduling/reservations.py
+++ b/micadeal/scheduling/reservations.py
@@ -27,7 +27,7 @@
 from micadeal.fleet.machines import Machine
 from micadeal.jobs.model import Job
 from micadeal.operator.policy import Policy
-from micadeal.placement.machine_capacity import EPSILON, allowed
+from micadeal.placement.machine_capacity import EPSILON, placement_allowed
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.cycle_data import TeamResource
 from micadeal.scheduling.slot_forecast import SlotForecast, slots_needed
@@ -224,7 +224,7 @@
         for machine in forecast.usable_machines:
             if machine.name in reserved_names or _preempted_for_other(machine, job):
                 continue
-            if not allowed(spec, machine.machine_type, machine.zone, machine.spot):
+            if not placement_allowed(spec, machine.machine_type, machine.zone, machine.spot):
                 continue
             if spec.spot_allowed and not machine.spot and not inputs.spot_scarce:
                 continue
--- a/micadeal/scheduling/start_invariants.py
+++ b/micadeal/scheduling/start_invariants.py
@@ -10,7 +10,7 @@
 
 from micadeal.fleet.machines import Attempt, Machine
 from micadeal.invariants import Invariant
-from micadeal.placement.machine_capacity import allowed
+from micadeal.placement.machine_capacity import placement_allowed
 from micadeal.scheduling.cluster_state import ClusterState
 
 
@@ -32,7 +32,7 @@
         return StartViolation(
             Invariant.RAN_TWICE, "start while another attempt may be on a machine"
         )
-    if not allowed(job.spec, machine.machine_type, machine.zone, machine.spot):
+    if not placement_allowed(job.spec, machine.machine_type, machine.zone, machine.spot):
         return StartViolation(Invariant.WRONG_PLACE, f"start on {machine.name}, in {machine.zone}")
     if job.unfinished_prerequisites:
         return StartViolation(
--- a/micadeal/scheduling/team_shares.py
+++ b/micadeal/scheduling/team_shares.py
@@ -11,7 +11,7 @@
 from micadeal.scheduling.cycle_data import CycleInputs
 from micadeal.scheduling.pending_reasons import BACKING_OFF, GANG_ATTEMPT_ENDING, RUNNING_JOBS_LIMIT
 from micadeal.scheduling.plan import TeamState
-from micadeal.sharing.shares import Claim, booked, fair_shares
+from micadeal.sharing.shares import Claim, fair_shares, resource_amount
 
 
 def runnable_jobs(inputs: CycleInputs) -> list[Job]:
@@ -79,7 +79,7 @@
     teams, policy = inputs.cluster.teams, inputs.policy
     states: dict[str, TeamState] = {}
     for name, team in teams.items():
-        used = booked(bookings.usage[name], resource)
+        used = resource_amount(bookings.usage[name], resource)
         states[name] = TeamState(team.guarantee(resource), policy.team(name).weight, used, used)
     for job in jobs:
         states[job.spec.team].demand += bookings.waiting(job) * job.units
--- a/micadeal/scheduling/warm_capacity.py
+++ b/micadeal/scheduling/warm_capacity.py
@@ -6,7 +6,7 @@
 from heapq import heapify, heappop, heappush
 
 from micadeal.placement.bin_packing import Rank, ZoneRule, is_economical, rank
-from micadeal.placement.machine_capacity import MachineCapacity, allowed
+from micadeal.placement.machine_capacity import MachineCapacity, placement_allowed
 from micadeal.scheduling.capacity_pool import CapacityPool
 from micadeal.scheduling.plan import ExpectedWork, Plan
 from micadeal.scheduling.scale_out import ScaleOut
@@ -28,7 +28,7 @@
         (_warm_rank(work, capacity), capacity.order, capacity)
         for capacity in pool.capacities
         if capacity.fits(spec)
-        and allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
+        and placement_allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
         and is_economical(spec, capacity, spot_scarce=False)
     ]
     heapify(heap)
--- a/micadeal/schema/decoding.py
+++ b/micadeal/schema/decoding.py
@@ -29,7 +29,7 @@
     record: T | None
 
 
-def read(items: Iterable[Item], kind: type[T]) -> list[VersionedRecord[T]]:
+def decode_items(items: Iterable[Item], kind: type[T]) -> list[VersionedRecord[T]]:
     """Decode items whose values are all records of type ``kind``."""
     return [VersionedRecord(item.key, item.version, decode_item(item, kind)) for item in items]
 
--- a/micadeal/sharing/shares.py
+++ b/micadeal/sharing/shares.py
@@ -58,6 +58,6 @@
     return sum(min(c.demand, max(ratio * c.weight, c.guarantee)) for c in claims)
 
 
-def booked(amounts: Amounts, resource: str) -> float:
+def resource_amount(amounts: Amounts, resource: str) -> float:
     """Return the booked amount of one resource."""
     return amounts[1] if resource == "gpus" else amounts[0]
--- a/micadeal/state/rate_limiter.py
+++ b/micadeal/state/rate_limiter.py
@@ -30,7 +30,7 @@
     #: Ends of jobs: users ask for them, and other jobs wait for them.
     END = 2
     PLACEMENT = 3
-    REST = 4
+    DEFERRED = 4
 
 
 class RateLimiter:
--- a/micadeal/zones/zone_monitor.py
+++ b/micadeal/zones/zone_monitor.py
@@ -33,13 +33,13 @@
 class ZoneMonitor:
     """Tracks the state of all zones for one term of a leader; no I/O."""
 
-    def __init__(self, names: Iterable[str], own: str, term_started_at: timedelta) -> None:
+    def __init__(self, names: Iterable[str], own_zone: str, term_started_at: timedelta) -> None:
         """Start with all zones healthy.
 
-        ``own`` is the leader's zone.
+        ``own_zone`` is the leader's zone.
         """
         self._zones = {name: Zone(name, since=term_started_at) for name in names}
-        self._own = own
+        self._own_zone = own_zone
         #: Start of the observation.  Each machine counts as reachable at this instant.
         self._observing_since = term_started_at
         self._next_check_at = term_started_at
@@ -87,7 +87,7 @@
 
         False if there are no machines outside it, as in a small fleet: that proves nothing.
         """
-        outside = [zone_signals for name, zone_signals in signals.items() if name != self._own]
+        outside = [zone_signals for name, zone_signals in signals.items() if name != self._own_zone]
         has_machines = any(zone_signals.machines for zone_signals in outside)
         reaches_machine = any(
             zone_signals.machines > zone_signals.unreachable for zone_signals in outside
@@ -120,7 +120,7 @@
                 count.machines,
                 count.unreachable,
                 controllers.get(name),
-                own=name == self._own,
+                own=name == self._own_zone,
                 ended=count.ended,
             )
             for name, count in counts.items()
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -25,7 +25,7 @@
 from micadeal.scheduling import reconciliation, worker_commands
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.scheduler import Scheduler
-from micadeal.schema.decoding import read
+from micadeal.schema.decoding import decode_items
 from micadeal.schema.job_listing import JobListing
 from micadeal.state.limits import Limits
 from micadeal.wire.cloud import ListedMachine, MachineType, RentalRequest
@@ -189,7 +189,7 @@
         self.reserved = {}
         self._lead(self.now)
         under = self.state.under
-        placed = read(under("placed/"), PlacedRecord)
+        placed = decode_items(under("placed/"), PlacedRecord)
         named = {task.job_id for found in placed if found.record is not None
                  for entry in found.record.machines for task in entry.tasks}  # fmt: skip
         ended = {
@@ -197,10 +197,10 @@
             for job_id in sorted(named)
             if f"end/{job_id}" in self.state.items
         }
-        finished = read(under("done/") + under("finished/"), FinishedRecord)
+        finished = decode_items(under("done/") + under("finished/"), FinishedRecord)
         images, draining = (
-            read(under("images/"), ImagesRecord),
-            read(under("leaving/"), ReturnedMachinesRecord),
+            decode_items(under("images/"), ImagesRecord),
+            decode_items(under("leaving/"), ReturnedMachinesRecord),
         )
         loaded = StateLoaded(
             JobListing(under("job/"), self.state.revision),
--- a/tests/fakes/faults/controllers.py
+++ b/tests/fakes/faults/controllers.py
@@ -49,6 +49,6 @@
     for _ in range(2):
         leader = context.leader()
         if context.world.is_up(leader):
-            await context.world.nodes[leader].retire()
+            await context.world.nodes[leader].shut_down()
         await context.restart(leader, 0.1)
         await curio.sleep(context.random.choice([0.3, 2.0]))
--- a/tests/fakes/scenario_steps.py
+++ b/tests/fakes/scenario_steps.py
@@ -37,7 +37,7 @@
     """Make another controller the leader, in one of the ways that the tests name."""
     leader = leader_of(world)
     if how == "handed over":
-        await world.nodes[leader].retire()
+        await world.nodes[leader].shut_down()
         world.crash(leader)
         await curio.sleep(1)
         await world.start(leader)
--- a/tests/soak/controller_process.py
+++ b/tests/soak/controller_process.py
@@ -69,7 +69,7 @@
         if self.running:
             self._process.send_signal(signal.SIGCONT)
 
-    async def retire(self) -> None:
+    async def shut_down(self) -> None:
         """Ask the process to hand over and end, and wait for that."""
         self._asked_to_end = True
         self._process.terminate()
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -296,7 +296,7 @@
         jobs = [await world.run_job("array", 2, run_s=45.0, crew="red") for _ in range(2)]
         for number in (0, 1, 2, 0):
             leader = leader_of(world)
-            await world.nodes[leader].retire()
+            await world.nodes[leader].shut_down()
             world.crash(leader)
             await curio.sleep(down_s)
             await world.start(leader)
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -24,7 +24,7 @@
 from micadeal.rollout.membership import PeerObservation, Process
 from micadeal.rollout.migration import plan
 from micadeal.scheduling import takeover
-from micadeal.schema.decoding import read
+from micadeal.schema.decoding import decode_items
 from micadeal.state.limits import Limits
 from micadeal.wire.codec import convert, decode, encode
 from micadeal.wire.state import (
@@ -369,7 +369,7 @@
             self.picture.cluster, Limits(200, 80, 4, 8192), level=self.level
         )
         record_loader = RecordLoader(self.picture.scheduler, self.record_writer)
-        for chunk in read(finished, FinishedRecord):
+        for chunk in decode_items(finished, FinishedRecord):
             record_loader._load_finished(chunk)
         assert self.written <= self.job.finished <= before.finished
         self.written = set(self.job.recorded_finished)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -483,7 +483,7 @@
 
 
 def test_retiring_leader_hands_over_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two leaders retire in turn: less than a second without a leader, and no task is lost."""
+    """Two leaders shut down in turn: under a second without a leader, and no task is lost."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 3, rank="production")
@@ -492,7 +492,7 @@
         gaps: list[float] = []
         for _ in range(2):
             leader = leader_of(world)
-            await curio.spawn(world.nodes[leader].retire, daemon=True)
+            await curio.spawn(world.nodes[leader].shut_down, daemon=True)
             await world.wait_until(lambda retired=leader: world.leader() != retired, limit=10)  # type: ignore[misc]
             gaps.append(await world.wait_until(lambda: world.leader() is not None, limit=10))
             world.crash(leader)
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -83,12 +83,14 @@
 
     def step(
         record: LevelRecord,
-        ceiling: int | None = None,
+        highest_allowed_level: int | None = None,
         migration_backlog: Any = MigrationBacklog(),
         **changed: Any,
     ) -> Any:
         observations = {"x": observed(peer, present_s), "y": observed(peer, present_s), **changed}
-        return plan(record, OWN_PROCESS, observations, ceiling, migration_backlog, NOW)
+        return plan(
+            record, OWN_PROCESS, observations, highest_allowed_level, migration_backlog, NOW
+        )
 
     assert step(LevelRecord()).next_record.level == 2
     assert step(LevelRecord(), 1).next_record.level == 1
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -78,10 +78,10 @@
 
 def test_conflict_names_the_keys_that_have_another_version() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
-        revision = await state.commit([Condition("a", 0)], [Put("a", 1)], Urgency.REST)
+        revision = await state.commit([Condition("a", 0)], [Put("a", 1)], Urgency.DEFERRED)
         with pytest.raises(ConflictError) as conflict:
             conditions = [Condition("a", 0), Condition("b", 0)]
-            await state.commit(conditions, [Delete("a")], Urgency.REST)
+            await state.commit(conditions, [Delete("a")], Urgency.DEFERRED)
         assert conflict.value.failed_keys == ("a",)
         changed = await state.changed_keys([Condition("a", revision - 1)], Urgency.USER)
         assert changed == {"a"}
@@ -93,7 +93,7 @@
 def test_conflict_is_certain_even_if_its_answer_names_no_keys() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         with pytest.raises(ConflictError) as conflict:
-            await state.commit([Condition("a", 1)], [Delete("a")], Urgency.REST)
+            await state.commit([Condition("a", 1)], [Delete("a")], Urgency.DEFERRED)
         assert conflict.value.failed_keys == ()
 
     with_state_service(check, handler=answers(409))
@@ -112,7 +112,7 @@
             await state.renew_lease(lease, seconds(1))
         assert expired.value.lease == lease
         with pytest.raises(RequestRejectedError, match="too large") as rejected:
-            await state.commit([], [Put("a", "x" * 9000)], Urgency.REST)
+            await state.commit([], [Put("a", "x" * 9000)], Urgency.DEFERRED)
         assert rejected.value.status == 400
 
     with_state_service(check)
@@ -127,7 +127,7 @@
 ) -> None:
     async def check(state: StateService, fake: FakeState) -> None:
         with pytest.raises(StateServiceError) as failure:
-            await state.commit([], [Delete("a")], Urgency.REST)
+            await state.commit([], [Delete("a")], Urgency.DEFERRED)
         assert type(failure.value) is kind
         assert failure.value.status == status
         assert state.last_response_at is None
@@ -146,10 +146,10 @@
 
 def test_watch_returns_changes_after_the_revision_of_a_range_read() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
-        await state.commit([], [Put("job/1", "a"), Put("other", "b")], Urgency.REST)
+        await state.commit([], [Put("job/1", "a"), Put("other", "b")], Urgency.DEFERRED)
         items, revision = await state.range("job/")
         assert [(item.key, item.value) for item in items] == [("job/1", "a")]
-        await state.commit([], [Delete("job/1"), Put("job/2", "c")], Urgency.REST)
+        await state.commit([], [Delete("job/1"), Put("job/2", "c")], Urgency.DEFERRED)
         response = await state.wait_for_changes("job/", revision, seconds(1), state.watch_client())
         assert [(event.put, event.drop) for event in response.events] == [
             (None, "job/1"),
@@ -161,7 +161,7 @@
 
 def test_version_checks_asked_for_together_share_one_request() -> None:
     async def check(state: StateService, fake: FakeState) -> None:
-        version = await state.commit([], [Put("a", 1), Put("b", 1)], Urgency.REST)
+        version = await state.commit([], [Put("a", 1), Put("b", 1)], Urgency.DEFERRED)
         sent = fake.requests
         coalescer = VersionCheckCoalescer(state)
         results: dict[tuple[str, int], bool] = {}
