--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -60,7 +60,7 @@
     pair: tuple[str, ...]
     broken: list[str]
     #: For each confirmed cancellation how long after it, in seconds, the last task was gone.
-    gone_after: list[float]
+    stop_delays_s: list[float]
 
 
 class Unguarded(NamedTuple):
@@ -82,7 +82,7 @@
     """Play the history with this seed."""
     history = History(seed, faults_of(seed), split_jobs=split_jobs)
     broken = history.play()
-    return Outcome(history.line(), faults_of(seed), broken, history.gone_after)
+    return Outcome(history.line(), faults_of(seed), broken, history.stop_delays_s)
 
 
 # -- guards that can be disabled; each function disables one ------------------------------------
@@ -243,22 +243,22 @@
 def play_all(seeds: Sequence[int], split_jobs: bool, workers: int) -> int:
     """Play histories and print what broke; return the exit code."""
     pairs: Counter[tuple[str, ...]] = Counter()
-    gone_after: list[float] = []
+    stop_delays_s: list[float] = []
     broken = 0
     with ProcessPoolExecutor(workers) as pool:
         results = pool.map(partial(play, split_jobs=split_jobs), seeds)
         with click.progressbar(results, length=len(seeds), file=sys.stderr) as progress:
             for outcome in progress:
                 pairs[outcome.pair] += 1
-                gone_after += outcome.gone_after
+                stop_delays_s += outcome.stop_delays_s
                 if outcome.broken:
                     broken += 1
                     click.echo(f"{outcome.line}: {'; '.join(outcome.broken[:MAX_SHOWN])}")
     played = sum(pairs[pair] > 0 for pair in PAIRS)
-    longest = max(gone_after, default=0.0)
+    longest = max(stop_delays_s, default=0.0)
     click.echo(
         f"{len(seeds)} histories, {broken} broke something; {played} of {len(PAIRS)} pairs; "
-        f"{len(gone_after)} confirmed cancellations, the last task gone at most "
+        f"{len(stop_delays_s)} confirmed cancellations, the last task gone at most "
         f"{longest:.1f} s after"
     )
     return 1 if broken else 0
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -98,18 +98,18 @@
         )  # fmt: skip
         self._history = [entry for entry in self._history if entry[0] >= now - 3 * self._lag]
 
-    async def add(self, zone: str, spot: bool, up_in: float) -> str:
-        """Rent one machine whose boot takes ``up_in`` seconds; return its name."""
+    async def add(self, zone: str, spot: bool, boot_s: float) -> str:
+        """Rent one machine whose boot takes ``boot_s`` seconds; return its name."""
         self._count += 1
         name = f"i-{self._count:06d}"
         now = monotonic().total_seconds()
-        up_at = None if self._count in self.never_boot else now + up_in
+        up_at = None if self._count in self.never_boot else now + boot_s
         self.machines[name] = Rented(
             name, f"10.1.{self._count // 250}.{self._count % 250 + 1}:9000", zone, spot, now, up_at
         )
         return name
 
-    def take(self, name: str) -> None:
+    def remove_machine(self, name: str) -> None:
         """Remove a machine at once: the cloud takes a spot machine back, or any machine dies."""
         self.machines.pop(name, None)
         self._kill(name)
@@ -124,7 +124,7 @@
                     machine = self.machines[name]
                     self.capacity[machine.zone, machine.spot] += 1
                     self.releases.append(name)
-                    self.take(name)
+                    self.remove_machine(name)
             return answer(200, {})
         if request.method == "POST":
             return await self._rent(decode(dict, request.body))
@@ -142,7 +142,7 @@
         self.capacity[place] -= count
         self.rentals += count
         names = [
-            await self.add(*place, up_in=self.boot_s * self.boot_time_factor) for _ in range(count)
+            await self.add(*place, boot_s=self.boot_s * self.boot_time_factor) for _ in range(count)
         ]
         self._names_by_request[wanted["hire"]] = names
         return answer(200, {"hosts": names})
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -36,7 +36,7 @@
         self,
         seed: int = 1,
         teams: str = TEAMS,
-        announced: str = "",
+        announced_limits: str = "",
         renew_leases_as_follower: bool = True,
         changes_per_s: float | None = None,
         **cloud: Any,
@@ -44,14 +44,14 @@
         """Prepare a deployment; nothing runs yet.
 
         ``changes_per_s``: what the state service takes; None: the ordinary, and it counts none.
-        ``announced``: limits that the state service announces.  ``cloud``: see ``FakeCloud``.
+        ``announced_limits``: those that the state service announces.  ``cloud``: see ``FakeCloud``.
         """
         self.renew_leases_as_follower = renew_leases_as_follower
         self.network = FakeNetwork(seed)
         self.state = FakeState()
         self.state.changes_per_s = changes_per_s
         self.teams = teams
-        self.announced = announced
+        self.announced_limits = announced_limits
         self.fleet = self.fleet_type(
             self.network,
             dict(CONTROLLER_ADDRESSES),
@@ -123,7 +123,7 @@
         name = f"c{number}"
         process = self._processes[name] = HostProcess()
         changes = self.state.changes_per_s or CHANGES_PER_S
-        platform = parse(settings(number, self.teams, self.announced, removed, changes))
+        platform = parse(settings(number, self.teams, self.announced_limits, removed, changes))
         node: Controller
         if earlier or before_levels:
             kind = EarlierNetwork if earlier else UnlevelledNetwork
--- a/tests/fakes/deployment_settings.py
+++ b/tests/fakes/deployment_settings.py
@@ -25,14 +25,14 @@
 def settings(
     number: int,
     teams: str,
-    announced: str = "",
+    announced_limits: str = "",
     removed: int | None = None,
     changes: float = CHANGES_PER_S,
 ) -> str:
     """Return the settings file of controller ``number``.
 
-    ``teams`` and ``announced`` are parts of the file; ``removed`` is a controller that was taken
-    off the list of seeds, ``changes`` the state service's limit of writes a second.
+    ``teams`` and ``announced_limits`` are parts of the file; ``removed`` is a controller that was
+    taken off the list of seeds, ``changes`` the state service's limit of writes a second.
     """
     seeds = "".join(
         f'[[seeds]]\nmember = "c{i}"\ndomain = "{ZONES[i]}"\nendpoint = "10.0.0.{i + 1}:8081"\n'
@@ -64,7 +64,7 @@
 write_rps = {changes}
 value_kb = 8.0
 txn_ops = 16
-{announced}
+{announced_limits}
 [cluster.cloud]
 rps = 5.0
 list_lag_s = 3.0
--- a/tests/fakes/fault_histories.py
+++ b/tests/fakes/fault_histories.py
@@ -98,12 +98,12 @@
         self.faults = [ScheduledFault(draw.uniform(0, FAULT_WINDOW_S), kind) for kind in drawn]
         # Some deployments have it switched off.
         renew_leases_as_follower = draw.random() < 0.8
-        announced = ANNOUNCED_STATE_LIMITS if split_jobs else ""
+        announced_limits = ANNOUNCED_STATE_LIMITS if split_jobs else ""
         world = world_type(
             seed,
             renew_leases_as_follower=renew_leases_as_follower,
             boot_s=3.0,
-            announced=announced,
+            announced_limits=announced_limits,
         )
         self._split_jobs = split_jobs
         if split_jobs:
@@ -111,7 +111,7 @@
         super().__init__(world, draw)
         self._faults_in_progress = 0
         #: How long nothing fails at first.
-        self.quiet_s = FOLLOWERS_RENEW_AFTER_S
+        self.fault_free_s = FOLLOWERS_RENEW_AFTER_S
         #: Every request that was sent, a line each: when, by whom, where to, and what.
         self.events: list[str] = []
         world.network.on_sent = self._note_request
@@ -147,7 +147,7 @@
             ("daemon", 2, 0.0, "blue"),
         ):
             await self._submit(shape, tasks, run_s, team)
-        await curio.sleep(self.quiet_s)
+        await curio.sleep(self.fault_free_s)
         acting_users = await curio.spawn(self._act_as_users, daemon=True)
         for fault in sorted(self.faults, key=_start_time):
             await curio.spawn(self._run_fault, fault, daemon=True)
--- a/tests/fakes/faults/context.py
+++ b/tests/fakes/faults/context.py
@@ -33,7 +33,7 @@
         #: Jobs whose last task has ended, as far as faults have noticed.
         self.ended: set[str] = set()
         #: Confirmed cancellations: how long after it the last task was gone, in seconds.
-        self.gone_after: list[float] = []
+        self.stop_delays_s: list[float] = []
 
     # -- draws -----------------------------------------------------------------------------
 
@@ -65,7 +65,7 @@
         await self.world.wait_until(
             lambda: not self.world.tasks_on_machines(job), limit=CANCEL_S + 5
         )
-        self.gone_after.append(now_s() - confirmed_at)
+        self.stop_delays_s.append(now_s() - confirmed_at)
 
     async def spawn_cancel(self, job: str, after: float = 0.0) -> None:
         """Start to cancel a job, ``after`` seconds from now."""
--- a/tests/fakes/faults/machines.py
+++ b/tests/fakes/faults/machines.py
@@ -55,7 +55,7 @@
 async def workers_restart(context: FaultContext) -> None:
     """Restart some machines within an instant."""
     for worker in context.draw_workers(0.3):
-        worker.begin_anew()
+        worker.restart()
 
 
 async def delayed_heartbeats(context: FaultContext) -> None:
--- a/tests/fakes/forgotten_jobs.py
+++ b/tests/fakes/forgotten_jobs.py
@@ -1,7 +1,7 @@
 """The rule ``forgotten``: whether users' questions about accepted jobs are answered.
 
 No input or output and no clock of its own: whoever plays users reports what they were answered, and
-when, in seconds on any steady clock.  The rule has four forms, see ``Form``.
+when, in seconds on any steady clock.  The rule has four kinds of violation, see ``ViolationKind``.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     CANCELLATION = "cancellation"
 
 
-class Form(StrEnum):
+class ViolationKind(StrEnum):
     """The ways in which an accepted job is forgotten."""
 
     NOT_FOUND = "answered 404"
@@ -38,13 +38,13 @@
 class Violation:
     """One job that was forgotten."""
 
-    form: Form
+    kind: ViolationKind
     job_id: str
     at: float
     detail: str = ""
 
     def __str__(self) -> str:
-        return f"forgotten {self.job_id}: {self.form}{self.detail and ', '}{self.detail}"
+        return f"forgotten {self.job_id}: {self.kind}{self.detail and ', '}{self.detail}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,10 +92,10 @@
         if job_id not in self._accepted:
             return None
         if status == HTTPStatus.NOT_FOUND:
-            return Violation(Form.NOT_FOUND, job_id, now, f"to a {kind.value}")
+            return Violation(ViolationKind.NOT_FOUND, job_id, now, f"to a {kind.value}")
         if kind is RequestKind.SUBMISSION:
             refused = status in (HTTPStatus.BAD_REQUEST, HTTPStatus.UNPROCESSABLE_ENTITY)
-            return Violation(Form.REFUSED, job_id, now, f"{status}") if refused else None
+            return Violation(ViolationKind.REFUSED, job_id, now, f"{status}") if refused else None
         if kind is RequestKind.CANCELLATION:
             return None
         return self._record_question(_Question(asked_at, job_id, status == HTTPStatus.OK), now)
@@ -115,11 +115,11 @@
 
     def _check_unanswered(self, job_id: str, since: float, now: float) -> Violation | None:
         if now - since >= UNANSWERED_WHILE_OTHERS_ARE_S and self._most_others_answered(job_id):
-            return Violation(Form.UNANSWERED_ALONE, job_id, now)
+            return Violation(ViolationKind.UNANSWERED_ALONE, job_id, now)
         if self._faults_ended_at is None:
             return None
         if now - max(since, self._faults_ended_at) >= UNANSWERED_AFTER_FAULTS_S:
-            return Violation(Form.UNANSWERED_AFTER_FAULTS, job_id, now)
+            return Violation(ViolationKind.UNANSWERED_AFTER_FAULTS, job_id, now)
         return None
 
     def _most_others_answered(self, job_id: str) -> bool:
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -54,7 +54,7 @@
         #: Changes a second that it takes, with a burst of a second's worth; None: any number.
         self.changes_per_s: float | None = None
         #: Requests refused since there were more, and all changes.
-        self.too_many = 0
+        self.rate_limited = 0
         self.changes = 0
         #: Changes left, and when they were counted.
         self._bucket = (0.0, 0.0)
@@ -168,7 +168,7 @@
         now = monotonic().total_seconds()
         left = min(self.changes_per_s, left + (now - at) * self.changes_per_s) - changes
         if left < 0:
-            self.too_many += 1
+            self.rate_limited += 1
             return True
         self._bucket = (left, now)
         return False
--- a/tests/fakes/user_answers.py
+++ b/tests/fakes/user_answers.py
@@ -21,7 +21,7 @@
     latest_at: dict[str, float] = field(default_factory=dict)
     #: Answers to questions that were put before a newer answer arrived, and came after it: the job,
     #: and how much later.
-    overtaken: list[tuple[str, float]] = field(default_factory=list)
+    out_of_order: list[tuple[str, float]] = field(default_factory=list)
     #: Answers that were checked for their order.
     count: int = 0
     cancel_confirmed_at: dict[str, float] = field(default_factory=dict)
@@ -42,7 +42,7 @@
         if newest in FINAL and status in FINAL and status != newest:
             return f"went_back {job_id}: {status} beside {newest}"
         if newest is not None and STAGES[status] < STAGES[newest]:
-            self.overtaken.append((job_id, now - self.latest_at[job_id]))
+            self.out_of_order.append((job_id, now - self.latest_at[job_id]))
             return None
         if newest is None or STAGES[status] > STAGES[newest]:
             self.latest_at[job_id] = now
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -74,7 +74,7 @@
     gang_wait_s: float
     gang_peer_s: float
     #: Called with "start", "done" or "exit", the worker and the attempt.
-    watch: Watcher
+    on_task_event: Watcher
     jobs: dict[str, Job] = field(default_factory=dict)
     workers: dict[str, FakeWorker] = field(default_factory=dict)
     fetch_gb_per_s: float = 1.0
@@ -127,7 +127,7 @@
         #: Counts processes: responses to what an earlier one sent reach nobody.
         self.lives = 1
         #: From when its lease counts.
-        self.renewed = monotonic().total_seconds()
+        self.lease_renewed_at = monotonic().total_seconds()
         self._wake = curio.Event()
         self._token_reported = 0.0
         #: The controller that it sends heartbeats to.
@@ -151,7 +151,7 @@
         self.fleet.network.close(self.name)
         self.fleet.workers.pop(self.name, None)
 
-    def begin_anew(self) -> None:
+    def restart(self) -> None:
         """Restart the machine within an instant.
 
         All tasks and images are gone; incarnation and sequence count from the start.
@@ -159,16 +159,16 @@
         self.tasks.clear()
         self.images.clear()
         self.incarnation, self.sequence, self.token = 1, 0, 0
-        self.renewed = monotonic().total_seconds()
+        self.lease_renewed_at = monotonic().total_seconds()
         self.lives += 1
 
     def expire_lease(self, now: float) -> bool:
         """Kill all tasks if the lease has run out; return whether it has."""
-        if now - self.renewed <= self.fleet.lease_s:
+        if now - self.lease_renewed_at <= self.fleet.lease_s:
             return False
         self.tasks.clear()
         self.incarnation += 1
-        self.renewed = now
+        self.lease_renewed_at = now
         return True
 
     async def _step(self) -> None:
@@ -186,7 +186,7 @@
             self.images.add(job.spec["build"])
             held.state = "waiting" if job.spec["shape"] == "gang" else "running"
             held.started = now
-            self.fleet.watch("start", self, held)
+            self.fleet.on_task_event("start", self, held)
             await self._send_soon()
             if self.name in self.fleet.faulty or job.fails:
                 await self._exit(held, "error")
@@ -226,12 +226,12 @@
                 await self._exit(held, "mates_gone")
                 return
         if job.spec["shape"] != "daemon" and now - held.started >= job.run_s - job.progress:
-            self.fleet.watch("done", self, held)
+            self.fleet.on_task_event("done", self, held)
             await self._exit(held, "done")
 
     async def _exit(self, held: TaskAttempt, why: str) -> None:
         held.state, held.why = "exited", why
-        self.fleet.watch("exit", self, held)
+        self.fleet.on_task_event("exit", self, held)
         await self._send_soon()
 
     async def _send_soon(self) -> None:
@@ -290,7 +290,7 @@
         if incarnation != self.incarnation or token < self.token or not self.alive:
             return
         await self._take_token(token)
-        self.renewed = max(self.renewed, sent)
+        self.lease_renewed_at = max(self.lease_renewed_at, sent)
         for command in reply["orders"]:
             await self._execute(command)
 
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -198,7 +198,7 @@
         """Wait until a condition holds; return how many seconds that took."""
         began = now_s()
         while not condition():
-            assert now_s() - began < limit, "it never came"
+            assert now_s() - began < limit, "condition not met in time"
             await curio.sleep(0.25)
         return now_s() - began
 
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -40,7 +40,7 @@
     """How each seed is played; ``workers`` None: many in every tenth."""
 
     workers: int | None
-    quiet_s: float
+    fault_free_s: float
     keep: Path
 
 
@@ -51,7 +51,7 @@
     workers = options.workers
     if workers is None:
         workers = LARGE_WORKERS if seed % LARGE_EVERY == 0 else 0
-    history = SoakHistory(seed, folder, workers, options.quiet_s)
+    history = SoakHistory(seed, folder, workers, options.fault_free_s)
     click.echo(f"{history.line()}, {workers} more workers")
     began = time.monotonic()
     broken = history.play()
@@ -99,7 +99,7 @@
     @classmethod
     def start(cls, seed: int, options: Options) -> _SeedRun:
         command = [sys.executable, "-m", "tests.soak", "--seed", str(seed)]
-        command += ["--keep", str(options.keep), "--quiet", str(options.quiet_s)]
+        command += ["--keep", str(options.keep), "--quiet", str(options.fault_free_s)]
         if options.workers is not None:
             command += ["--workers", str(options.workers)]
         options.keep.mkdir(parents=True, exist_ok=True)
@@ -163,7 +163,7 @@
 @click.option("--jobs", type=click.IntRange(1, MAX_JOBS_AT_ONCE), default=4, help="At once.")
 @click.option(
     "--quiet",
-    "quiet_s",
+    "fault_free_s",
     type=click.FloatRange(0, 600),
     default=FOLLOWERS_RENEW_AFTER_S,
     help="Seconds before the first fault.",
@@ -175,13 +175,13 @@
     seed: int | None,
     workers: int | None,
     jobs: int,
-    quiet_s: float,
+    fault_free_s: float,
     keep: Path | None,
 ) -> None:
     """Play seeded faults on real processes over loopback and check the protocol's rules."""
     signal.signal(signal.SIGTERM, _end)
     folder = keep or Path(tempfile.mkdtemp(prefix="micadeal-soak-"))
-    options = Options(workers, quiet_s, folder.resolve())
+    options = Options(workers, fault_free_s, folder.resolve())
     if seed is not None:
         sys.exit(play(seed, options))
     began = time.monotonic()
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -99,7 +99,7 @@
 
     world: SoakWorld
 
-    def __init__(self, seed: int, folder: Path, workers: int, quiet_s: float) -> None:
+    def __init__(self, seed: int, folder: Path, workers: int, fault_free_s: float) -> None:
         """Draw a history.  ``workers``: machines that a service keeps busy, besides all others."""
         super().__init__(
             seed,
@@ -107,7 +107,7 @@
             world_type=partial(SoakWorld, folder, workers=workers),
             split_jobs=seed % 2 == 1,
         )
-        self.quiet_s = quiet_s
+        self.fault_free_s = fault_free_s
         self._workers = workers
         self._user_draws = random.Random(f"users {seed}")
         self.questions = 0
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -72,7 +72,7 @@
         """Start a controller's process and wait until it listens."""
         name = f"c{number}"
         api, mesh = self._addresses[name]
-        text = settings(number, self.teams, self.announced)
+        text = settings(number, self.teams, self.announced_limits)
         real = {f"10.0.0.{number + 1}:8080": api, f"10.0.0.{number + 1}:8081": mesh}
         for address in (state_fake.ADDRESS, cloud_fake.ADDRESS, *self._peers_of(number)):
             real[address] = await self._relays.real_address(name, address)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -127,7 +127,7 @@
             assert await world.status(job, number % 3) == "cancelled", job
         await world.wait_until_done(first)
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def test_job_whose_recorded_end_is_refused_is_not_called_cancelled(
@@ -186,7 +186,7 @@
         for number, job in enumerate(chain):
             assert await world.status(job, number % 3) == "cancelled", job
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def test_status_poll_finds_a_cancelled_ancestor_without_a_leader(
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -179,7 +179,7 @@
 
     async def scenario(world: World) -> None:
         unrecorded_starts: list[str] = []
-        on_task_event = world.fleet.watch
+        on_task_event = world.fleet.on_task_event
 
         def check_recorded(event: str, worker: Any, attempt: Any) -> None:
             if event == "start":
@@ -189,7 +189,7 @@
                     unrecorded_starts.append(attempt.task)
             on_task_event(event, worker, attempt)
 
-        world.fleet.watch = check_recorded
+        world.fleet.on_task_event = check_recorded
         await world.wait_until(lambda: world.leader() is not None)
         if delayed_writes:
             count = 0
--- a/tests/test_failover_under_load.py
+++ b/tests/test_failover_under_load.py
@@ -70,7 +70,7 @@
         cancelled = sum(world.answers.latest[job] == "cancelled" for job in jobs)
         assert cancelled > 20 and len(world.answers.cancel_confirmed_at) == cancelled
         assert slowest_s < 8 and max_mailbox < 200
-        assert world.state.too_many < 20 and world.state.changes < 5 * len(jobs)
+        assert world.state.rate_limited < 20 and world.state.changes < 5 * len(jobs)
 
     World(changes_per_s=changes_per_s, capacity=20).play(monkeypatch, scenario)
 
--- a/tests/test_faulty_jobs.py
+++ b/tests/test_faulty_jobs.py
@@ -60,7 +60,7 @@
         await world.wait_until(lambda: world.running(service) == 4, limit=200)
         await curio.sleep(40)
         lost = next(worker.name for worker, _ in world.tasks_on_machines(service))
-        world.cloud.take(lost)
+        world.cloud.remove_machine(lost)
         await world.wait_until(lambda: world.running(service) == 4, limit=45)
 
     World().play(monkeypatch, scenario)
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -253,7 +253,7 @@
         stalled_worker.stalled = True
         await curio.sleep(3)
         for name in {w.name for w, _ in world.tasks_on_machines(spot) if w.spot}:
-            world.cloud.take(name)
+            world.cloud.remove_machine(name)
         await curio.sleep(2)
         world.state.outage = False
         await world.wait_until(lambda: world.leader() not in (None, leader), limit=10)
--- a/tests/test_forgotten_jobs.py
+++ b/tests/test_forgotten_jobs.py
@@ -1,10 +1,10 @@
-"""The checker of ``forgotten`` on made-up sequences of answers, each form broken and just kept."""
+"""The checker of ``forgotten`` on made-up answers that show a violation, or just do not."""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.fakes.forgotten_jobs import ForgottenJobs, Form, RequestKind, Violation
+from tests.fakes.forgotten_jobs import ForgottenJobs, RequestKind, Violation, ViolationKind
 
 POLL_S = 5.0
 ALONE_S, AFTER_FAULTS_S = 90.0, 75.0
@@ -21,7 +21,9 @@
     return jobs.record(RequestKind.STATUS, job_id, status, now, now)
 
 
-def forms(jobs: ForgottenJobs, until: float, others: list[list[int]]) -> list[Form]:
+def violation_kinds(
+    jobs: ForgottenJobs, until: float, others: list[list[int]]
+) -> list[ViolationKind]:
     """Ask about ``lost``, which is never answered, and about others; return what shows.
 
     ``others``: for each other job the statuses that it gets in turn.
@@ -35,7 +37,7 @@
         violation = ask(jobs, "lost", 503, now)
         if violation is not None:
             assert violation.job_id == "lost" and violation.at == now
-            found.append(violation.form)
+            found.append(violation.kind)
     return found
 
 
@@ -43,7 +45,7 @@
 def test_404_for_an_accepted_job_is_a_violation_for_every_request(kind: RequestKind) -> None:
     jobs = checker("kept")
     violation = jobs.record(kind, "kept", 404, 1.0, 2.0)
-    assert violation is not None and violation.form is Form.NOT_FOUND
+    assert violation is not None and violation.kind is ViolationKind.NOT_FOUND
     assert str(violation) == f"forgotten kept: answered 404, to a {kind.value}"
     assert jobs.record(kind, "never-accepted", 404, 1.0, 2.0) is None
 
@@ -52,7 +54,7 @@
 def test_refusal_of_a_repeated_submission_is_a_violation(status: int) -> None:
     jobs = checker("kept")
     violation = jobs.record(RequestKind.SUBMISSION, "kept", status, 1.0, 2.0)
-    assert violation is not None and violation.form is Form.REFUSED
+    assert violation is not None and violation.kind is ViolationKind.REFUSED
     assert jobs.record(RequestKind.SUBMISSION, "new", status, 1.0, 2.0) is None
 
 
@@ -63,25 +65,32 @@
 
 def test_job_unanswered_for_90_s_while_most_others_are_answered_is_a_violation() -> None:
     others, statuses = ["other-0", "other-1"], [[200], [503, 200, 0]]
-    assert forms(checker("lost", *others), ALONE_S - POLL_S, statuses) == []
-    assert forms(checker("lost", *others), ALONE_S, statuses) == [Form.UNANSWERED_ALONE]
+    assert violation_kinds(checker("lost", *others), ALONE_S - POLL_S, statuses) == []
+    assert violation_kinds(checker("lost", *others), ALONE_S, statuses) == [
+        ViolationKind.UNANSWERED_ALONE
+    ]
 
 
 def test_job_unanswered_while_most_others_are_not_answered_either_is_allowed() -> None:
     others = ["other-0", "other-1"]
-    assert forms(checker("lost", *others), 2 * AFTER_FAULTS_S, [[503, 200, 0], [0, 503, 200]]) == []
+    assert (
+        violation_kinds(
+            checker("lost", *others), 2 * AFTER_FAULTS_S, [[503, 200, 0], [0, 503, 200]]
+        )
+        == []
+    )
 
 
 def test_one_answer_in_between_begins_the_time_anew() -> None:
     jobs = checker("lost", "other-0")
-    assert forms(jobs, ALONE_S - POLL_S, [[200]]) == []
+    assert violation_kinds(jobs, ALONE_S - POLL_S, [[200]]) == []
     assert ask(jobs, "lost", 200, ALONE_S - 1) is None
     assert ask(jobs, "other-0", 200, ALONE_S) is None
     assert ask(jobs, "lost", 503, ALONE_S) is None
     assert ask(jobs, "other-0", 200, 2 * ALONE_S) is None
     assert ask(jobs, "lost", 503, 2 * ALONE_S - 1) is None
     violation = ask(jobs, "lost", 503, 2 * ALONE_S)
-    assert violation is not None and violation.form is Form.UNANSWERED_ALONE
+    assert violation is not None and violation.kind is ViolationKind.UNANSWERED_ALONE
     assert jobs.longest_unanswered_s == ALONE_S
     assert jobs.longest_unanswered_job == "lost"
 
@@ -89,11 +98,11 @@
 def test_job_unanswered_for_75_s_after_all_faults_is_a_violation_however_others_fare() -> None:
     jobs = checker("lost", "other-0")
     jobs.end_faults(10.0)
-    found = forms(jobs, 10.0 + AFTER_FAULTS_S, [[200]])
-    assert found == [Form.UNANSWERED_AFTER_FAULTS]
+    found = violation_kinds(jobs, 10.0 + AFTER_FAULTS_S, [[200]])
+    assert found == [ViolationKind.UNANSWERED_AFTER_FAULTS]
     alone = checker("lost")
     alone.end_faults(0.0)
-    assert forms(alone, AFTER_FAULTS_S - POLL_S, []) == []
+    assert violation_kinds(alone, AFTER_FAULTS_S - POLL_S, []) == []
     alone.begin_faults()
     assert ask(alone, "lost", 0, AFTER_FAULTS_S) is None
 
--- a/tests/test_lost_responses.py
+++ b/tests/test_lost_responses.py
@@ -143,7 +143,9 @@
             assert {await world.status(job, controller) for job in jobs} == {"done"}
         await world.wait_until(lambda: world.running(service) == 3)
 
-    World(announced=ANNOUNCED_STATE_LIMITS if kind == "part/" else "").play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS if kind == "part/" else "").play(
+        monkeypatch, scenario
+    )
 
 
 def test_controller_that_takes_the_leader_lock_without_an_answer_leads(
--- a/tests/test_partition_scenarios.py
+++ b/tests/test_partition_scenarios.py
@@ -163,7 +163,9 @@
         await world.wait_until(lambda: world.leader() not in (None, first_leader))
         elected_at = monotonic().total_seconds()
         workers = {worker for worker, _ in world.tasks_on_machines(service)}
-        await world.wait_until(lambda: all(worker.renewed > elected_at - 3 for worker in workers))
+        await world.wait_until(
+            lambda: all(worker.lease_renewed_at > elected_at - 3 for worker in workers)
+        )
         assert monotonic().total_seconds() - elected_at < 3
 
     World().play(monkeypatch, scenario)
@@ -229,7 +231,7 @@
 
     async def scenario(world: World) -> None:
         for _ in range(2):
-            await world.cloud.add("north", spot=False, up_in=0.5)
+            await world.cloud.add("north", spot=False, boot_s=0.5)
         await curio.sleep(8)
         leader = leader_of(world)
         old_heartbeats = {
@@ -289,7 +291,7 @@
         worker, _ = world.tasks_on_machines(gang)[0]
         world.cloud.capacity.update({("north", False): 0, ("south", False): 4})
         partition_from_controllers(world, worker.name)
-        world.cloud.take(world.tasks_on_machines(gang)[1][0].name)
+        world.cloud.remove_machine(world.tasks_on_machines(gang)[1][0].name)
         await world.wait_until_done(gang)
         # The unreachable machine has been returned meanwhile.
         assert {w.zone for w in world.fleet.workers.values()} == {"south"}
@@ -309,7 +311,7 @@
     async def scenario(world: World) -> None:
         world.cloud.capacity.update(dict.fromkeys(world.cloud.capacity, 0))
         for _ in range(2):
-            await world.cloud.add("north", spot=False, up_in=0.5)
+            await world.cloud.add("north", spot=False, boot_s=0.5)
         job = await world.run_job("array", 3, run_s=12.0, image_gb=0.1, accelerators=2.0)
         await world.wait_until(lambda: world.running(job) == 2)
         leader = leader_of(world)
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -150,9 +150,9 @@
         await world.wait_until(lambda: world.running(service) == 4 and world.running(array) == 4)
         await curio.sleep(8)
         ended_machine = workers_running(world, service)[0]
-        world.cloud.take(ended_machine.name)
+        world.cloud.remove_machine(ended_machine.name)
         await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT_S)
-        world.cloud.take(workers_running(world, array)[0].name)
+        world.cloud.remove_machine(workers_running(world, array)[0].name)
         world.crash(leader_of(world))
         await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT_S)
         later_job = await world.run_job("array", 2, run_s=5.0)
@@ -228,7 +228,7 @@
             _copy_heartbeats(world, 3, (0.5, 30.0))
             await curio.sleep(10)
         machine = workers_running(world, service)[0]
-        machine.begin_anew()
+        machine.restart()
         await world.wait_until(lambda: machine.name in world.cloud.releases, limit=6)
         # Another machine boots and fetches the image.
         await world.wait_until(lambda: world.running(service) == 3, limit=20)
@@ -249,7 +249,7 @@
         await curio.sleep(0.3)
         await world.start(leader)
         for worker in list(world.fleet.workers.values())[::2]:
-            worker.begin_anew()
+            worker.restart()
         await curio.sleep(1.5)
         world.crash((leader + 1) % 3)
         await curio.sleep(0.2)
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -67,7 +67,7 @@
         assert await world.cancel(job, other) == "cancelled"
         assert not pending_request.terminated
         assert await pending_request.join() in ("cancelled", 200)
-        assert world.answers.overtaken == []
+        assert world.answers.out_of_order == []
         assert world.answers.latest[job] == "cancelled"
 
     World().play(monkeypatch, scenario)
@@ -96,7 +96,7 @@
             await curio.sleep(0.05)
         assert not pending_submission.terminated
         assert await pending_submission.join() == 200
-        assert world.answers.overtaken == []
+        assert world.answers.out_of_order == []
 
     World().play(monkeypatch, scenario)
 
@@ -129,8 +129,8 @@
         assert polls > 3
         assert await world.status(job, number) == "done"
         if by_leader:
-            assert world.answers.overtaken == []
-        assert all(delay_s <= ANSWER_DELAY_S + 0.05 for _, delay_s in world.answers.overtaken)
+            assert world.answers.out_of_order == []
+        assert all(delay_s <= ANSWER_DELAY_S + 0.05 for _, delay_s in world.answers.out_of_order)
 
     World().play(monkeypatch, scenario)
 
--- a/tests/test_refused_writes.py
+++ b/tests/test_refused_writes.py
@@ -74,6 +74,6 @@
         assert world.running(service) == 3
 
     with caplog.at_level(logging.ERROR):
-        announced = ANNOUNCED_STATE_LIMITS if kind == "part/" else ""
-        World(announced=announced).play(monkeypatch, scenario)
+        announced_limits = ANNOUNCED_STATE_LIMITS if kind == "part/" else ""
+        World(announced_limits=announced_limits).play(monkeypatch, scenario)
     assert "failed: " not in caplog.text and "request failed" not in caplog.text
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -478,7 +478,7 @@
         await world.wait_until(lambda: world.state.keys["seat/level"][0]["oldest"] == 1, limit=60)
         assert not any(k.startswith("done/") for k in world.state.keys)
 
-    world = World(announced=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
+    world = World(announced_limits=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
     assert all(count == 1 for count in world.rules.starts.values())
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -97,7 +97,7 @@
     async def scenario(world: World) -> None:
         gang = await world.run_job("gang", 3, run_s=40.0, one_zone=True, accelerators=2.0)
         await world.wait_until(lambda: world.running(gang) == 3)
-        world.cloud.take(world.tasks_on_machines(gang)[0][0].name)
+        world.cloud.remove_machine(world.tasks_on_machines(gang)[0][0].name)
         await world.wait_until(
             lambda: world.running(gang) == 3 and len(world.rules.starts) == 3, limit=90
         )
@@ -116,7 +116,7 @@
         await curio.sleep(20)
         worker.reclaim_expected_at = monotonic().total_seconds() + 15
         await curio.sleep(15)
-        world.cloud.take(worker.name)
+        world.cloud.remove_machine(worker.name)
         await world.wait_until_done(job)
         assert world.fleet.jobs[job].progress > 15
 
@@ -182,7 +182,7 @@
 def test_an_idle_machine_that_nobody_rented_is_returned(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(world: World) -> None:
         await curio.sleep(5)
-        name = await world.cloud.add("north", spot=False, up_in=1.0)
+        name = await world.cloud.add("north", spot=False, boot_s=1.0)
         await world.wait_until(lambda: name in world.cloud.releases, limit=120)
 
     World().play(monkeypatch, scenario)
@@ -192,7 +192,7 @@
     async def scenario(world: World) -> None:
         world.cloud.capacity.update(dict.fromkeys(world.cloud.capacity, 0))
         for _ in range(3):
-            await world.cloud.add("north", spot=False, up_in=0.5)
+            await world.cloud.add("north", spot=False, boot_s=0.5)
         batch = await world.run_job("array", 6, run_s=300.0, bookmark_s=5.0, stow_s=1.0)
         await world.wait_until(lambda: world.running(batch) == 6)
         live = await world.run_job("daemon", 1, rank="production", crew="blue")
@@ -205,7 +205,7 @@
     async def scenario(world: World) -> None:
         world.cloud.capacity.update(dict.fromkeys(world.cloud.capacity, 0))
         for _ in range(4):
-            await world.cloud.add("north", spot=False, up_in=0.5)
+            await world.cloud.add("north", spot=False, boot_s=0.5)
         greedy = await world.run_job("array", 8, run_s=400.0, crew="blue")
         await world.wait_until(lambda: world.running(greedy) == 8)
         poor = await world.run_job("array", 8, run_s=400.0)
@@ -227,7 +227,7 @@
         for number in range(3):
             world.crash(number)
         for name in [m.name for m in world.cloud.machines.values() if m.spot][:2]:
-            world.cloud.take(name)
+            world.cloud.remove_machine(name)
         await curio.sleep(5)
         for number in range(3):
             await world.start(number)
@@ -275,7 +275,7 @@
         if notice is not None:
             worker.reclaim_expected_at = monotonic().total_seconds() + notice
             await curio.sleep(notice)
-        world.cloud.take(worker.name)
+        world.cloud.remove_machine(worker.name)
         assert await world.wait_until(lambda: world.running(job) == 1, limit=60) < limit
         await world.wait_until_done(job)
 
@@ -299,7 +299,7 @@
         assert world.running(short) == 1
         await world.wait_until(lambda: world.running(long) == 1, limit=12)
         await world.wait_until_done(short)
-        world.cloud.take(worker.name)
+        world.cloud.remove_machine(worker.name)
         await world.wait_until_done(long)
 
     world = World(boot_s=4.0).play(monkeypatch, scenario)
--- a/tests/test_split_jobs_at_takeover.py
+++ b/tests/test_split_jobs_at_takeover.py
@@ -51,7 +51,7 @@
         await world.start(old)
         await world.wait_until_done(job)
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def hide_parts(world: World, job: str) -> dict[str, Any]:
@@ -109,7 +109,7 @@
             await world.wait_until_done(job)
         assert all(f"part/{job}/1" in world.state.keys for job in listed)
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def test_records_of_a_job_that_a_leader_cannot_read_are_kept(
@@ -141,7 +141,7 @@
         await world.wait_until_done(job)
         assert max(world.rules.starts.values()) <= 2
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def test_job_whose_parts_are_lost_can_be_cancelled_at_each_controller(
@@ -171,7 +171,7 @@
         assert not [note for note in overview["notes"] if "unreadable" in note]
         assert not [key for key in world.state.keys if key.startswith(("job/", "part/"))]
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def test_parts_of_a_job_that_is_over_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -189,7 +189,7 @@
         await curio.sleep(5)
         assert not [key for key in world.state.keys if key.startswith("part/")]
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -108,7 +108,7 @@
             await world.wait_until_done(job)
         assert world.running(service) == 2
 
-    world = World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario, earlier=True)
+    world = World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario, earlier=True)
     assert all(count == 1 for count in world.rules.starts.values())
     assert world.state.refused == 0
 
@@ -169,7 +169,7 @@
         await curio.sleep(30)
         assert not [k for k in world.state.keys if k.startswith(("done/", "finished/", "part/"))]
 
-    world = World(announced=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
+    world = World(announced_limits=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
     assert world.state.refused < 12
 
 
