--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -60,7 +60,7 @@
     pair: tuple[str, ...]
     broken: list[str]
     #: For each confirmed cancellation how long after it, in seconds, the last task was gone.
-    gone_after: list[float]
+    stop_delays_s: list[float]
 
 
 class Unguarded(NamedTuple):
@@ -93,13 +93,13 @@
 
     def informed(self: Any, *args: Any, **named: Any) -> None:
         begin(self, *args, **named)
-        self._authority.mark_informed(self._cluster.term_start)
+        self._authority.mark_cancellations_read(self._cluster.term_start)
 
     patch.setattr(Leader, "__init__", informed)
 
 
 def _early_notices_lost(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RecordLoader, "job_cancelled", lambda self, job, now: self.job_over(job, now))
+    patch.setattr(RecordLoader, "job_cancelled", lambda self, job, now: self.job_ended(job, now))
 
 
 def _lists_empty(patch: pytest.MonkeyPatch) -> None:
@@ -143,7 +143,7 @@
 
 
 def _stale_heartbeats_count(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(reconciliation, "_looks_older", lambda machine, heartbeat: False)
+    patch.setattr(reconciliation, "_is_stale", lambda machine, heartbeat: False)
 
 
 def _any_absence_frees(patch: pytest.MonkeyPatch) -> None:
@@ -164,8 +164,8 @@
 def _silence_before_our_token_frees(patch: pytest.MonkeyPatch) -> None:
     def expire(cluster: ClusterState, now: timedelta) -> None:
         for machine in list(cluster.machines.values()):
-            latest = machine.reachability.latest or cluster.term_start
-            if not machine.lease_expired and now - latest > cluster.workers.lease / 2:
+            last_message_at = machine.reachability.last_message_at or cluster.term_start
+            if not machine.lease_expired and now - last_message_at > cluster.workers.lease / 2:
                 machine.lease_expired = True
                 machine_loss.lose_all_attempts(cluster, machine, now)
 
@@ -243,22 +243,22 @@
 def play_all(seeds: Sequence[int], split_jobs: bool, workers: int) -> int:
     """Play histories and print what broke; return the exit code."""
     pairs: Counter[tuple[str, ...]] = Counter()
-    gone_after: list[float] = []
+    stop_delays_s: list[float] = []
     broken = 0
     with ProcessPoolExecutor(workers) as pool:
         results = pool.map(partial(play, split_jobs=split_jobs), seeds)
         with click.progressbar(results, length=len(seeds), file=sys.stderr) as progress:
             for outcome in progress:
                 pairs[outcome.pair] += 1
-                gone_after += outcome.gone_after
+                stop_delays_s += outcome.stop_delays_s
                 if outcome.broken:
                     broken += 1
                     click.echo(f"{outcome.line}: {'; '.join(outcome.broken[:MAX_SHOWN])}")
     played = sum(pairs[pair] > 0 for pair in PAIRS)
-    longest = max(gone_after, default=0.0)
+    longest = max(stop_delays_s, default=0.0)
     click.echo(
         f"{len(seeds)} histories, {broken} broke something; {played} of {len(PAIRS)} pairs; "
-        f"{len(gone_after)} confirmed cancellations, the last task gone at most "
+        f"{len(stop_delays_s)} confirmed cancellations, the last task gone at most "
         f"{longest:.1f} s after"
     )
     return 1 if broken else 0
--- a/micadeal/scheduling/attempts.py
+++ b/micadeal/scheduling/attempts.py
@@ -13,9 +13,9 @@
 def lose_attempt(cluster: ClusterState, machine: Machine, attempt: Attempt, now: timedelta) -> None:
     """Remove an attempt that can no longer be on the machine or be started there."""
     stop_gang_members(cluster, attempt, now)
-    # Stopping the other members may already have released this attempt.
+    # Stopping the other members may already have removed this attempt.
     if attempt.key in machine.attempts:
-        cluster.release(attempt, now)
+        cluster.remove_attempt(attempt, now)
 
 
 def stop_gang_members(cluster: ClusterState, attempt: Attempt, now: timedelta) -> None:
@@ -27,15 +27,15 @@
     runs.
     """
     job = cluster.jobs.get(attempt.job_id)
-    if job is None or not job.is_gang or job.over or job.complete:
+    if job is None or not job.is_gang or job.ended or job.complete:
         return
     members = [
         other
         for other in job.all_attempts()
         if other is not attempt and other.number == attempt.number
     ]
-    if attempt.state is TaskState.SAVING or attempt.stop is not None:
+    if attempt.state is TaskState.SAVING or attempt.stop_grace is not None:
         # An orderly stop: members that are being stopped save and exit by themselves.
-        members = [member for member in members if member.stop is None]
+        members = [member for member in members if member.stop_grace is None]
     for member in members:
         cluster.stop(member, ZERO, now)
--- a/micadeal/scheduling/job_reasons.py
+++ b/micadeal/scheduling/job_reasons.py
@@ -37,7 +37,7 @@
         reasons.append(Reason(f"it has the priority of {job.rank_inherited_from}, which needs it"))
     if job.blocked:
         return reasons
-    hold = scheduler.deferral.held(job, now) if scheduler.deferral is not None else None
+    hold = scheduler.deferral.active_hold(job, now) if scheduler.deferral is not None else None
     if hold is not None:
         return [*reasons, *_deferral_reasons(hold)]
     reasons += [Reason(text, tasks) for text, tasks in job.reasons.most_common()]
@@ -87,7 +87,7 @@
 
 def _starting_text(attempt: Attempt) -> str | None:
     """Return the state of an attempt that is starting or being stopped, or None."""
-    if attempt.stop is not None:
+    if attempt.stop_grace is not None:
         return "is being stopped"
     match attempt.state:
         case None:
@@ -139,7 +139,7 @@
 
 def _dependency_reason(cluster: ClusterState, job_id: str) -> _DependencyReason:
     dependency = cluster.jobs.get(job_id)
-    if dependency is None or dependency.over:
+    if dependency is None or dependency.ended:
         text = f"waits for {job_id}, whose end is being looked up"
         return _DependencyReason(2, job_id, text)
     running = dependency.running_count()
--- a/micadeal/scheduling/preemption.py
+++ b/micadeal/scheduling/preemption.py
@@ -11,13 +11,13 @@
 from micadeal.fleet.machines import Attempt
 from micadeal.jobs.model import Job
 from micadeal.placement.bin_packing import ZoneRule
-from micadeal.placement.machine_capacity import MachineCapacity, RequestKey, allowed
+from micadeal.placement.machine_capacity import MachineCapacity, RequestKey, placement_allowed
 from micadeal.scheduling.capacity import build_capacities
 from micadeal.scheduling.cluster_state import ClusterState
-from micadeal.scheduling.cycle_data import CycleFindings
-from micadeal.scheduling.plan import Kill
+from micadeal.scheduling.cycle_data import PlacementOutcome
+from micadeal.scheduling.plan import PlannedPreemption
 from micadeal.scheduling.preemption_demand import LOW_RANK, PreemptionDemand, Preemptor
-from micadeal.sharing.shares import booked
+from micadeal.sharing.shares import resource_amount
 from micadeal.sharing.victims import FreedAmounts, Victim, choose_victims, may_preempt
 
 #: Maximum number of tasks for which victims are chosen in one cycle; the next cycle continues.
@@ -25,11 +25,11 @@
 
 
 class Preemption:
-    """Reads the findings of a cycle and adds the victims to its plan."""
+    """Reads the outcome of placement and adds the victims to its plan."""
 
-    def __init__(self, findings: CycleFindings) -> None:
-        self._findings = findings
-        self._cluster = findings.inputs.cluster
+    def __init__(self, outcome: PlacementOutcome) -> None:
+        self._outcome = outcome
+        self._cluster = outcome.inputs.cluster
         #: Cores and accelerators of tasks that may be running, by team; without reserved capacity.
         self._usage = self._cluster.usage()
         #: Capacities by machine name, and victims by machine.
@@ -42,7 +42,7 @@
 
     def select(self) -> None:
         """Choose the victims of this cycle."""
-        preemptors = PreemptionDemand(self._findings, self._usage).preemptors()
+        preemptors = PreemptionDemand(self._outcome, self._usage).preemptors()
         if not preemptors:
             return
         self._capacities = self._capacities_after_stops()
@@ -65,7 +65,7 @@
                 return
             chosen = self._victims_for_task(preemptor, rule, usable, surplus)
             if chosen is None:
-                if all(map(rule.permits, self._findings.machines_by_zone)):
+                if all(map(rule.permits, self._outcome.machines_by_zone)):
                     self._unservable.add(preemptor.key)
                 return
             for victim in chosen:
@@ -73,7 +73,7 @@
             self._tasks_left -= bool(chosen)
 
     def _kill(self, preemptor: Preemptor, victim: Victim) -> None:
-        self._findings.plan.kills.append(Kill(preemptor.job.id, victim))
+        self._outcome.plan.preemptions.append(PlannedPreemption(preemptor.job.id, victim))
         for name in {freed.machine for freed in victim.freed}:
             self._victims[name] = [v for v in self._victims[name] if v is not victim]
 
@@ -83,8 +83,8 @@
         Reserved capacity does not count: preemption frees only what tasks use.
         """
         return {
-            name: booked(self._usage[name], resource) - state.minimum
-            for name, state in self._findings.plan.teams[resource].items()
+            name: resource_amount(self._usage[name], resource) - state.guarantee
+            for name, state in self._outcome.plan.teams[resource].items()
         }
 
     def _usable_capacities(self, job: Job, with_on_demand_work: set[str]) -> list[MachineCapacity]:
@@ -97,11 +97,11 @@
         only machines reserved for it are usable: it can't start on a part of its slots.
         """
         spec = job.spec
-        on_demand_allowed = not spec.spot_allowed or self._findings.spot_scarce
+        on_demand_allowed = not spec.spot_allowed or self._outcome.spot_scarce
         return [
             capacity
             for capacity in self._capacities.values()
-            if allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
+            if placement_allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
             and capacity.name not in job.errors
             and (capacity.dedicated_to == job.id or not job.is_gang or spec.tasks == 1)
             and (capacity.spot or on_demand_allowed or capacity.name in with_on_demand_work)
@@ -112,19 +112,21 @@
         names: set[str] = set()
         for job in self._cluster.live_jobs():
             if (job.production or job.is_service) and not job.spec.spot_allowed:
-                names |= {attempt.machine for attempt in job.all_attempts() if attempt.stop is None}
+                names |= {
+                    attempt.machine for attempt in job.all_attempts() if attempt.stop_grace is None
+                }
         return names
 
     def _capacities_after_stops(self) -> dict[str, MachineCapacity]:
         """Return the capacities of machines that are up, as if all stopping tasks had ended."""
-        all_capacities = build_capacities(self._cluster, self._findings.inputs.now, Counter())
+        all_capacities = build_capacities(self._cluster, self._outcome.inputs.now, Counter())
         capacities = {capacity.name: capacity for capacity in all_capacities if capacity.up}
         for machine in self._cluster.machines.values():
             capacity = capacities.get(machine.name)
             if capacity is None:
                 continue
             for attempt in machine.attempts.values():
-                if attempt.stop is not None:
+                if attempt.stop_grace is not None:
                     capacity.unbook(self._cluster.jobs[attempt.job_id].spec)
         return capacities
 
@@ -197,7 +199,7 @@
         else:
             groups = [[attempt] for attempt in job.all_attempts()]
         for group in groups:
-            running = [attempt for attempt in group if attempt.stop is None]
+            running = [attempt for attempt in group if attempt.stop_grace is None]
             if not running:
                 continue
             victim = _victim(job, running)
@@ -212,7 +214,7 @@
         job.id,
         spec.team,
         job.rank,
-        min(attempt.placed for attempt in running),
+        min(attempt.placed_at for attempt in running),
         tuple(FreedAmounts(a.machine, spec.cpus, spec.gpus, spec.memory_gb) for a in running),
         job.units * len(running),
         None if job.is_gang else running[0].index,
--- a/tests/fakes/fault_histories.py
+++ b/tests/fakes/fault_histories.py
@@ -99,12 +99,12 @@
         self.faults = [ScheduledFault(draw.uniform(0, FAULT_WINDOW_S), name) for name in names]
         # Deployments may disable the option.
         renew_leases_as_follower = draw.random() < 0.8
-        announced = ANNOUNCED_STATE_LIMITS if split_jobs else ""
+        announced_limits = ANNOUNCED_STATE_LIMITS if split_jobs else ""
         world = world_type(
             seed,
             renew_leases_as_follower=renew_leases_as_follower,
             boot_s=3.0,
-            announced=announced,
+            announced_limits=announced_limits,
         )
         self._split_jobs = split_jobs
         if split_jobs:
@@ -112,7 +112,7 @@
         super().__init__(world, draw)
         self._faults_in_progress = 0
         #: Duration of the phase without faults at the start.
-        self.quiet_s = FOLLOWERS_RENEW_AFTER_S
+        self.fault_free_s = FOLLOWERS_RENEW_AFTER_S
         #: One line per request sent: time, source, address, method, target and digest of the body.
         self.events: list[str] = []
         world.network.on_sent = self._record_request
@@ -148,7 +148,7 @@
             ("daemon", 2, 0.0, "blue"),
         ):
             await self._submit(shape, tasks, run_s, team)
-        await curio.sleep(self.quiet_s)
+        await curio.sleep(self.fault_free_s)
         acting_users = await curio.spawn(self._act_as_users, daemon=True)
         for fault in sorted(self.faults, key=_start_time):
             await curio.spawn(self._run_fault, fault, daemon=True)
--- a/tests/fakes/random_clusters.py
+++ b/tests/fakes/random_clusters.py
@@ -47,7 +47,7 @@
             )
             for i in range(machines)
         ]  # fmt: skip
-        self.scheduler.on_list(listed, self.now)
+        self.scheduler.apply_machine_list(listed, self.now)
         for entry in listed:
             self.heartbeat(entry.name)
         for _ in range(jobs):
@@ -92,12 +92,12 @@
         tasks = [
             TaskStatus(a.task, a.number, "running")
             for a in machine.attempts.values()
-            if a.ordered is not None and a.stop is None
+            if a.start_sent_in is not None and a.stop_grace is None
         ]
         for task in tasks[:done]:
             task.state, task.why = "exited", "done"
         self.scheduler.on_heartbeat(
             Heartbeat(name, machine.address, "box", machine.zone, machine.spot, 1, sequence, TOKEN,
                    None, tasks),
-            self.now, is_heartbeat=True, full=True,
+            self.now, is_heartbeat=True, full_authority=True,
         )  # fmt: skip
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -170,7 +170,7 @@
             return False
         self.tasks.clear()
         self.incarnation += 1
-        self.renewed = now
+        self.lease_renewed_at = now
         return True
 
     async def _step(self) -> None:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -91,7 +91,7 @@
     reconcile_heartbeat(cluster, heartbeat(2, done), seconds(9), is_heartbeat=True)
     assert job.complete and not machine.attempts
     assert commands_for(cluster, machine, full_authority=True) == []
-    job.durable.add(0)
+    job.recorded_finished.add(0)
     commands = commands_for(cluster, machine, full_authority=True)
     assert [command.verb for command in commands] == [CommandKind.FORGET]
 
@@ -156,9 +156,9 @@
     load_placements(cluster, "placed/6/2", current, ZERO)
     load_placements(cluster, "placed/6/1", PlacedRecord([placed("gone", 0, 5)]), ZERO)
     remove_machine(cluster, "gone", seconds(20))
-    assert [(attempt.number, attempt.stop) for attempt in job.all_attempts()] == [
+    assert [(attempt.number, attempt.stop_grace) for attempt in job.all_attempts()] == [
         (6, None),
         (6, None),
     ]
     remove_machine(cluster, "n", seconds(21))
-    assert [(attempt.number, attempt.stop) for attempt in job.all_attempts()] == [(6, ZERO)]
+    assert [(attempt.number, attempt.stop_grace) for attempt in job.all_attempts()] == [(6, ZERO)]
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -127,7 +127,7 @@
             assert await world.status(job, number % 3) == "cancelled", job
         await world.wait_until_done(first)
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def test_job_whose_end_is_refused_by_the_state_service_is_not_answered_as_cancelled(
@@ -186,7 +186,7 @@
         for number, job in enumerate(chain):
             assert await world.status(job, number % 3) == "cancelled", job
 
-    World(announced=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
+    World(announced_limits=ANNOUNCED_STATE_LIMITS).play(monkeypatch, scenario)
 
 
 def test_status_poll_finds_a_cancelled_ancestor_without_a_leader(
@@ -325,7 +325,7 @@
     latest = [job.latest.total_seconds() if job.latest else None for job in jobs]
     assert latest == [185.0, 225.0, 225.0, 230.0]
     # Both became ready after their latest start: the earlier latest start goes first.
-    jobs[1].ready = jobs[2].ready = seconds(210)
+    jobs[1].ready_at = jobs[2].ready_at = seconds(210)
     assert sorted(jobs[1:3], key=lambda job: job.order) == [jobs[2], jobs[1]]
     # Without the last job, the others have their own priorities again, and no deadline.
     cluster.job_record_removed("req-4", seconds(50))
@@ -345,7 +345,7 @@
     assert third.blocked
     cluster.job_ended("req-1", EndRecord(Status.DONE, 1, now_utc - 50.0), now)
     assert not third.blocked and third.waiting_count() == third.spec.tasks
-    assert abs((now - third.ready).total_seconds() - 20.0) < 0.5
+    assert abs((now - third.ready_at).total_seconds() - 20.0) < 0.5
     # The next leader never knew these jobs: it reads their ends and gets the same result.
     third_after_failover = _job(3, 1, 2, submitted=-100.0)
     next_cluster = _cluster(third_after_failover)
@@ -353,7 +353,7 @@
     for name, age in (("req-1", 50.0), ("req-2", 20.0)):
         next_cluster.job_ended(name, EndRecord(Status.DONE, 1, now_utc - age), now)
     assert not third_after_failover.blocked
-    assert abs((now - third_after_failover.ready).total_seconds() - 20.0) < 0.5
+    assert abs((now - third_after_failover.ready_at).total_seconds() - 20.0) < 0.5
     assert next_cluster.dependencies.ends_to_read(now) == []
 
 
@@ -403,4 +403,4 @@
     few, many = deployment.submit(**fields, tasks=3), deployment.submit(**fields, tasks=30)
     deployment.scheduler.run_cycle(deployment.now)
     assert few.reasons == {CAPACITY_FREES_SOON: 3}
-    assert CAPACITY_FREES_SOON not in many.reasons and deployment.scheduler.rentals
+    assert CAPACITY_FREES_SOON not in many.reasons and deployment.scheduler.pending_rental_requests
--- a/tests/test_partition_scenarios.py
+++ b/tests/test_partition_scenarios.py
@@ -163,7 +163,9 @@
         await world.wait_until(lambda: world.leader() not in (None, first_leader))
         elected_at = monotonic().total_seconds()
         workers = {worker for worker, _ in world.tasks_on_machines(service)}
-        await world.wait_until(lambda: all(worker.renewed > elected_at - 3 for worker in workers))
+        await world.wait_until(
+            lambda: all(worker.lease_renewed_at > elected_at - 3 for worker in workers)
+        )
         assert monotonic().total_seconds() - elected_at < 3
 
     World().play(monkeypatch, scenario)
@@ -289,7 +291,7 @@
         worker, _ = world.tasks_on_machines(gang)[0]
         world.cloud.capacity.update({("north", False): 0, ("south", False): 4})
         partition_from_controllers(world, worker.name)
-        world.cloud.take(world.tasks_on_machines(gang)[1][0].name)
+        world.cloud.remove_machine(world.tasks_on_machines(gang)[1][0].name)
         await world.wait_until_done(gang)
         # The unreachable machine has been returned meanwhile.
         assert {w.zone for w in world.fleet.workers.values()} == {"south"}
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -150,9 +150,9 @@
         await world.wait_until(lambda: world.running(service) == 4 and world.running(array) == 4)
         await curio.sleep(8)
         ended_machine = workers_running(world, service)[0]
-        world.cloud.take(ended_machine.name)
+        world.cloud.remove_machine(ended_machine.name)
         await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT_S)
-        world.cloud.take(workers_running(world, array)[0].name)
+        world.cloud.remove_machine(workers_running(world, array)[0].name)
         world.crash(leader_of(world))
         await world.wait_until(lambda: world.running(service) == 4, limit=MOVE_LIMIT_S)
         later_job = await world.run_job("array", 2, run_s=5.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -191,7 +191,9 @@
     written = [b for b in write_all(record_writer, deployment) if b.placed]
     assert placed > 400
     assert sum(len(batch.operations) for batch in written) <= placed / 40
-    assert all(a.durable for m in deployment.cluster.machines.values() for a in m.attempts.values())
+    assert all(
+        a.recorded for m in deployment.cluster.machines.values() for a in m.attempts.values()
+    )
     # As tasks end, records are deleted or merged: those stored are those of the attempts left.
     stored: set[str] = {op.key for b in written for op in b.operations}
     for _ in range(40):
@@ -252,7 +254,7 @@
     service.errors.update(on_demand[:1])
     deployment.scheduler.run_cycle(deployment.now)
     preempted_on = {
-        freed[0] for _, victim in deployment.scheduler.plan.kills for freed in victim.freed
+        freed[0] for _, victim in deployment.scheduler.plan.preemptions for freed in victim.freed
     }
     assert preempted_on and on_demand[0] not in preempted_on
 
@@ -278,15 +280,15 @@
     )  # fmt: skip
     for name, guarantee in zip(deployment.teams, (0.0, 4.0), strict=False):
         deployment.cluster.teams[name] = Team(name, 0.0, guarantee, None, 6.0)
-    kills = 0
+    preemptions = 0
     for _ in range(40):
         deployment.now += seconds(1)
         for name in deployment.cluster.machines:
             deployment.heartbeat(name)
         deployment.scheduler.run_cycle(deployment.now)
-        kills += len(deployment.scheduler.plan.kills)
+        preemptions += len(deployment.scheduler.plan.preemptions)
     assert len(array.attempts) == 1 and array.waiting_count() == 1
-    assert kills == 0
+    assert preemptions == 0
 
 
 def test_preempted_capacity_is_kept_for_the_preemptor() -> None:
@@ -320,15 +322,15 @@
     )  # fmt: skip
     for _ in range(6):
         deployment.submit(**fields, shape=Shape.ARRAY, tasks=1)
-    kills = 0
+    preemptions = 0
     for step in range(20):
         deployment.now += seconds(0.2)
         if step == 5:
             # One of the two victims has ended, the other one still saves its progress.
-            deployment.cluster.release(next(iter(machine.attempts.values())), deployment.now)
+            deployment.cluster.remove_attempt(next(iter(machine.attempts.values())), deployment.now)
         if step == 15:
-            deployment.cluster.release(next(iter(machine.attempts.values())), deployment.now)
+            deployment.cluster.remove_attempt(next(iter(machine.attempts.values())), deployment.now)
         deployment.scheduler.run_cycle(deployment.now)
-        kills += len(deployment.scheduler.plan.kills)
+        preemptions += len(deployment.scheduler.plan.preemptions)
     assert len(service.attempts) == 1
-    assert kills == 2
+    assert preemptions == 2
