--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -128,7 +128,7 @@
         #: Number of starts of the process; responses to an earlier process are ignored.
         self._process_starts = 1
         #: When the lease was last renewed.
-        self.renewed = monotonic().total_seconds()
+        self.lease_renewed_at = monotonic().total_seconds()
         self._wake = curio.Event()
         self._token_reported_at = 0.0
         #: The controller that receives the heartbeats.
@@ -161,12 +161,12 @@
         self.tasks.clear()
         self.images.clear()
         self.incarnation, self.sequence, self.token = 1, 0, 0
-        self.renewed = monotonic().total_seconds()
+        self.lease_renewed_at = monotonic().total_seconds()
         self._process_starts += 1
 
     def expire_lease(self, now: float) -> bool:
         """Kill all tasks if the lease has expired; return whether it has."""
-        if now - self.renewed <= self.fleet.lease_s:
+        if now - self.lease_renewed_at <= self.fleet.lease_s:
             return False
         self.tasks.clear()
         self.incarnation += 1
@@ -302,7 +302,7 @@
         if incarnation != self.incarnation or token < self.token or not self.alive:
             return
         await self._update_token(token)
-        self.renewed = max(self.renewed, sent_at)
+        self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
         for command in reply["orders"]:
             await self._execute(command)
 
