--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,6 +1,7 @@
 """Seeded faults on real controller processes over loopback, checked from outside.
 
-The controllers are the program as it is deployed.  State service, cloud, workers and users are the
-fakes of the tests in one process of their own, and all messages pass over real sockets through
-relays that apply the faults of the histories in memory (``tests/fakes/fault_histories.py``).
+The controllers run the program as it is deployed.  The state service, the cloud, the workers and
+the users are the fakes of the tests; they share one separate process.  All messages pass over real
+sockets through relays, which apply the same faults as the in-memory histories
+(``tests/fakes/fault_histories.py``).
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,9 +1,9 @@
-"""Play seeded histories on real processes, several at a time.
+"""Play seeded histories on real processes, several in parallel.
 
     python -m tests.soak --seeds 50 --jobs 8
 
-Real processes don't repeat exactly: a seed gives the same faults at the same times, not the same
-order of messages.  The exit code is 1 if a rule was broken.
+Runs of real processes are not reproducible: a seed gives the same faults at the same times, but not
+the same order of messages.  The exit code is 1 if a rule was broken.
 """
 
 from __future__ import annotations
@@ -23,58 +23,59 @@
 from tests.soak.controller_process import ROOT
 from tests.soak.history import SoakHistory
 
-#: Every so many seeds one is played with many workers.
-LARGE_EVERY = 10
+#: Interval between the seeds that are played with many workers.
+LARGE_SEED_INTERVAL = 10
 LARGE_WORKERS = 300
-MAX_JOBS_AT_ONCE = 24
+MAX_PARALLEL_SEEDS = 24
 POLL_INTERVAL_S = 0.2
-#: A seed that takes longer stands still: the longest took some 170 s beside other load.
+#: A run that takes longer is treated as hung; the longest took about 170 s on a loaded machine.
 MAX_SEED_S = 600.0
-#: How long it may then take to end its controllers.
-END_TIMEOUT_S = 30.0
+#: Time that a terminated run gets to end its controllers before it is killed.
+TERMINATION_TIMEOUT_S = 30.0
 JOB_ID = re.compile(r"req-\d+")
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """How each seed is played; ``workers`` None: many in every tenth."""
+    """How each seed is played; ``workers`` None: many workers in every tenth seed, else none."""
 
     workers: int | None
     quiet_s: float
-    keep: Path
+    log_folder: Path
 
 
 def play(seed: int, options: Options) -> int:
-    """Play one seed in this process, and print what came of it; return the exit code."""
-    folder = options.keep / f"seed-{seed}"
+    """Play one seed in this process and print its result; return the exit code."""
+    folder = options.log_folder / f"seed-{seed}"
     folder.mkdir(parents=True, exist_ok=True)
     workers = options.workers
     if workers is None:
-        workers = LARGE_WORKERS if seed % LARGE_EVERY == 0 else 0
+        workers = LARGE_WORKERS if seed % LARGE_SEED_INTERVAL == 0 else 0
     history = SoakHistory(seed, folder, workers, options.quiet_s)
     click.echo(f"{history.line()}, {workers} more workers")
-    began = time.monotonic()
-    broken = history.play()
+    started_at = time.monotonic()
+    violations = history.play()
     forgotten = history.world.rules.forgotten
     (folder / "requests.log").write_text("\n".join(history.events))
     click.echo(
-        f"  seed {seed}: {time.monotonic() - began:.0f} s, {history.world.starts} processes,"
-        f" {history.world.requests} requests, {history.questions} questions,"
+        f"  seed {seed}: {time.monotonic() - started_at:.0f} s,"
+        f" {history.world.process_starts} processes,"
+        f" {history.world.requests} requests, {history.status_request_count} questions,"
         f" longest unanswered {forgotten.longest_unanswered_s:.0f} s"
         f" ({forgotten.longest_unanswered_job}),"
         f" {len(history.world.answers.cancel_confirmed_at)} cancellations confirmed"
     )
-    for violation in broken:
+    for violation in violations:
         click.echo(f"  seed {seed} BROKEN: {violation}")
         for job_id in JOB_ID.findall(violation):
-            _write_history_of(job_id, folder)
-    if broken:
+            _write_job_history(job_id, folder)
+    if violations:
         click.echo(f"  seed {seed}: logs of all controllers and all requests are in {folder}")
-    return 1 if broken else 0
+    return 1 if violations else 0
 
 
-def _write_history_of(job_id: str, folder: Path) -> None:
-    """Collect what the logs of all controllers say of a job, and the requests that name it."""
+def _write_job_history(job_id: str, folder: Path) -> None:
+    """Write a file with all log lines of controllers and all requests that name a job."""
     lines = [
         f"{log.stem}: {line}"
         for log in sorted(folder.glob("c*.log"))
@@ -88,44 +89,44 @@
 
 @dataclass(frozen=True, slots=True)
 class _SeedRun:
-    """One seed that is played in a process of its own."""
+    """One seed that is played in a separate process."""
 
     seed: int
     process: subprocess.Popen[bytes]
-    #: Not a pipe: one that nobody reads is full after 64 KiB, and then the process stands still.
+    #: A file, not a pipe: an unread pipe is full after 64 KiB and then blocks the process.
     output: Path
-    began: float
+    started_at: float
 
     @classmethod
     def start(cls, seed: int, options: Options) -> _SeedRun:
         command = [sys.executable, "-m", "tests.soak", "--seed", str(seed)]
-        command += ["--keep", str(options.keep), "--quiet", str(options.quiet_s)]
+        command += ["--keep", str(options.log_folder), "--quiet", str(options.quiet_s)]
         if options.workers is not None:
             command += ["--workers", str(options.workers)]
-        options.keep.mkdir(parents=True, exist_ok=True)
-        output = options.keep / f"seed-{seed}.output"
+        options.log_folder.mkdir(parents=True, exist_ok=True)
+        output = options.log_folder / f"seed-{seed}.output"
         with output.open("wb") as file:
             process = subprocess.Popen(command, cwd=ROOT, stdout=file, stderr=subprocess.STDOUT)
         return cls(seed, process, output, time.monotonic())
 
     def has_ended(self) -> bool:
-        """Return whether the process has ended; one that takes too long is ended."""
-        if time.monotonic() - self.began > MAX_SEED_S:
-            self._end()
+        """Return whether the process has ended; terminate it if it takes too long."""
+        if time.monotonic() - self.started_at > MAX_SEED_S:
+            self._terminate()
         return self.process.poll() is not None
 
-    def _end(self) -> None:
-        """End the process; it ends its controllers first."""
+    def _terminate(self) -> None:
+        """Terminate the process; it ends its controllers first."""
         self.process.terminate()
         try:
-            self.process.wait(END_TIMEOUT_S)
+            self.process.wait(TERMINATION_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
 
 
 def play_all(seeds: list[int], jobs: int, options: Options) -> int:
-    """Play seeds in processes of their own, ``jobs`` at once; return how many broke a rule."""
+    """Play each seed in a separate process, ``jobs`` in parallel; return how many failed."""
     waiting = list(seeds)
     running: list[_SeedRun] = []
     failed = 0
@@ -148,8 +149,8 @@
     return failed
 
 
-def _end(*_: object) -> None:
-    # As on Ctrl-C, so that what was started is ended.
+def _interrupt(*_: object) -> None:
+    # Takes the same path as Ctrl-C, which ends all processes that were started.
     raise KeyboardInterrupt
 
 
@@ -160,7 +161,7 @@
 @click.option(
     "--workers", type=click.IntRange(0, 1000), help="Busy workers beside the usual dozen or two."
 )
-@click.option("--jobs", type=click.IntRange(1, MAX_JOBS_AT_ONCE), default=4, help="At once.")
+@click.option("--jobs", type=click.IntRange(1, MAX_PARALLEL_SEEDS), default=4, help="At once.")
 @click.option(
     "--quiet",
     "quiet_s",
@@ -179,14 +180,16 @@
     keep: Path | None,
 ) -> None:
     """Play seeded faults on real processes over loopback and check the protocol's rules."""
-    signal.signal(signal.SIGTERM, _end)
+    signal.signal(signal.SIGTERM, _interrupt)
     folder = keep or Path(tempfile.mkdtemp(prefix="micadeal-soak-"))
     options = Options(workers, quiet_s, folder.resolve())
     if seed is not None:
         sys.exit(play(seed, options))
-    began = time.monotonic()
+    started_at = time.monotonic()
     failed = play_all(list(range(first, first + seeds)), jobs, options)
-    click.echo(f"{seeds} seeds in {time.monotonic() - began:.0f} s, {failed} with a rule broken")
+    click.echo(
+        f"{seeds} seeds in {time.monotonic() - started_at:.0f} s, {failed} with a rule broken"
+    )
     sys.exit(1 if failed else 0)
 
 
--- a/tests/soak/controller_process.py
+++ b/tests/soak/controller_process.py
@@ -1,4 +1,4 @@
-"""One controller as a real process: started, paused, killed, and watched for ends of its own."""
+"""One controller as a real process, which can be paused, killed and watched for unexpected ends."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from micadeal.http.message import HttpError
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-#: How long a process that is asked to end may take.
+#: Time that a process gets to hand over and end after a termination signal.
 RETIRE_TIMEOUT_S = 10.0
-#: How long a process may take until it listens; not a bound of any rule.
+#: Time that a process gets until it accepts connections; no protocol rule depends on it.
 START_TIMEOUT = seconds(120)
 POLL_INTERVAL_S = 0.1
 
 
 class ControllerProcess:
-    """A running controller; whoever created it ends it."""
+    """A running controller process; its creator must end it."""
 
     def __init__(self, name: str, settings: Path, log_file: Path, options: Path | None) -> None:
-        """Start the process; ``options`` is the operators' file of what is switched on."""
+        """Start the process; ``options`` is the operators' file of enabled features."""
         self.name = name
         command = [sys.executable, str(ROOT / "run.py")]
         if options is not None:
@@ -40,48 +40,48 @@
                 stderr=log,
                 env={**os.environ, "LOG_LEVEL": "info"},
             )
-        self._asked_to_end = False
+        self._end_requested = False
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not ended yet."""
         return self._process.poll() is None
 
     @property
-    def ended_by_itself(self) -> bool:
-        """Whether the process has ended though nobody ended it."""
-        return not self._asked_to_end and not self.running
+    def ended_unexpectedly(self) -> bool:
+        """Whether the process has ended without a request to end."""
+        return not self._end_requested and not self.running
 
     def kill(self) -> None:
-        """End the process at once."""
-        self._asked_to_end = True
+        """Kill the process without a handover and wait for its end."""
+        self._end_requested = True
         if self.running:
             self._process.kill()
             self._process.wait()
 
     def pause(self) -> None:
-        """Stop the process; its clocks run on."""
+        """Stop the process with SIGSTOP; its clocks continue."""
         if self.running:
             self._process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         if self.running:
             self._process.send_signal(signal.SIGCONT)
 
     async def retire(self) -> None:
-        """Ask the process to hand over and end, and wait for that."""
-        self._asked_to_end = True
+        """Ask the process to hand over and end, and wait until it has ended or time is up."""
+        self._end_requested = True
         self._process.terminate()
-        until = monotonic() + seconds(RETIRE_TIMEOUT_S)
-        while self.running and monotonic() < until:
+        deadline = monotonic() + seconds(RETIRE_TIMEOUT_S)
+        while self.running and monotonic() < deadline:
             await curio.sleep(POLL_INTERVAL_S)
 
     async def wait_until_listening(self, address: str) -> None:
-        """Wait until the process accepts connections, or has ended."""
+        """Wait until the process accepts connections or has ended."""
         client = Client(address, keep=0)
-        until = monotonic() + START_TIMEOUT
-        while self.running and monotonic() < until:
+        deadline = monotonic() + START_TIMEOUT
+        while self.running and monotonic() < deadline:
             try:
                 await client.request("GET", "/ready", timeout=seconds(2))
             except HttpError:
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""A deployment whose controllers are real processes; users and services are those in memory."""
+"""A deployment whose controllers are real processes; users and services are in-memory fakes."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 OPTIONS = ROOT / "deploy" / "run.toml"
 WATCH_INTERVAL_S = 0.5
-#: How often all tasks are ended, until none has started another.
-MAX_SHUTDOWNS = 20
-#: A team without much of a limit, whose service keeps many machines busy.
+#: Number of attempts to end all tasks of a kernel; tasks that end may start others.
+MAX_SHUTDOWN_ATTEMPTS = 20
+#: A team with a high limit, whose service keeps many machines busy.
 LARGE_TEAM = """
 [[cluster.teams]]
 name = "large"
@@ -32,11 +32,14 @@
 """
 
 
-class PunctualFleet(Fleet):
-    """Leases run out by the clock, also if the process of the stand-ins was late to look."""
+class LeaseExpiringFleet(Fleet):
+    """Fake workers whose leases are expired by the clock whenever their tasks are listed.
+
+    The workers' own timers may fire late when the process of the fakes is slow.
+    """
 
     def tasks_on_machines(self, job_id: str | None = None) -> list[tuple[FakeWorker, TaskAttempt]]:
-        """Return the attempts that are on machines whose lease has not run out."""
+        """Return the attempts that are on machines whose leases have not expired."""
         now = monotonic().total_seconds()
         for worker in list(self.workers.values()):
             worker.expire_lease(now)
@@ -44,12 +47,12 @@
 
 
 class SoakWorld(World):
-    """Starts and ends processes where the world in memory starts and ends objects."""
+    """Starts and ends processes where the in-memory world starts and ends objects."""
 
-    fleet_type = PunctualFleet
+    fleet_type = LeaseExpiringFleet
 
     def __init__(self, folder: Path, seed: int, workers: int, **deployment: Any) -> None:
-        """Prepare a deployment whose files go into ``folder``; nothing runs yet."""
+        """Prepare a deployment that writes its files into ``folder``; nothing runs yet."""
         super().__init__(seed, teams=TEAMS + LARGE_TEAM, capacity=10 + workers, **deployment)
         self.rules.team_limits["large"] = 2000.0
         self._folder = folder
@@ -57,7 +60,7 @@
         self._addresses = {f"c{n}": (free_address(), free_address()) for n in range(CONTROLLERS)}
         self.controllers: dict[int, ControllerProcess] = {}
         #: Processes started so far.
-        self.starts = 0
+        self.process_starts = 0
 
     # -- processes -------------------------------------------------------------------------
 
@@ -72,19 +75,19 @@
         """Start a controller's process and wait until it listens."""
         name = f"c{number}"
         api, mesh = self._addresses[name]
-        text = settings(number, self.teams, self.announced)
-        real = {f"10.0.0.{number + 1}:8080": api, f"10.0.0.{number + 1}:8081": mesh}
+        settings_text = settings(number, self.teams, self.announced)
+        replacements = {f"10.0.0.{number + 1}:8080": api, f"10.0.0.{number + 1}:8081": mesh}
         for address in (state_fake.ADDRESS, cloud_fake.ADDRESS, *self._peers_of(number)):
-            real[address] = await self._relays.real_address(name, address)
-        for address, replacement in real.items():
-            text = text.replace(f'"{address}"', f'"{replacement}"')
+            replacements[address] = await self._relays.real_address(name, address)
+        for address, replacement in replacements.items():
+            settings_text = settings_text.replace(f'"{address}"', f'"{replacement}"')
         settings_file = self._folder / f"{name}.toml"
-        settings_file.write_text(text)
+        settings_file.write_text(settings_text)
         options = OPTIONS if self.renew_leases_as_follower else None
         process = ControllerProcess(name, settings_file, self._folder / f"{name}.log", options)
         self.controllers[number] = process
         self.nodes[number] = process  # type: ignore[assignment]
-        self.starts += 1
+        self.process_starts += 1
         await process.wait_until_listening(api)
         if process is self.controllers[number] and process.running:
             self.network.serve(name, CONTROLLER_ADDRESSES[name], self._relays.forwarder(name, api))
@@ -100,7 +103,7 @@
         self.network.close(f"c{number}")
 
     def is_up(self, number: int) -> bool:
-        """Return whether a controller's process runs."""
+        """Return whether a controller's process is running."""
         return number in self.controllers and self.controllers[number].running
 
     def end_all(self) -> None:
@@ -112,7 +115,7 @@
     async def _watch_processes(self) -> None:
         while True:
             for process in self.controllers.values():
-                if process.ended_by_itself:
+                if process.ended_unexpectedly:
                     self.rules.violations.append(f"ended by itself: {process.name}")
                     process.kill()
             await curio.sleep(WATCH_INTERVAL_S)
@@ -125,14 +128,14 @@
         scenario: Callable[[World], Awaitable[None]],
         earlier: bool = False,
     ) -> World:
-        """Run a scenario in real time; fails if a rule of the protocol was broken."""
+        """Run a scenario in real time; fail if a rule of the protocol was broken."""
 
         async def main() -> None:
             try:
                 await curio.spawn(self._watch_processes, daemon=True)
                 await self._play(scenario, earlier)
             finally:
-                # Before the servers go: nothing may connect while they are shut down.
+                # End the processes before the servers: no process may connect during shutdown.
                 self.end_all()
 
         kernel = curio.Kernel()
@@ -144,17 +147,17 @@
 
     @property
     def requests(self) -> int:
-        """Requests that passed between processes."""
+        """Number of requests that passed between processes."""
         return self._relays.requests
 
 
 def _shut_down(kernel: curio.Kernel) -> None:
-    """End all tasks of a kernel; those that were about to run may start others meanwhile."""
-    for _ in range(MAX_SHUTDOWNS):
+    """End all tasks of a kernel, including those that other tasks start while they end."""
+    for _ in range(MAX_SHUTDOWN_ATTEMPTS):
         try:
             kernel.run(shutdown=True)
         except AssertionError:
-            # Curio's word that there are new tasks: they are ended by the next try.
+            # Curio raises this if tasks were started meanwhile: the next attempt ends them.
             continue
         return
-    raise RuntimeError("tasks go on to start others")
+    raise RuntimeError("tasks keep starting other tasks during the shutdown")
