--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -1,16 +1,17 @@
-"""Plays seeded histories in which faults coincide, in memory, on all cores.
+"""Plays seeded in-memory histories in which several faults coincide, in parallel processes.
 
     python3 -m bench.fault_histories --histories 320 [--first 0] [--workers 8]
     python3 -m bench.fault_histories --guards
 
-Each pair of faults is played in turn, at instants drawn from the seed
-(``tests/fakes/fault_histories.py``).  What breaks is printed with its seed; ``--seed`` plays one
-history again, and ``--events FILE`` writes down every request that it sends: for the same seed
-these are the same in every process.  With ``--split-jobs`` descriptions of jobs are stored in
-parts.  The exit code is 1 if something broke.
+The histories take all pairs of faults in turn, at instants drawn from the seed
+(``tests/fakes/fault_histories.py``).  Violations are printed with their seed.  ``--seed`` repeats
+one history; ``--events FILE`` also writes every request that it sends, which are the same for the
+same seed in every process.  With ``--split-jobs`` descriptions of jobs are stored in parts.  The
+exit code is 1 if a rule was broken.
 
-``--guards`` disables the guards of the code in turn, and plays histories of the faults that each is
-meant for until one breaks a rule.  The exit code is 1 if a guard broke nothing.
+``--guards`` disables each guard of the code in turn and plays histories with the faults that the
+guard protects against until one breaks a rule.  The exit code is 1 if no rule was broken without
+some guard.
 """
 
 from __future__ import annotations
@@ -44,78 +45,79 @@
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
-#: Of so many histories the last one draws its faults; the others take the pairs in turn.
-DRAWN_EVERY = 4
-#: Histories that may be played without a guard until something breaks.
+#: One history in this number draws its faults; the others take the pairs in turn.
+DRAWN_FAULTS_INTERVAL = 4
+#: Maximum number of histories played without a guard until a rule breaks.
 MAX_HISTORIES_WITHOUT_GUARD = 400
-#: Broken rules that are printed of one history.
-MAX_SHOWN = 4
+#: Maximum number of violations printed for one history.
+MAX_PRINTED_VIOLATIONS = 4
 
 
 class Outcome(NamedTuple):
-    """What one history did."""
+    """The result of one history."""
 
-    #: The seed and the faults, for a reader.
+    #: Description for users: the seed and the faults.
     line: str
     pair: tuple[str, ...]
-    broken: list[str]
-    #: For each confirmed cancellation how long after it, in seconds, the last task was gone.
+    violations: list[str]
+    #: For each confirmed cancellation, the time until the last task had ended, in seconds.
     gone_after: list[float]
 
 
-class Unguarded(NamedTuple):
-    """What broke without a guard."""
+class GuardCheck(NamedTuple):
+    """The result of the histories that were played without a guard."""
 
     guard: str
-    #: How many histories it took; 0: nothing broke.
+    #: Number of histories until a rule broke; 0: none broke.
     histories: int
-    broken: str
+    #: The first violation of the last history.
+    violation: str
 
 
 def faults_of(seed: int) -> tuple[str, ...]:
-    """Return the pair of faults that this seed takes; none: it draws its own."""
-    drawn = seed % DRAWN_EVERY == DRAWN_EVERY - 1
-    return () if drawn else PAIRS[(seed - seed // DRAWN_EVERY) % len(PAIRS)]
+    """Return the pair of faults of this seed; empty if the history draws its faults."""
+    faults_drawn = seed % DRAWN_FAULTS_INTERVAL == DRAWN_FAULTS_INTERVAL - 1
+    return () if faults_drawn else PAIRS[(seed - seed // DRAWN_FAULTS_INTERVAL) % len(PAIRS)]
 
 
 def play(seed: int, split_jobs: bool) -> Outcome:
     """Play the history with this seed."""
     history = History(seed, faults_of(seed), split_jobs=split_jobs)
-    broken = history.play()
-    return Outcome(history.line(), faults_of(seed), broken, history.gone_after)
+    violations = history.play()
+    return Outcome(history.line(), faults_of(seed), violations, history.gone_after)
 
 
-# -- guards that can be disabled; each function disables one ------------------------------------
+# -- functions that each disable one guard ------------------------------------------------------
 
 
-def _elected_is_informed(patch: pytest.MonkeyPatch) -> None:
-    begin = Leader.__init__
+def _election_counts_as_informed(patch: pytest.MonkeyPatch) -> None:
+    original_init = Leader.__init__
 
-    def informed(self: Any, *args: Any, **named: Any) -> None:
-        begin(self, *args, **named)
+    def init_as_informed(self: Any, *args: Any, **kwargs: Any) -> None:
+        original_init(self, *args, **kwargs)
         self._authority.mark_informed(self._cluster.term_start)
 
-    patch.setattr(Leader, "__init__", informed)
+    patch.setattr(Leader, "__init__", init_as_informed)
 
 
-def _early_notices_lost(patch: pytest.MonkeyPatch) -> None:
+def _early_notices_ignored(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(RecordLoader, "job_cancelled", lambda self, job, now: self.job_over(job, now))
 
 
-def _lists_empty(patch: pytest.MonkeyPatch) -> None:
+def _cancellation_lists_empty(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(FollowerLeases, "add_cancellation", lambda self, job, now, age=None: False)
-    patch.setattr(CancellationBroadcaster, "tell_leader", _nothing)
+    patch.setattr(CancellationBroadcaster, "tell_leader", _report_success)
 
 
-async def _nothing(*_: Any) -> bool:
+async def _report_success(*_: Any) -> bool:
     return True
 
 
-def _tells_alone(patch: pytest.MonkeyPatch) -> None:
-    async def alone(self: CancellationBroadcaster, job_id: str) -> CancellationConfirmation:
+def _confirmed_without_peers(patch: pytest.MonkeyPatch) -> None:
+    async def confirm_alone(self: CancellationBroadcaster, job_id: str) -> CancellationConfirmation:
         return CancellationConfirmation(True, True)
 
-    patch.setattr(CancellationBroadcaster, "broadcast", alone)
+    patch.setattr(CancellationBroadcaster, "broadcast", confirm_alone)
 
 
 def _confirmed_while_tasks_may_start(patch: pytest.MonkeyPatch) -> None:
@@ -126,11 +128,11 @@
     ) -> CancellationConfirmation:
         return (await broadcast(self, job_id))._replace(no_task_can_start=True)
 
-    async def nothing_starts(self: CancellationBroadcaster, job_id: str) -> bool:
+    async def no_start_reported(self: CancellationBroadcaster, job_id: str) -> bool:
         return False
 
     patch.setattr(CancellationBroadcaster, "broadcast", no_start_possible)
-    patch.setattr(CancellationBroadcaster, "may_tasks_start", nothing_starts)
+    patch.setattr(CancellationBroadcaster, "may_tasks_start", no_start_reported)
 
 
 def _writes_without_versions(patch: pytest.MonkeyPatch) -> None:
@@ -142,17 +144,17 @@
     patch.setattr(OutboundCalls, "write", unconditional)
 
 
-def _stale_heartbeats_count(patch: pytest.MonkeyPatch) -> None:
+def _stale_heartbeats_accepted(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(reconciliation, "_looks_older", lambda machine, heartbeat: False)
 
 
-def _any_absence_frees(patch: pytest.MonkeyPatch) -> None:
+def _any_absence_ends_attempts(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         reported_tasks, "_is_certainly_gone", lambda cluster, attempt, machine, is_heartbeat: True
     )
 
 
-def _silence_frees_at_once(patch: pytest.MonkeyPatch) -> None:
+def _leases_expire_early(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         ClusterState,
         "lease_expiry",
@@ -161,7 +163,7 @@
     )
 
 
-def _silence_before_our_token_frees(patch: pytest.MonkeyPatch) -> None:
+def _silence_before_term_expires_leases(patch: pytest.MonkeyPatch) -> None:
     def expire(cluster: ClusterState, now: timedelta) -> None:
         for machine in list(cluster.machines.values()):
             latest = machine.reachability.latest or cluster.term_start
@@ -172,23 +174,23 @@
     patch.setattr(machine_loss, "expire_leases", expire)
 
 
-def _stops_are_not_repeated(patch: pytest.MonkeyPatch) -> None:
-    def none(cluster: ClusterState, machine: Machine) -> list[Any]:
+def _stop_commands_not_sent(patch: pytest.MonkeyPatch) -> None:
+    def no_commands(cluster: ClusterState, machine: Machine) -> list[Any]:
         return []
 
-    patch.setattr(worker_commands, "stop_commands_for", none)
+    patch.setattr(worker_commands, "stop_commands_for", no_commands)
 
 
-#: For each guard what disables it, and the faults that it is meant for.
+#: For each guard, the function that disables it and the faults that it protects against.
 GUARDS: dict[str, tuple[Patch, Sequence[str]]] = {
     "being elected is no knowledge of cancellations": (
-        _elected_is_informed,
+        _election_counts_as_informed,
         ["gap at an election"],
     ),
-    "notices override records read before": (_early_notices_lost, ["gap at an election"]),
-    "cancellations are forwarded between controllers": (_lists_empty, ["gap"]),
+    "notices override records read before": (_early_notices_ignored, ["gap at an election"]),
+    "cancellations are forwarded between controllers": (_cancellation_lists_empty, ["gap"]),
     "others know of a cancellation before it is confirmed": (
-        _tells_alone,
+        _confirmed_without_peers,
         ["gap", "follower crash", "machines out of reach"],
     ),
     "no task may start when a cancellation is confirmed": (
@@ -196,72 +198,81 @@
         ["gap", "follower crash"],
     ),
     "writes are conditional on versions": (_writes_without_versions, ["late writes", "hand over"]),
-    "stale heartbeats change nothing": (_stale_heartbeats_count, ["late reports", "hand over"]),
-    "only some absences end an attempt": (_any_absence_frees, ["late reports", "leader crash"]),
-    "a lease has to be expired": (_silence_frees_at_once, ["machines out of reach"]),
+    "stale heartbeats change nothing": (_stale_heartbeats_accepted, ["late reports", "hand over"]),
+    "only some absences end an attempt": (
+        _any_absence_ends_attempts,
+        ["late reports", "leader crash"],
+    ),
+    "a lease has to be expired": (_leases_expire_early, ["machines out of reach"]),
     "only silence after our token counts": (
-        _silence_before_our_token_frees,
+        _silence_before_term_expires_leases,
         ["machines out of reach", "leader crash"],
     ),
-    "stop commands are sent": (_stops_are_not_repeated, ["gap"]),
+    "stop commands are sent": (_stop_commands_not_sent, ["gap"]),
 }
 
 
-def unguarded(name: str) -> Unguarded:
-    """Play histories without a guard until something breaks."""
+def check_guard(name: str) -> GuardCheck:
+    """Play histories without a guard until one breaks a rule."""
     logging.disable(logging.CRITICAL)
-    disable, kinds = GUARDS[name]
+    disable, fault_kinds = GUARDS[name]
     for seed in range(MAX_HISTORIES_WITHOUT_GUARD):
         with pytest.MonkeyPatch.context() as patch:
             disable(patch)
-            broken = History(seed, kinds).play()
-        if broken:
-            return Unguarded(name, seed + 1, broken[0])
-    return Unguarded(name, 0, "nothing")
+            violations = History(seed, fault_kinds).play()
+        if violations:
+            return GuardCheck(name, seed + 1, violations[0])
+    return GuardCheck(name, 0, "nothing")
 
 
-def play_without_guards(workers: int) -> int:
-    """Disable each guard in turn and print what broke; return the exit code."""
+def check_all_guards(workers: int) -> int:
+    """Disable each guard in turn and print which rule breaks; return the exit code."""
     with ProcessPoolExecutor(workers) as pool:
-        useless = 0
-        for outcome in pool.map(unguarded, GUARDS):
-            useless += not outcome.histories
-            click.echo(f"without: {outcome.guard}: {outcome.broken} in history {outcome.histories}")
-    return 1 if useless else 0
+        ineffective = 0
+        for outcome in pool.map(check_guard, GUARDS):
+            ineffective += not outcome.histories
+            click.echo(
+                f"without: {outcome.guard}: {outcome.violation} in history {outcome.histories}"
+            )
+    return 1 if ineffective else 0
 
 
 def play_one(seed: int, split_jobs: bool, events_file: Path | None) -> int:
-    """Play one history in this process and print what broke; return the exit code."""
+    """Play one history in this process and print its violations; return the exit code."""
     history = History(seed, faults_of(seed), split_jobs=split_jobs)
-    broken = history.play()
+    violations = history.play()
     if events_file is not None:
         events_file.write_text("".join(f"{event}\n" for event in history.events))
-    click.echo(f"{history.line()}: {'; '.join(broken[:MAX_SHOWN]) or 'nothing broke'}")
-    return 1 if broken else 0
+    click.echo(
+        f"{history.line()}: {'; '.join(violations[:MAX_PRINTED_VIOLATIONS]) or 'nothing broke'}"
+    )
+    return 1 if violations else 0
 
 
 def play_all(seeds: Sequence[int], split_jobs: bool, workers: int) -> int:
-    """Play histories and print what broke; return the exit code."""
+    """Play histories and print their violations; return the exit code."""
     pairs: Counter[tuple[str, ...]] = Counter()
     gone_after: list[float] = []
-    broken = 0
+    failed = 0
     with ProcessPoolExecutor(workers) as pool:
         results = pool.map(partial(play, split_jobs=split_jobs), seeds)
         with click.progressbar(results, length=len(seeds), file=sys.stderr) as progress:
             for outcome in progress:
                 pairs[outcome.pair] += 1
                 gone_after += outcome.gone_after
-                if outcome.broken:
-                    broken += 1
-                    click.echo(f"{outcome.line}: {'; '.join(outcome.broken[:MAX_SHOWN])}")
+                if outcome.violations:
+                    failed += 1
+                    click.echo(
+                        f"{outcome.line}: {'; '.join(outcome.violations[:MAX_PRINTED_VIOLATIONS])}"
+                    )
     played = sum(pairs[pair] > 0 for pair in PAIRS)
     longest = max(gone_after, default=0.0)
     click.echo(
-        f"{len(seeds)} histories, {broken} broke something; {played} of {len(PAIRS)} pairs; "
+        f"{len(seeds)} histories, {failed} broke something; {played} of {len(PAIRS)} pairs; "
         f"{len(gone_after)} confirmed cancellations, the last task gone at most "
         f"{longest:.1f} s after"
     )
-    return 1 if broken else 0
+    return 1 if failed else 0
 
 
 @click.command()
@@ -285,7 +296,7 @@
     if events is not None and seed is None:
         raise click.UsageError("--events goes with --seed")
     if guards:
-        sys.exit(play_without_guards(workers))
+        sys.exit(check_all_guards(workers))
     if seed is not None:
         sys.exit(play_one(seed, split_jobs, events))
     sys.exit(play_all(range(first, first + histories), split_jobs, workers))
--- a/bench/flexible_start_savings.py
+++ b/bench/flexible_start_savings.py
@@ -25,45 +25,55 @@
 
 
 class Comparison(NamedTuple):
-    """One night, played twice."""
+    """The results of one night, played without and with deferral, and its lower bound."""
 
     seed: int
-    without: Outcome
-    deferred: Outcome
+    without_deferral: Outcome
+    with_deferral: Outcome
     bound: float
 
 
-def compare(seed: int, lost: bool, machines: int, wrong: float) -> Comparison:
-    """Play a night without and with deferral, and compute its bound."""
-    night = Night(seed, machines, wrong)
-    without = Simulation(night, timing=False, feed_lost=lost).run()
-    deferred = Simulation(night, timing=True, feed_lost=lost).run()
-    return Comparison(seed, without, deferred, cost_bound(night))
+def compare(seed: int, feed_fails: bool, machines: int, worst_estimate_factor: float) -> Comparison:
+    """Play a night without and with deferral, and compute its lower bound.
 
+    ``feed_fails``: the price feed fails during the night.
+    """
+    night = Night(seed, machines, worst_estimate_factor)
+    without_deferral = Simulation(night, deferral_enabled=False, feed_fails=feed_fails).run()
+    with_deferral = Simulation(night, deferral_enabled=True, feed_fails=feed_fails).run()
+    return Comparison(seed, without_deferral, with_deferral, cost_bound(night))
 
-def table(rows: Sequence[Comparison]) -> str:
-    """Return a line for each night and a summary."""
+
+def format_table(rows: Sequence[Comparison]) -> str:
+    """Return a table with a line for each night, and a summary."""
     lines = ["night  missed without/with  cost without  with  bound"]
     lines += [
-        f"{row.seed:5}  {row.without.missed:7} {row.deferred.missed:4}  {row.without.cost:17.3f} "
-        f"{row.deferred.cost:5.3f} {row.bound:6.3f}"
+        f"{row.seed:5}  {row.without_deferral.missed_deadlines:7} "
+        f"{row.with_deferral.missed_deadlines:4}  {row.without_deferral.cost:17.3f} "
+        f"{row.with_deferral.cost:5.3f} {row.bound:6.3f}"
+        for row in rows
+    ]
+    worse_seeds = [
+        row.seed
         for row in rows
+        if row.with_deferral.missed_deadlines > row.without_deferral.missed_deadlines
     ]
-    worse = [row.seed for row in rows if row.deferred.missed > row.without.missed]
-    saved = mean(1 - row.deferred.cost / row.without.cost for row in rows)
-    bounded = [1 - row.bound / row.without.cost for row in rows if not math.isnan(row.bound)]
-    most = f"{mean(bounded):.1%}" if bounded else "unknown"
-    missed_without = sum(row.without.missed for row in rows)
-    missed_with = sum(row.deferred.missed for row in rows)
+    saving = mean(1 - row.with_deferral.cost / row.without_deferral.cost for row in rows)
+    bound_savings = [
+        1 - row.bound / row.without_deferral.cost for row in rows if not math.isnan(row.bound)
+    ]
+    max_saving = f"{mean(bound_savings):.1%}" if bound_savings else "unknown"
+    missed_without = sum(row.without_deferral.missed_deadlines for row in rows)
+    missed_with = sum(row.with_deferral.missed_deadlines for row in rows)
     lines.append(
-        f"saved {saved:.1%} of at most {most}; missed {missed_without} without, "
-        f"{missed_with} with; more missed in nights {worse}"
+        f"saved {saving:.1%} of at most {max_saving}; missed {missed_without} without, "
+        f"{missed_with} with; more missed in nights {worse_seeds}"
     )
     return "\n".join(lines) + "\n"
 
 
 def main() -> None:
-    """Play the nights that the command line asks for, and print the comparison."""
+    """Play the nights given on the command line and print the comparison."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nights", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
@@ -73,9 +83,14 @@
     parser.add_argument("--lost", action="store_true")
     arguments = parser.parse_args()
     seeds = range(arguments.first, arguments.first + arguments.nights)
-    play = partial(compare, lost=arguments.lost, machines=arguments.machines, wrong=arguments.wrong)
+    compare_seed = partial(
+        compare,
+        feed_fails=arguments.lost,
+        machines=arguments.machines,
+        worst_estimate_factor=arguments.wrong,
+    )
     with ProcessPoolExecutor(arguments.jobs) as pool:
-        sys.stdout.write(table(list(pool.map(play, seeds))))
+        sys.stdout.write(format_table(list(pool.map(compare_seed, seeds))))
 
 
 if __name__ == "__main__":
--- a/bench/night_simulation.py
+++ b/bench/night_simulation.py
@@ -1,11 +1,11 @@
-"""Plays a night under the real scheduler, with a cloud and workers of a few lines."""
+"""Plays a night with the real scheduler, a simulated cloud and simulated workers."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from datetime import UTC, timedelta
 
-from bench.night import BEGIN, DURATION, HOUR, MACHINE_TYPE, QUARTER, Night
+from bench.night import DURATION, HOUR, MACHINE_TYPE, NIGHT_START, QUARTER_HOUR, Night
 from micadeal.clock import seconds
 from micadeal.controller.persistence.record_writer import RecordWriter
 from micadeal.fleet.instance_offers import InstanceOffers
@@ -21,8 +21,8 @@
 from micadeal.wire.workers import Heartbeat, TaskStatus
 
 STEP = seconds(20)
-#: A night that is not over by then is given up.
-LIMIT = DURATION * 2
+#: A simulation ends after this time even if jobs are left.
+MAX_DURATION = DURATION * 2
 WORKERS = Workers(seconds(20), seconds(140), seconds(500), seconds(60), seconds(340))
 TEAMS = {name: Team(name, 0.0, 8.0, None, 40.0) for name in ("red", "blue")}
 ZONE = MACHINE_TYPE.zones[0]
@@ -33,88 +33,92 @@
 class Outcome:
     """The result of one night."""
 
-    #: Jobs that missed their deadlines.
-    missed: int
-    #: Of flexible work: price times hours times tasks.
+    #: Number of jobs that missed their deadlines.
+    missed_deadlines: int
+    #: Cost of the flexible jobs: price times hours times tasks.
     cost: float
 
 
 class Simulation:
-    """One night under one scheduler."""
+    """The simulation of one night with one scheduler."""
 
-    def __init__(self, night: Night, timing: bool, feed_lost: bool) -> None:
-        """Prepare a night; ``timing``: flexible work may be deferred."""
+    def __init__(self, night: Night, deferral_enabled: bool, feed_fails: bool) -> None:
+        """Prepare a night.
+
+        ``deferral_enabled``: flexible jobs may be deferred; ``feed_fails``: the price feed fails
+        at ``Night.feed_fails_at``.
+        """
         self._night = night
         cluster = ClusterState(TOKEN, WORKERS, TEAMS, seconds(0))
         policy = Policy(flexible={"nightly": Flexible()})
         self._scheduler = Scheduler(cluster, InstanceOffers(), policy, [], seconds(0))
         self._scheduler.set_catalog([MACHINE_TYPE])
-        if timing:
+        if deferral_enabled:
             self._scheduler.deferral = Deferral(cluster, UTC, seconds(5))
-            self._scheduler.deferral.record_run_times(night.earlier_errors())
+            self._scheduler.deferral.record_run_times(night.previous_estimate_errors())
         self._record_writer = RecordWriter(cluster, Limits(1000, 1000, 100, 65536))
-        self._feed_until = night.feed_lost_at if feed_lost else timedelta.max
-        self._fed: timedelta | None = None
+        self._feed_end = night.feed_fails_at if feed_fails else timedelta.max
+        self._last_feed_at: timedelta | None = None
         self._jobs = {job.submission.job_id: job for job in night.jobs}
-        #: Machines that boot, and when they are up; those that are up, and their sequence numbers.
+        #: When each booting machine is up, and the heartbeat sequence number of each that is up.
         self._booting: dict[str, timedelta] = {}
         self._up: dict[str, int] = {}
-        self._rented = 0
+        self._rented_count = 0
         self._started: dict[tuple[str, int], timedelta] = {}
         self._ended: dict[str, timedelta] = {}
         self._cost = 0.0
 
     def run(self) -> Outcome:
-        """Play the night to its end."""
+        """Play the night until all jobs have ended or the time is up."""
         now = seconds(0)
         to_submit = list(self._night.jobs)
-        while now < LIMIT and (to_submit or len(self._ended) < len(self._jobs)):
-            while to_submit and to_submit[0].at <= now:
+        while now < MAX_DURATION and (to_submit or len(self._ended) < len(self._jobs)):
+            while to_submit and to_submit[0].submitted_at <= now:
                 job = to_submit.pop(0)
-                self._scheduler.job_added(Job(job.submission, job.at, 1), now)
-            self._feed(now)
-            self._serve_cloud(now)
+                self._scheduler.job_added(Job(job.submission, job.submitted_at, 1), now)
+            self._send_series(now)
+            self._simulate_cloud(now)
             for name in list(self._up):
                 self._heartbeat(name, now)
             self._schedule(now)
             now += STEP
-        missed = sum(
-            self._ended.get(name, LIMIT) > job.deadline for name, job in self._jobs.items()
+        missed_deadlines = sum(
+            self._ended.get(name, MAX_DURATION) > job.deadline for name, job in self._jobs.items()
         )
-        return Outcome(missed, self._cost)
+        return Outcome(missed_deadlines, self._cost)
 
-    def _feed(self, now: timedelta) -> None:
-        """Pass on the feed's series, four times an hour until the feed falls silent."""
+    def _send_series(self, now: timedelta) -> None:
+        """Pass the feed's series to the scheduler every quarter of an hour until the feed fails."""
         deferral = self._scheduler.deferral
-        due = self._fed is None or now - self._fed >= QUARTER
-        if deferral and now < self._feed_until and due:
-            self._fed = now
+        due = self._last_feed_at is None or now - self._last_feed_at >= QUARTER_HOUR
+        if deferral and now < self._feed_end and due:
+            self._last_feed_at = now
             deferral.add_series(self._night.series(now))
 
     def _schedule(self, now: timedelta) -> None:
-        """Let the scheduler decide, and take all records as written."""
+        """Run a scheduling cycle and treat all its records as written."""
         self._scheduler.tick(now)
-        self._scheduler.refresh_deferral(now, BEGIN + now)
+        self._scheduler.refresh_deferral(now, NIGHT_START + now)
         self._scheduler.run_cycle(now)
         while batches := self._record_writer.next(now):
             for batch in batches:
                 self._record_writer.committed(batch, 1, now)
 
-    def _serve_cloud(self, now: timedelta) -> None:
+    def _simulate_cloud(self, now: timedelta) -> None:
         """Rent, boot, return and list machines."""
         scheduler = self._scheduler
         for request in list(scheduler.rentals.values()):
-            free = self._night.machines - len(self._up) - len(self._booting)
-            count = min(request.count, free)
-            names = [f"i-{self._rented + number:06d}" for number in range(count)]
-            self._rented += len(names)
+            available = self._night.machines - len(self._up) - len(self._booting)
+            count = min(request.count, available)
+            names = [f"i-{self._rented_count + number:06d}" for number in range(count)]
+            self._rented_count += len(names)
             if names:
                 scheduler.rented(request, names, now)
-                ready = now + seconds(MACHINE_TYPE.boot_s)
-                self._booting |= dict.fromkeys(names, ready)
+                booted_at = now + seconds(MACHINE_TYPE.boot_s)
+                self._booting |= dict.fromkeys(names, booted_at)
             else:
                 scheduler.rental_refused(request, now)
-        for name in [name for name, ready in self._booting.items() if ready <= now]:
+        for name in [name for name, booted_at in self._booting.items() if booted_at <= now]:
             del self._booting[name]
             self._up[name] = 0
         returned = sorted(scheduler.releases)
@@ -133,14 +137,14 @@
         ]
 
     def _heartbeat(self, name: str, now: timedelta) -> None:
-        """Let a worker start and end tasks, and take in its heartbeat."""
+        """Let a worker start and end tasks, and process its heartbeat."""
         cluster = self._scheduler.cluster
         machine = cluster.machines.get(name)
         if machine is None:
             return
         self._up[name] += 1
         tasks = [
-            self._run(attempt, now)
+            self._step_task(attempt, now)
             for attempt in list(machine.attempts.values())
             if attempt.ordered is not None
         ]
@@ -154,8 +158,8 @@
             if job.complete:
                 cluster.job_record_removed(job.id, now)
 
-    def _run(self, attempt: Attempt, now: timedelta) -> TaskStatus:
-        """Let a task run for one more step, and return its status."""
+    def _step_task(self, attempt: Attempt, now: timedelta) -> TaskStatus:
+        """Run a task for one more step and return its status."""
         job = self._jobs[attempt.job_id]
         started = self._started.setdefault((attempt.job_id, attempt.index), now)
         status = TaskStatus(attempt.task, attempt.number, "running")
--- a/bench/scale_site.py
+++ b/bench/scale_site.py
@@ -1,10 +1,10 @@
-"""Write a site file of the bench for another number of machines, from a given one.
+"""Write a site file of the bench with another number of machines, based on a given site file.
 
     python3 -m bench.scale_site SITE.toml --machines 4000 --out FOLDER
 
-Machines, what the cloud has of them, teams' guarantees and limits, and arrivals of jobs grow or
-shrink together.  The controllers and the limits of the services stay as they are unless options
-say otherwise.  What is played from such a file is a trial of our own.
+Machines, the capacity of the cloud, the teams' guarantees and limits, and the arrivals of jobs are
+scaled by the same factor.  The controllers and the limits of the services are copied unless options
+replace them.  A run of the bench with such a file is a trial.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 MAX_MACHINES = 100_000
-#: What a site file has to hold for this command.
+#: Top-level keys that a site file must have.
 REQUIRED = ("name", "nodes", "state", "cloud", "capacity", "teams", "jobs", "day")
 
 Site = dict[str, Any]
 
 
-class NotASiteError(Exception):
-    """A file is not a site file of the bench."""
+class InvalidSiteError(Exception):
+    """A file is not a site file of the bench, or has no machines to scale."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A value of a site file to be replaced, by its table and key."""
+    """The new value of a key in a table of a site file."""
 
     table: str
     key: str
@@ -41,26 +41,26 @@
 
 
 def read_site(path: Path) -> Site:
-    """Read a site file; raise ``NotASiteError`` if it is none."""
+    """Read a site file; raise ``InvalidSiteError`` if it can't be scaled."""
     try:
         site = tomllib.loads(path.read_text(encoding="utf-8"))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, OSError) as problem:
-        raise NotASiteError(f"{path}: {problem}") from None
+        raise InvalidSiteError(f"{path}: {problem}") from None
     missing = [name for name in REQUIRED if name not in site]
     if missing:
-        raise NotASiteError(f"{path} is not a site file: it lacks {', '.join(missing)}")
+        raise InvalidSiteError(f"{path} is not a site file: it lacks {', '.join(missing)}")
     if machines_of(site) < 1:
-        raise NotASiteError(f"{path} has no machines to scale")
+        raise InvalidSiteError(f"{path} has no machines to scale")
     return site
 
 
 def machines_of(site: Site) -> int:
-    """Return how many machines the cloud of a site has in all."""
+    """Return the total number of machines in the cloud of a site."""
     return sum(entry.get("count", 0) + entry.get("spot", 0) for entry in site["capacity"])
 
 
-def scaled(site: Site, machines: int, changes: Iterable[Change] = ()) -> Site:
-    """Return a site of ``machines`` machines; ``site`` is left as it is."""
+def scale_site(site: Site, machines: int, changes: Iterable[Change] = ()) -> Site:
+    """Return a copy of ``site`` that is scaled to ``machines`` machines."""
     factor = machines / machines_of(site)
     result: Site = {**site, "name": f"{site['name']}-{machines}"}
     result["capacity"] = _scale_capacity(site["capacity"], machines, factor)
@@ -76,19 +76,19 @@
 
 
 def _scale_capacity(entries: list[Site], machines: int, factor: float) -> list[Site]:
-    """Scale the machines of each type, zone and kind so that their sum is exact."""
+    """Scale the counts by the largest remainder method, so that their sum is ``machines``."""
     result = [dict(entry) for entry in entries]
-    shares = [
+    exact_counts = [
         (index, key, entry[key] * factor)
         for index, entry in enumerate(entries)
         for key in ("count", "spot")
         if entry.get(key)
     ]
-    for index, key, share in shares:
-        result[index][key] = int(share)
-    missing = machines - sum(int(share) for _, _, share in shares)
-    largest_rest_first = sorted(shares, key=lambda entry: int(entry[2]) - entry[2])
-    for index, key, _ in largest_rest_first[:missing]:
+    for index, key, exact_count in exact_counts:
+        result[index][key] = int(exact_count)
+    missing = machines - sum(int(exact_count) for _, _, exact_count in exact_counts)
+    by_remainder = sorted(exact_counts, key=lambda entry: int(entry[2]) - entry[2])
+    for index, key, _ in by_remainder[:missing]:
         result[index][key] += 1
     return result
 
@@ -108,7 +108,10 @@
 
 
 def write_site(site: Site, source: Path, folder: Path) -> Path:
-    """Write a site into a folder outside the repository, with the wire examples that it names."""
+    """Write a site and its file of wire examples into a folder outside the repository.
+
+    Returns the path of the site file; raises ``click.UsageError`` for a folder in the repository.
+    """
     folder = folder.resolve()
     if folder.is_relative_to(ROOT):
         raise click.UsageError(f"{folder} is inside the repository")
@@ -121,25 +124,27 @@
     return target
 
 
-def _setting(name: str, about: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
+def _value_option(
+    name: str, description: str
+) -> Callable[[Callable[..., None]], Callable[..., None]]:
     positive = click.FloatRange(0, min_open=True)
-    return click.option(name, type=positive, help=f"{about}; default: as in the site.")
+    return click.option(name, type=positive, help=f"{description}; default: as in the site.")
 
 
 @click.command()
 @click.argument("source", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--machines", type=click.IntRange(1, MAX_MACHINES), required=True)
 @click.option("--out", type=click.Path(file_okay=False, path_type=Path), required=True)
-@_setting("--connections", "Connections of a controller")
-@_setting("--memory-mb", "Memory of a controller")
-@_setting("--core-share", "Share of a core of a controller")
-@_setting("--state-rps", "Requests a second that the state service takes")
-@_setting("--state-write-rps", "Changes a second that the state service takes")
-@_setting("--cloud-rps", "Calls a second that the cloud takes")
-@_setting("--duration-s", "Length of a day")
+@_value_option("--connections", "Connections of a controller")
+@_value_option("--memory-mb", "Memory of a controller")
+@_value_option("--core-share", "Share of a core of a controller")
+@_value_option("--state-rps", "Requests a second that the state service takes")
+@_value_option("--state-write-rps", "Changes a second that the state service takes")
+@_value_option("--cloud-rps", "Calls a second that the cloud takes")
+@_value_option("--duration-s", "Length of a day")
 def main(source: Path, machines: int, out: Path, **options: float | None) -> None:
     """Write a site like SOURCE with another number of machines into a folder."""
-    tables = {
+    targets = {
         "connections": ("nodes", "max_connections"),
         "memory_mb": ("nodes", "memory_mb"),
         "core_share": ("nodes", "cpu_share"),
@@ -148,13 +153,13 @@
         "cloud_rps": ("cloud", "rps"),
     }
     changes = [
-        Change(*place, int(value) if name == "connections" else value)
-        for name, place in tables.items()
+        Change(*target, int(value) if name == "connections" else value)
+        for name, target in targets.items()
         if (value := options[name]) is not None
     ]
     try:
-        site = scaled(read_site(source), machines, changes)
-    except NotASiteError as problem:
+        site = scale_site(read_site(source), machines, changes)
+    except InvalidSiteError as problem:
         raise click.ClickException(str(problem)) from None
     if options["duration_s"] is not None:
         site["duration_s"] = options["duration_s"]
