--- a/bench/model_follower_leases/__main__.py
+++ b/bench/model_follower_leases/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the model of follower leases."""
+"""Command line of the model checker for lease renewal by followers."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
         _show(f"without: {name}", guard, most)
 
 
-def _show(name: str, guard: Guard, most: int) -> None:
-    began = time.perf_counter()
-    outcome = explore(guard.crashes, guard.delayed, guard.lies, most, guard.reading)
-    spent = time.perf_counter() - began
+def _show(name: str, guard: Guard, max_states: int) -> None:
+    started_at = time.perf_counter()
+    outcome = explore(guard.crashes, guard.delayed, guard.lies, max_states, guard.reading)
+    elapsed_s = time.perf_counter() - started_at
     result = outcome.rule or ("no rule broken" if outcome.complete else "given up")
-    click.echo(f"{name}: {outcome.states} states, {spent:.1f} s, {result}")
+    click.echo(f"{name}: {outcome.states} states, {elapsed_s:.1f} s, {result}")
     for description in outcome.path:
         click.echo(f"    {description}")
 
--- a/bench/model_follower_leases/conversion.py
+++ b/bench/model_follower_leases/conversion.py
@@ -1,6 +1,6 @@
-"""Conversion between the code under test and hashable values, and merging of equal states.
+"""Conversion between the code under test and hashable values, and merging of equivalent states.
 
-Only this module touches private attributes of ``FollowerLeases``.
+Only this module uses private attributes of ``FollowerLeases``.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from functools import cache
 
 from bench.model_follower_leases.state import (
-    CANCEL,
+    CANCEL_TIMEOUT_S,
     JOB_ID,
     LEADER,
-    LEASE,
+    LEASE_S,
     NOW,
     OLDEST,
     PEER_NAMES,
@@ -24,14 +24,14 @@
     PeerState,
     Records,
     State,
-    fields,
+    controller_state,
     intern,
 )
 from micadeal.clock import seconds
 from micadeal.controller.follower_leases import FollowerLeases
 from micadeal.leadership.follower_leases import PeerRenewalView, RenewalState
 
-#: The two followers in exchanged order.
+#: The index of each controller after the two followers are exchanged.
 _EXCHANGED = (0, 2, 1)
 
 
@@ -45,81 +45,81 @@
     return None if instant is None else NOW + seconds(instant)
 
 
-def _forget(instant: Instant | None, limit: int) -> Instant | None:
-    """Treat an instant at or before ``limit`` as absent: no decision depends on it any more."""
+def _drop_if_old(instant: Instant | None, limit: int) -> Instant | None:
+    """Return None for an instant at or before ``limit``: no decision depends on it any more."""
     return None if instant is None or instant <= limit else instant
 
 
 def _clamp(instant: Instant | None, limit: int) -> Instant | None:
-    """Treat all instants at or before ``limit`` as the same one."""
+    """Return ``OLDEST`` for an instant at or before ``limit``, so that all of these are equal."""
     return OLDEST if instant is not None and instant <= limit else instant
 
 
 def new_controller() -> ControllerId:
-    """Return a controller whose process was started just now."""
+    """Return a controller whose process has just started."""
     return pack(FollowerLeases(PEER_NAMES, TIMING, NOW))
 
 
 def pack(follower_leases: FollowerLeases) -> ControllerId:
     """Convert the code under test to an interned controller state."""
     renewal_state = follower_leases._state
-    bound_until = _forget(to_instant(renewal_state.committed_until), -LEASE - 1)
-    first, second = (_pack_view(view) for view in follower_leases.views())
-    born = _clamp(to_instant(renewal_state.started_at), -CANCEL - 1)
-    assert born is not None
+    committed_until = _drop_if_old(to_instant(renewal_state.committed_until), -LEASE_S - 1)
+    first, second = (_pack_peer(view) for view in follower_leases.views())
+    started_at = _clamp(to_instant(renewal_state.started_at), -CANCEL_TIMEOUT_S - 1)
+    assert started_at is not None
     return intern(
         ControllerState(
-            born=born,
+            started_at=started_at,
             token=renewal_state.token,
-            led=_clamp(to_instant(renewal_state.leader_contact_at), -2),
-            bound_token=renewal_state.committed_token if bound_until is not None else 0,
-            bound_until=bound_until,
+            leader_contact_at=_clamp(to_instant(renewal_state.leader_contact_at), -2),
+            committed_token=renewal_state.committed_token if committed_until is not None else 0,
+            committed_until=committed_until,
             lists_job=JOB_ID in follower_leases._cancellations,
             peers=(first, second),
         )
     )
 
 
-def _pack_view(view: PeerRenewalView) -> PeerState:
-    consent_until = _forget(to_instant(view.vote_until), 0)
-    bound_until = _forget(to_instant(view.committed_until), -LEASE - 1)
+def _pack_peer(view: PeerRenewalView) -> PeerState:
+    vote_until = _drop_if_old(to_instant(view.vote_until), 0)
+    committed_until = _drop_if_old(to_instant(view.committed_until), -LEASE_S - 1)
     return PeerState(
-        asked=_forget(to_instant(view.asked_at), -3),
-        speaks_since=_clamp(to_instant(view.reports_since), -CANCEL - 1),
-        quiet_until=_forget(to_instant(view.promised_until), 0),
-        born=_clamp(to_instant(view.started_at), -LEASE - 3),
-        consent=view.vote_token if consent_until is not None else 0,
-        consent_until=consent_until,
-        bound_token=view.committed_token if bound_until is not None else 0,
-        bound_until=bound_until,
-        synced_list_at=_clamp(to_instant(view.synced_list_asked_at), -CANCEL - 1),
-        listed=_clamp(to_instant(view.list_asked_at), -CANCEL - 1),
+        asked_at=_drop_if_old(to_instant(view.asked_at), -3),
+        reports_since=_clamp(to_instant(view.reports_since), -CANCEL_TIMEOUT_S - 1),
+        promised_until=_drop_if_old(to_instant(view.promised_until), 0),
+        started_at=_clamp(to_instant(view.started_at), -LEASE_S - 3),
+        vote_token=view.vote_token if vote_until is not None else 0,
+        vote_until=vote_until,
+        committed_token=view.committed_token if committed_until is not None else 0,
+        committed_until=committed_until,
+        synced_list_asked_at=_clamp(to_instant(view.synced_list_asked_at), -CANCEL_TIMEOUT_S - 1),
+        list_asked_at=_clamp(to_instant(view.list_asked_at), -CANCEL_TIMEOUT_S - 1),
     )
 
 
 def unpack(controller: ControllerId) -> FollowerLeases:
     """Create the code under test from an interned controller state."""
-    state = fields(controller)
+    state = controller_state(controller)
     follower_leases = FollowerLeases(PEER_NAMES, TIMING, NOW)
     follower_leases._state = RenewalState(
-        NOW + seconds(state.born),
+        NOW + seconds(state.started_at),
         state.token,
-        to_time(state.led),
-        state.bound_token,
-        to_time(state.bound_until),
+        to_time(state.leader_contact_at),
+        state.committed_token,
+        to_time(state.committed_until),
     )
     for name, peer in zip(PEER_NAMES, state.peers, strict=True):
         follower_leases._views[name] = PeerRenewalView(
-            to_time(peer.asked),
-            to_time(peer.speaks_since),
-            to_time(peer.quiet_until),
-            to_time(peer.born),
-            peer.consent,
-            to_time(peer.consent_until),
-            peer.bound_token,
-            to_time(peer.bound_until),
-            to_time(peer.synced_list_at),
-            to_time(peer.listed),
+            to_time(peer.asked_at),
+            to_time(peer.reports_since),
+            to_time(peer.promised_until),
+            to_time(peer.started_at),
+            peer.vote_token,
+            to_time(peer.vote_until),
+            peer.committed_token,
+            to_time(peer.committed_until),
+            to_time(peer.synced_list_asked_at),
+            to_time(peer.list_asked_at),
         )
     if state.lists_job:
         follower_leases._cancellations[JOB_ID] = NOW
@@ -127,52 +127,52 @@
 
 
 def forget_leader(follower_leases: FollowerLeases) -> None:
-    """Make a controller forget when it last heard a leader (a false input)."""
+    """Remove the time of the last contact of a leader from a controller (a false input)."""
     follower_leases._state = replace(follower_leases._state, leader_contact_at=None)
 
 
 @cache
 def with_job_listed(controller: ControllerId) -> ControllerId:
     """Return the controller with the job on its cancellation list."""
-    return intern(fields(controller)._replace(lists_job=True))
+    return intern(controller_state(controller)._replace(lists_job=True))
 
 
 @cache
-def second_later(controller: ControllerId, consents_endless: bool) -> ControllerId:
+def after_one_second(controller: ControllerId, votes_never_expire: bool) -> ControllerId:
     """Return the controller one second later.
 
-    ``consents_endless``: consents that were given to it stay valid (a false input).
+    ``votes_never_expire``: votes that were given to it stay valid (a false input).
     """
-    state = fields(controller)
-    first, second = (_peer_second_later(peer, consents_endless) for peer in state.peers)
+    state = controller_state(controller)
+    first, second = (_peer_after_one_second(peer, votes_never_expire) for peer in state.peers)
     later = state._replace(
-        born=max(OLDEST, state.born - 1),
-        led=_earlier(state.led),
-        bound_until=_earlier(state.bound_until),
+        started_at=max(OLDEST, state.started_at - 1),
+        leader_contact_at=_one_second_earlier(state.leader_contact_at),
+        committed_until=_one_second_earlier(state.committed_until),
         peers=(first, second),
     )
     return pack(unpack(intern(later)))
 
 
-def _peer_second_later(peer: PeerState, consents_endless: bool) -> PeerState:
+def _peer_after_one_second(peer: PeerState, votes_never_expire: bool) -> PeerState:
     return peer._replace(
-        asked=_earlier(peer.asked),
-        speaks_since=_earlier(peer.speaks_since),
-        quiet_until=_earlier(peer.quiet_until),
-        born=_earlier(peer.born),
-        consent_until=peer.consent_until if consents_endless else _earlier(peer.consent_until),
-        bound_until=_earlier(peer.bound_until),
-        synced_list_at=_earlier(peer.synced_list_at),
-        listed=_earlier(peer.listed),
+        asked_at=_one_second_earlier(peer.asked_at),
+        reports_since=_one_second_earlier(peer.reports_since),
+        promised_until=_one_second_earlier(peer.promised_until),
+        started_at=_one_second_earlier(peer.started_at),
+        vote_until=peer.vote_until if votes_never_expire else _one_second_earlier(peer.vote_until),
+        committed_until=_one_second_earlier(peer.committed_until),
+        synced_list_asked_at=_one_second_earlier(peer.synced_list_asked_at),
+        list_asked_at=_one_second_earlier(peer.list_asked_at),
     )
 
 
-def _earlier(instant: Instant | None) -> Instant | None:
+def _one_second_earlier(instant: Instant | None) -> Instant | None:
     return None if instant is None else max(OLDEST, instant - 1)
 
 
 def canonical(state: State, has_late_answers: bool) -> State:
-    """Return one state for all that differ in nothing that matters.
+    """Return the same state for all states that lead to the same decisions.
 
     The two followers are interchangeable.  ``has_late_answers``: answers may arrive late.
     """
@@ -190,8 +190,8 @@
         )
     return state._replace(
         controllers=(leader, first, second),
-        heard=state.heard if leads else 0,
-        informed=state.informed if leads else 0,
+        leader_answered_at=state.leader_answered_at if leads else 0,
+        cancellations_read_until=state.cancellations_read_until if leads else 0,
         records=state.records if leads else Records.READ,
         late_answers=tuple(sorted(late_answers)),
     )
@@ -199,7 +199,7 @@
 
 @cache
 def _with_peers_exchanged(controller: ControllerId) -> ControllerId:
-    state = fields(controller)
+    state = controller_state(controller)
     first, second = state.peers
     return intern(state._replace(peers=(second, first)))
 
@@ -208,54 +208,60 @@
 def _reduced(
     controller: ControllerId, is_leader: bool, has_leader: bool, has_late_answers: bool
 ) -> ControllerId:
-    """Return the controller without what no decision can depend on any more."""
-    state = fields(controller)
-    # All peers must have spoken for long enough, so only the one that has for the shortest time
-    # counts.
+    """Return the controller without the values that no decision can depend on any more."""
+    state = controller_state(controller)
+    # All peers must have sent reports for long enough, so only the latest of these instants counts.
     latest = max(
-        (peer.speaks_since for peer in state.peers if peer.speaks_since is not None),
+        (peer.reports_since for peer in state.peers if peer.reports_since is not None),
         default=OLDEST,
     )
-    any_silent = any(peer.speaks_since is None for peer in state.peers)
+    any_without_reports = any(peer.reports_since is None for peer in state.peers)
     first, second = (
         _reduced_peer(
             peer._replace(
-                asked=peer.asked if has_late_answers else None,
-                speaks_since=OLDEST
-                if peer.speaks_since is not None and (any_silent or peer.speaks_since < latest)
-                else peer.speaks_since,
+                asked_at=peer.asked_at if has_late_answers else None,
+                reports_since=OLDEST
+                if peer.reports_since is not None
+                and (any_without_reports or peer.reports_since < latest)
+                else peer.reports_since,
             ),
             is_leader,
-            state.born,
+            state.started_at,
         )
         for peer in state.peers
     )
     return intern(
         state._replace(
-            led=OLDEST if is_leader else state.led,
-            bound_token=state.bound_token if has_leader else 0,
-            bound_until=state.bound_until if has_leader else None,
+            leader_contact_at=OLDEST if is_leader else state.leader_contact_at,
+            committed_token=state.committed_token if has_leader else 0,
+            committed_until=state.committed_until if has_leader else None,
             peers=(first, second),
         )
     )
 
 
-def _reduced_peer(peer: PeerState, owner_leads: bool, owner_born: Instant) -> PeerState:
-    if owner_leads:
-        listed = peer.listed
+def _reduced_peer(peer: PeerState, owner_is_leader: bool, owner_started_at: Instant) -> PeerState:
+    if owner_is_leader:
+        list_asked_at = peer.list_asked_at
         return peer._replace(
-            consent=0,
-            consent_until=None,
-            synced_list_at=peer.synced_list_at if peer.synced_list_at == 0 else OLDEST,
-            listed=OLDEST if listed is not None and listed != 0 else listed,
+            vote_token=0,
+            vote_until=None,
+            synced_list_asked_at=peer.synced_list_asked_at
+            if peer.synced_list_asked_at == 0
+            else OLDEST,
+            list_asked_at=OLDEST
+            if list_asked_at is not None and list_asked_at != 0
+            else list_asked_at,
         )
-    # Whether the list was given since the owner's start: nothing else is asked of it.
-    given = peer.synced_list_at is not None and peer.synced_list_at >= owner_born
+    # Decisions only depend on whether the list was sent since the owner's start.
+    is_synced = (
+        peer.synced_list_asked_at is not None and peer.synced_list_asked_at >= owner_started_at
+    )
     return peer._replace(
-        quiet_until=None,
-        born=OLDEST,
-        bound_token=0,
-        bound_until=None,
-        synced_list_at=OLDEST if owner_born == OLDEST else (0 if given else None),
-        listed=None,
+        promised_until=None,
+        started_at=OLDEST,
+        committed_token=0,
+        committed_until=None,
+        synced_list_asked_at=OLDEST if owner_started_at == OLDEST else (0 if is_synced else None),
+        list_asked_at=None,
     )
--- a/bench/model_follower_leases/explorer.py
+++ b/bench/model_follower_leases/explorer.py
@@ -1,4 +1,4 @@
-"""Breadth-first search over all states that can be reached."""
+"""Breadth-first search over all reachable states."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from bench.model_follower_leases.guards import FalseInputs
 from bench.model_follower_leases.moves import Moves, RuleBrokenError
 from bench.model_follower_leases.state import (
-    CANCEL,
-    LEASE,
+    CANCEL_TIMEOUT_S,
+    LEASE_S,
     OLDEST,
     TOKEN,
     ControllerState,
@@ -26,62 +26,65 @@
     """The result of a search."""
 
     states: int
-    #: All that can be reached was looked at.
+    #: All reachable states were visited.
     complete: bool
-    #: The rule that broke and the shortest path to it; empty: none.
+    #: The broken rule and the shortest path to it; empty if none broke.
     rule: str = ""
     path: tuple[str, ...] = ()
 
 
-#: A peer that has run, and given its complete list, for long.
-_LONG_KNOWN_PEER = PeerState(
-    asked=None,
-    speaks_since=OLDEST,
-    quiet_until=None,
-    born=OLDEST,
-    consent=0,
-    consent_until=None,
-    bound_token=0,
-    bound_until=None,
-    synced_list_at=OLDEST,
-    listed=OLDEST,
+#: A peer that started, and sent its complete list, a long time ago.
+_ESTABLISHED_PEER = PeerState(
+    asked_at=None,
+    reports_since=OLDEST,
+    promised_until=None,
+    started_at=OLDEST,
+    vote_token=0,
+    vote_until=None,
+    committed_token=0,
+    committed_until=None,
+    synced_list_asked_at=OLDEST,
+    list_asked_at=OLDEST,
 )
-#: A controller that has run for long and hears the leader.
-_LONG_RUNNING_CONTROLLER = ControllerState(
-    born=OLDEST,
+#: A controller that started a long time ago and is in contact with the leader.
+_ESTABLISHED_CONTROLLER = ControllerState(
+    started_at=OLDEST,
     token=TOKEN,
-    led=0,
-    bound_token=0,
-    bound_until=None,
+    leader_contact_at=0,
+    committed_token=0,
+    committed_until=None,
     lists_job=False,
-    peers=(_LONG_KNOWN_PEER, _LONG_KNOWN_PEER),
+    peers=(_ESTABLISHED_PEER, _ESTABLISHED_PEER),
 )
 
 
 def initial_states(crashes: int, reading: bool) -> list[State]:
-    """Return the states in which a search starts.
+    """Return the initial states of a search.
 
-    Either a leader that has led for long; or, with ``reading``, one elected just now, when nothing
-    was cancelled yet, or the job was a while ago, as the two others know.
+    Without ``reading``, the leader has led for a long time.  With ``reading``, it has just been
+    elected; either nothing is cancelled yet, or the job was cancelled some time ago and only the
+    two peers know this.
     """
-    controller = intern(_LONG_RUNNING_CONTROLLER)
-    settled = State(
+    controller = intern(_ESTABLISHED_CONTROLLER)
+    established = State(
         controllers=(controller, controller, controller),
         leads=True,
-        heard=0,
-        informed=0,
-        renewed=0,
-        confirmed=None,
+        leader_answered_at=0,
+        cancellations_read_until=0,
+        renewed_at=0,
+        confirmed_at=None,
         records=Records.READ,
         crashes=crashes,
         late_answers=(),
     )
     if not reading:
-        return [settled]
-    elected = settled._replace(records=Records.UNREAD)
-    knows = with_job_listed(controller)
+        return [established]
+    elected = established._replace(records=Records.UNREAD)
+    informed_controller = with_job_listed(controller)
     cancelled_before = elected._replace(
-        controllers=(controller, knows, knows), confirmed=LEASE - CANCEL, renewed=-1
+        controllers=(controller, informed_controller, informed_controller),
+        confirmed_at=LEASE_S - CANCEL_TIMEOUT_S,
+        renewed_at=-1,
     )
     return [elected, cancelled_before]
 
@@ -89,46 +92,46 @@
 def explore(
     crashes: int = 0,
     delayed: int = 0,
-    lies: FalseInputs | None = None,
-    most: int = 0,
+    false_inputs: FalseInputs | None = None,
+    max_states: int = 0,
     reading: bool = False,
 ) -> Outcome:
     """Visit all states, breadth first, until a rule breaks.
 
-    ``crashes``: in one path; ``delayed``: late answers in flight at once; ``lies``: false inputs
-    of the code under test; ``most``: give up beyond so many states (0: never); ``reading``: the
-    leader was elected a moment ago.
+    ``crashes``: number of crashes in one path; ``delayed``: maximum number of late answers in
+    flight; ``false_inputs``: those of the code under test; ``max_states``: maximum number of states
+    (0: no limit); ``reading``: the leader has just been elected and has not read its records.
     """
-    moves = Moves(lies or FalseInputs(), delayed)
+    moves = Moves(false_inputs or FalseInputs(), delayed)
     has_late_answers = delayed > 0
     first = [canonical(state, has_late_answers) for state in initial_states(crashes, reading)]
-    came_from: dict[State, tuple[State, str] | None] = dict.fromkeys(first)
+    predecessors: dict[State, tuple[State, str] | None] = dict.fromkeys(first)
     queue = deque(first)
     while queue:
-        if most and len(came_from) > most:
-            return Outcome(len(came_from), complete=False)
+        if max_states and len(predecessors) > max_states:
+            return Outcome(len(predecessors), complete=False)
         state = queue.popleft()
         try:
-            for description, following in moves.after(state):
-                if following is None:
+            for description, next_state in moves.after(state):
+                if next_state is None:
                     continue
-                reached = canonical(following, has_late_answers)
-                if reached not in came_from:
-                    came_from[reached] = (state, description)
+                reached = canonical(next_state, has_late_answers)
+                if reached not in predecessors:
+                    predecessors[reached] = (state, description)
                     queue.append(reached)
         except RuleBrokenError as broken:
             return Outcome(
-                len(came_from), complete=False, rule=broken.rule, path=_path(came_from, state)
+                len(predecessors), complete=False, rule=broken.rule, path=_path(predecessors, state)
             )
-    return Outcome(len(came_from), complete=True)
+    return Outcome(len(predecessors), complete=True)
 
 
-def _path(came_from: dict[State, tuple[State, str] | None], state: State) -> tuple[str, ...]:
+def _path(predecessors: dict[State, tuple[State, str] | None], state: State) -> tuple[str, ...]:
     """Return the moves that lead to ``state``."""
     path: list[str] = []
-    link = came_from[state]
+    link = predecessors[state]
     while link is not None:
         previous, description = link
         path.append(description)
-        link = came_from[previous]
+        link = predecessors[previous]
     return tuple(reversed(path))
--- a/bench/model_follower_leases/state.py
+++ b/bench/model_follower_leases/state.py
@@ -1,7 +1,7 @@
-"""Controllers, messages and states of the small world, as hashable values.
+"""Controllers, messages and states of the model, as hashable values.
 
-An *instant* is a whole number of seconds relative to now: 0 is now, negative values are past.
-Instants before ``OLDEST`` are never told apart.
+An *instant* is a whole number of seconds relative to the present: 0 is now, negative values are in
+the past.  Instants before ``OLDEST`` are treated as equal to it.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from micadeal.clock import seconds
 from micadeal.leadership.follower_leases import RenewalTiming
 
-#: Durations of this world in seconds: a worker's lease, and the time after a confirmed
-#: cancellation by which the task must be gone.
-LEASE, CANCEL = 2, 5
+#: Durations of the model: a worker's lease, and the time within which a task must end after its
+#: cancellation was confirmed.
+LEASE_S, CANCEL_TIMEOUT_S = 2, 5
 TIMING = RenewalTiming(
-    lease_expiry=seconds(LEASE),
-    cancel_timeout=seconds(CANCEL),
+    lease_expiry=seconds(LEASE_S),
+    cancel_timeout=seconds(CANCEL_TIMEOUT_S),
     cluster_size=3,
     promise_duration=seconds(2),
     vote_duration=seconds(2),
@@ -29,41 +29,41 @@
 #: The fencing token of the only term.
 TOKEN = 1
 JOB_ID = "req-1"
-#: What the code under test takes for the present time.
+#: The present time of the code under test.
 NOW = seconds(1000)
-#: An instant that is older than anything that can still matter.
+#: An instant before all instants that decisions depend on.
 OLDEST = -9
-#: How a controller names its two peers, in the order of their numbers.
+#: The names of the two peers of a controller, in the order of their indices.
 PEER_NAMES = "12"
 
 Instant = int
-#: Number of an interned ``ControllerState``; cheap to hash and to compare.
+#: Id of an interned ``ControllerState``; cheap to hash and to compare.
 ControllerId = NewType("ControllerId", int)
 
 
 class PeerState(NamedTuple):
-    """What a controller knows of one peer: a ``PeerRenewalView`` with relative instants."""
+    """What a controller knows about one peer: a ``PeerRenewalView`` with relative instants."""
 
-    asked: Instant | None
-    speaks_since: Instant | None
-    quiet_until: Instant | None
-    born: Instant | None
-    consent: int
-    consent_until: Instant | None
-    bound_token: int
-    bound_until: Instant | None
-    synced_list_at: Instant | None
-    listed: Instant | None
+    asked_at: Instant | None
+    reports_since: Instant | None
+    promised_until: Instant | None
+    started_at: Instant | None
+    vote_token: int
+    vote_until: Instant | None
+    committed_token: int
+    committed_until: Instant | None
+    synced_list_asked_at: Instant | None
+    list_asked_at: Instant | None
 
 
 class ControllerState(NamedTuple):
     """A controller: its ``RenewalState``, its cancellation list and its views of the peers."""
 
-    born: Instant
+    started_at: Instant
     token: int
-    led: Instant | None
-    bound_token: int
-    bound_until: Instant | None
+    leader_contact_at: Instant | None
+    committed_token: int
+    committed_until: Instant | None
     #: The job is on its cancellation list.
     lists_job: bool
     peers: tuple[PeerState, PeerState]
@@ -74,32 +74,32 @@
 
     age: int
     synced: bool
-    consent: int
-    bound_token: int
-    bound: int
-    #: The answer came with a cancellation list that names the job.
+    vote_token: int
+    committed_token: int
+    committed_for: int
+    #: The answer includes a cancellation list with the job.
     lists_job: bool
 
 
 class LateAnswer(NamedTuple):
-    """An answer in flight."""
+    """A delayed answer to a ping, in flight."""
 
     asker: int
     peer: int
-    asked: Instant
-    #: The token of the term that the asker led when it asked, else 0.
+    asked_at: Instant
+    #: The token of the term that the asker led when it sent the ping; 0: it did not lead.
     leading_token: int
     promise: Promise
 
 
 class Records(IntEnum):
-    """What the leader has read of the stored records."""
+    """The progress of the leader's read of the stored records."""
 
     UNREAD = 0
-    #: Read by the service while the job was alive; the answer has not arrived.
+    #: The state service has read them while the job was alive; the response has not arrived yet.
     IN_FLIGHT = 1
     READ = 2
-    #: The leader takes the job for alive whatever its cancellation list says (a false input).
+    #: The leader treats the job as alive, even if its cancellation list has it (a false input).
     MISLEADING = 3
 
 
@@ -107,21 +107,21 @@
 
 
 class State(NamedTuple):
-    """The whole world at one moment."""
+    """The state of the whole model at one instant."""
 
     controllers: Controllers
     #: The leader still leads the term that it led at the start.
     leads: bool
     #: When the leader last answered the worker.
-    heard: Instant
-    #: Up to when the leader knows of every cancellation.
-    informed: Instant
-    #: When the last heartbeat that was answered, by whomever, was sent.
-    renewed: Instant
-    #: When a user was told that the job is cancelled.
-    confirmed: Instant | None
+    leader_answered_at: Instant
+    #: The instant up to which the leader has read every cancellation.
+    cancellations_read_until: Instant
+    #: When the last heartbeat was sent that any controller answered.
+    renewed_at: Instant
+    #: When the cancellation of the job was confirmed to a user.
+    confirmed_at: Instant | None
     records: Records
-    #: How many more crashes may happen.
+    #: Number of crashes that may still happen.
     crashes: int
     late_answers: tuple[LateAnswer, ...]
 
@@ -131,16 +131,16 @@
 
 
 def intern(controller: ControllerState) -> ControllerId:
-    """Return the number of this controller state, the same for equal states."""
-    known = _ids.get(controller)
-    if known is None:
-        known = _ids[controller] = ControllerId(len(_controllers))
+    """Return the id of this controller state; equal states have the same id."""
+    read_until = _ids.get(controller)
+    if read_until is None:
+        read_until = _ids[controller] = ControllerId(len(_controllers))
         _controllers.append(controller)
-    return known
+    return read_until
 
 
-def fields(controller: ControllerId) -> ControllerState:
-    """Return the controller state with this number."""
+def controller_state(controller: ControllerId) -> ControllerState:
+    """Return the controller state with this id."""
     return _controllers[controller]
 
 
