--- a/bench/model_reachability.py
+++ b/bench/model_reachability.py
@@ -1,17 +1,17 @@
-"""Model checker: one machine whose messages are late, lost, duplicated or deceptive.
+"""Model checker for one machine whose messages are delayed, lost, duplicated or misleading.
 
     python3 -m bench.model_reachability [--depth 8]
     python3 -m bench.model_reachability --guards
 
-The world has one worker, one task and one leader; the leader's view is the real ``ClusterState``.
-Between two steps of the clock any of these may happen: the worker sends a heartbeat; heartbeats are
+The model has one worker, one task and one leader, whose view is the real ``ClusterState``.  Between
+two steps of the clock, any of these may happen: the worker sends a heartbeat; heartbeats are
 delayed and duplicated; responses are lost; the leader probes the worker and the answer is delayed;
 the worker restarts; the task is placed and stopped.
 
-The rule: what runs on the worker is in the leader's cluster state.
+The rule: every attempt that runs on the worker is in the leader's cluster state.
 
-Paths are played from the start each time and told apart by the state that they lead to.  Each guard
-of the code, when disabled (``GUARDS``), must break the rule.
+Each path is played from the start; paths that lead to the same state are merged.  If a guard of the
+code is disabled (``GUARDS``), the rule must break.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
     """The result of a search."""
 
     states: int
-    #: The first path that breaks the rule; None: none does.
+    #: The first path that breaks the rule; None if none does.
     path: Path | None
 
 
 def explore(depth: int) -> Outcome:
-    """Visit all states that ``depth`` moves lead to, until the rule breaks."""
+    """Visit all states that are reachable in ``depth`` moves, until the rule breaks."""
     paths: list[Path] = [()]
     seen: set[tuple[Any, ...]] = set()
     for _ in range(depth + 1):
-        longer: list[Path] = []
+        next_paths: list[Path] = []
         for path in paths:
             world = World()
             for move in (*OPENING, *path):
@@ -56,8 +56,8 @@
             key = world.key()
             if key not in seen:
                 seen.add(key)
-                longer += [(*path, move) for move in world.moves()]
-        paths = longer
+                next_paths += [(*path, move) for move in world.moves()]
+        paths = next_paths
     return Outcome(len(seen), None)
 
 
@@ -81,7 +81,7 @@
     self.latest = now if self.latest is None else self.latest
 
 
-#: For each guard the class or module and the function whose replacement disables it.
+#: For each guard: the class or module, the function in it, and the replacement that disables it.
 GUARDS: dict[str, tuple[Any, str, Callable[..., Any]]] = {
     "a stale message changes nothing": (reconciliation, "_looks_older", _never_older),
     "only an answer to a probe proves a restart": (
@@ -101,24 +101,24 @@
 @contextmanager
 def without(guard: str) -> Iterator[None]:
     """Disable a guard."""
-    owner, name, instead = GUARDS[guard]
-    kept = getattr(owner, name)
-    setattr(owner, name, instead)
+    owner, name, replacement = GUARDS[guard]
+    original = getattr(owner, name)
+    setattr(owner, name, replacement)
     try:
         yield
     finally:
-        setattr(owner, name, kept)
+        setattr(owner, name, original)
 
 
 @contextmanager
 def small_margin() -> Iterator[None]:
-    """Lower the margin of a lease: the clock of this world moves in whole seconds."""
-    kept = clusters.LEASE_MARGIN
+    """Lower the lease margin: the clock of the model advances in whole seconds."""
+    original = clusters.LEASE_MARGIN
     clusters.LEASE_MARGIN = seconds(0.5)
     try:
         yield
     finally:
-        clusters.LEASE_MARGIN = kept
+        clusters.LEASE_MARGIN = original
 
 
 @click.command()
@@ -136,11 +136,11 @@
 
 
 def _show(name: str, depth: int) -> None:
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     states, path = explore(depth)
-    spent = time.perf_counter() - began
+    elapsed_s = time.perf_counter() - started_at
     result = "nothing broken" if path is None else " > ".join(move.value for move in path)
-    click.echo(f"{name}: {states:,} states in {spent:.0f} s: {result}")
+    click.echo(f"{name}: {states:,} states in {elapsed_s:.0f} s: {result}")
 
 
 if __name__ == "__main__":
--- a/bench/reachability_world.py
+++ b/bench/reachability_world.py
@@ -1,6 +1,6 @@
-"""The small world of the model of reachability: one worker, the network and the leader.
+"""The state and the moves of the reachability model: one worker, the network and the leader.
 
-The worker and the network are played; the leader's view is the real ``ClusterState``.
+The worker and the network are simulated; the leader's view is the real ``ClusterState``.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
     spread=False, spot_allowed=False, estimate_s=1.0, checkpoint_s=0.0, save_s=0.0,
 )  # fmt: skip
 TASK = f"{SUBMISSION.job_id}/0"
-#: Seconds of a path: enough for a lease to expire twice.
+#: Duration of a path: enough for a lease to expire twice.
 MAX_SECONDS = 7
-#: Processes of the worker in one path.
+#: Maximum number of processes of the worker in one path.
 MAX_PROCESSES = 2
 
 
 class Move(Enum):
-    """Something that may happen; the values are shown to users."""
+    """A move; the values are shown to users."""
 
     SECOND = "a second passes"
     SEND = "heartbeat sent"
@@ -52,7 +52,7 @@
     STOP = "task stopped"
 
 
-#: How each path begins: the worker has seen the token, and the leader knows that.
+#: The first moves of each path: the worker receives the token, and the leader learns that.
 OPENING = (Move.SEND, Move.ARRIVE, Move.RESPONSE, Move.SEND, Move.ARRIVE, Move.SECOND)
 
 Path = tuple[Move, ...]
@@ -66,15 +66,15 @@
 
 
 class ProbeAnswer(NamedTuple):
-    """An answer to a probe, in flight: when the leader asked, and the worker's status."""
+    """An answer to a probe, in flight: when the probe was sent, and the worker's status."""
 
-    asked: int
+    asked_at: int
     heartbeat: Heartbeat
 
 
 @dataclass
 class World:
-    """Plays one path.  Times are whole seconds."""
+    """The state of one path, changed by moves; times are whole seconds."""
 
     now: int = 0
     cluster: ClusterState = field(init=False)
@@ -85,12 +85,12 @@
     sequence: int = 0
     token: int = 0
     running: set[int] = field(default_factory=set)
-    #: From when the worker's lease counts.
-    renewed: int = 0
+    #: Start of the worker's current lease.
+    renewed_at: int = 0
     #: When the heartbeat that waits for its response was sent.
-    open_since: int | None = None
+    heartbeat_sent_at: int | None = None
     in_flight: Heartbeat | None = None
-    #: A heartbeat that was taken and may arrive again.
+    #: A heartbeat that has arrived and may arrive again.
     duplicate: Heartbeat | None = None
     response: Response | None = None
     probe_answer: ProbeAnswer | None = None
@@ -100,7 +100,7 @@
         self.job = Job(SUBMISSION, ZERO, 1)
         self.cluster.add_job(self.job)
 
-    # -- what may happen -------------------------------------------------------------------
+    # -- moves -----------------------------------------------------------------------------
 
     def moves(self) -> Iterator[Move]:
         """Yield all moves that are possible now."""
@@ -131,12 +131,12 @@
             yield Move.RESPONSE
 
     def play(self, move: Move) -> None:
-        """Let one possible move happen."""
+        """Execute one possible move."""
         _HANDLERS[move](self)
 
     @property
     def machine(self) -> Machine | None:
-        """The leader's view of the worker; None: it knows none."""
+        """The leader's view of the worker; None: it does not know the worker."""
         return self.cluster.machines.get(MACHINE)
 
     @property
@@ -146,12 +146,12 @@
 
     @property
     def broken(self) -> bool:
-        """Whether something runs on the worker that the leader's cluster state lacks."""
+        """Whether the worker runs an attempt that is not in the leader's cluster state."""
         known = {attempt.number for attempt in self.job.all_attempts()}
         return bool(self.running - known)
 
     def key(self) -> tuple[Any, ...]:
-        """Return everything that later moves can depend on."""
+        """Return all values that later moves can depend on."""
         response, answer = self.response, self.probe_answer
         return (
             self._machine_key(),
@@ -160,13 +160,13 @@
             self.incarnation,
             self.token,
             tuple(sorted(self.running)),
-            self.now - self.renewed,
-            self.open_since,
+            self.now - self.renewed_at,
+            self.heartbeat_sent_at,
             self._heartbeat_key(self.in_flight),
             self._heartbeat_key(self.duplicate),
             response and tuple((command.verb, command.attempt) for command in response.commands),
             response and response.incarnation,
-            answer and (answer.asked, self._heartbeat_key(answer.heartbeat)),
+            answer and (answer.asked_at, self._heartbeat_key(answer.heartbeat)),
         )
 
     def _machine_key(self) -> tuple[Any, ...]:
@@ -215,20 +215,20 @@
         )  # fmt: skip
 
     def _send(self) -> None:
-        """Send a heartbeat.  One is open at a time: the response to an earlier one is dropped."""
+        """Send a heartbeat.  One is pending at a time: a response to an earlier one is dropped."""
         self.response = None
-        self.open_since = self.now
+        self.heartbeat_sent_at = self.now
         self.in_flight = self._status()
 
-    def _take_response(self) -> None:
+    def _apply_response(self) -> None:
         assert self.response is not None
-        assert self.open_since is not None
+        assert self.heartbeat_sent_at is not None
         commands, incarnation = self.response
         self.response = None
         if incarnation != self.incarnation:
             return
         self.token = TOKEN
-        self.renewed = max(self.renewed, self.open_since)
+        self.renewed_at = max(self.renewed_at, self.heartbeat_sent_at)
         for command in commands:
             if command.verb is CommandKind.START:
                 self.running.add(command.attempt)
@@ -239,15 +239,15 @@
         self.process += 1
         self.incarnation, self.sequence, self.token = 1, 0, 0
         self.running.clear()
-        self.renewed = self.now
-        self.response = self.open_since = None
+        self.renewed_at = self.now
+        self.response = self.heartbeat_sent_at = None
 
-    def _second(self) -> None:
+    def _advance_second(self) -> None:
         self.now += 1
-        if self.now - self.renewed > LEASE_S:
+        if self.now - self.renewed_at > LEASE_S:
             self.running.clear()
             self.incarnation += 1
-            self.renewed = self.now
+            self.renewed_at = self.now
         machine_loss.expire_leases(self.cluster, self.at)
 
     # -- the network and the leader --------------------------------------------------------
@@ -258,14 +258,14 @@
         self.duplicate = heartbeat
         commands = self._commands_for(heartbeat)
         alive = heartbeat.incarnation == self.incarnation and heartbeat.sequence <= self.sequence
-        if self.open_since is not None and alive:
+        if self.heartbeat_sent_at is not None and alive:
             self.response = Response(commands, heartbeat.incarnation)
 
     def _arrive_keeping_duplicate(self) -> None:
-        """Let a heartbeat arrive; what may arrive again stays an earlier one."""
-        kept = self.duplicate
+        """Deliver a heartbeat, but keep an earlier one as the possible duplicate."""
+        earlier_duplicate = self.duplicate
         self._arrive()
-        self.duplicate = kept
+        self.duplicate = earlier_duplicate
 
     def _duplicate_arrives(self) -> None:
         assert self.duplicate is not None
@@ -284,11 +284,11 @@
             self.token = max(self.token, TOKEN)
             self.probe_answer = ProbeAnswer(self.now, self._status())
 
-    def _take_probe_answer(self) -> None:
+    def _apply_probe_answer(self) -> None:
         assert self.probe_answer is not None
-        (asked, heartbeat), self.probe_answer = self.probe_answer, None
+        (asked_at, heartbeat), self.probe_answer = self.probe_answer, None
         reconciliation.reconcile_heartbeat(
-            self.cluster, heartbeat, self.at, is_heartbeat=False, command_sent_at=seconds(asked)
+            self.cluster, heartbeat, self.at, is_heartbeat=False, command_sent_at=seconds(asked_at)
         )
 
     def _place(self) -> None:
@@ -304,14 +304,14 @@
 
 
 _HANDLERS: dict[Move, Callable[[World], None]] = {
-    Move.SECOND: World._second,
+    Move.SECOND: World._advance_second,
     Move.SEND: World._send,
     Move.ARRIVE: World._arrive,
     Move.ARRIVE_KEEPING_DUPLICATE: World._arrive_keeping_duplicate,
     Move.DUPLICATE: World._duplicate_arrives,
-    Move.RESPONSE: World._take_response,
+    Move.RESPONSE: World._apply_response,
     Move.PROBE: World._probe,
-    Move.PROBE_ANSWER: World._take_probe_answer,
+    Move.PROBE_ANSWER: World._apply_probe_answer,
     Move.RESTART: World._restart,
     Move.PLACE: World._place,
     Move.STOP: World._stop,
