--- a/bench/model_rollout/__main__.py
+++ b/bench/model_rollout/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the model of rolling upgrades."""
+"""Command line of the model checker for rolling upgrades."""
 
 from __future__ import annotations
 
@@ -22,10 +22,12 @@
         for guard in GUARDS:
             click.echo(f"{guard}: {broken_without(guard) or 'NOTHING BREAKS'}")
         return
-    began = time.monotonic()
+    started_at = time.monotonic()
     outcome = explore(start(ends, leases, writes, turns))
-    spent = time.monotonic() - began
-    click.echo(f"{outcome.states} states, {outcome.broken or 'nothing is broken'}, {spent:.0f} s")
+    elapsed_s = time.monotonic() - started_at
+    click.echo(
+        f"{outcome.states} states, {outcome.broken or 'nothing is broken'}, {elapsed_s:.0f} s"
+    )
 
 
 if __name__ == "__main__":
--- a/bench/model_rollout/explorer.py
+++ b/bench/model_rollout/explorer.py
@@ -1,4 +1,4 @@
-"""Initial states, and breadth-first search over all states that can be reached."""
+"""Initial states, and breadth-first search over all reachable states."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     Snapshot,
     State,
     Store,
-    name_of,
+    controller_name,
     process_of,
 )
 from micadeal.rollout import leader_lock as leader_locks
 from micadeal.schema.keys import LEADER, LEVEL, LOCK_HOLDER
 from micadeal.wire.state import Put
 
-#: Revision at which the first controller was elected.
-_ELECTED = 4
+#: Revision of the election of the first controller.
+_ELECTION_REVISION = 4
 _FIRST_LEASE = 1
 MAX_STATES = 50_000_000
 
@@ -33,7 +33,7 @@
     """The result of a search."""
 
     states: int
-    #: The rule that broke; None: none.
+    #: The broken rule; None if none broke.
     broken: str | None
 
 
@@ -47,27 +47,32 @@
 ) -> State:
     """Return the initial state: the first controller leads at ``level``.
 
-    ``third``: the kind of the third controller.  ``ends``, ``leases``, ``writes``, ``turns``: how
-    often processes end, leases expire, records are written and operators change the ceiling.
+    ``third``: the highest level that the third controller knows.  ``ends``, ``leases``, ``writes``
+    and ``turns`` are the numbers of restarts, lease expiries, records written and changes of the
+    ceiling.
     """
     controllers = tuple(
-        Controller(kind, index * PROCESSES_PER_CONTROLLER)
-        for index, kind in enumerate((2, 2, third))
+        Controller(highest_level, index * PROCESSES_PER_CONTROLLER)
+        for index, highest_level in enumerate((2, 2, third))
     )
     entries = _initial_store(controllers, level)
-    seen = Snapshot(entries, _ELECTED)
-    serving = [
-        controller if controller.kind is None else controller._replace(registered=True, seen=seen)
+    seen = Snapshot(entries, _ELECTION_REVISION)
+    registered_controllers = [
+        controller
+        if controller.highest_level is None
+        else controller._replace(registered=True, seen=seen)
         for controller in controllers
     ]
-    serving[0] = serving[0]._replace(token=_ELECTED, fence=_ELECTED)
+    registered_controllers[0] = registered_controllers[0]._replace(
+        token=_ELECTION_REVISION, fence=_ELECTION_REVISION
+    )
     return State(
-        revision=_ELECTED,
+        revision=_ELECTION_REVISION,
         store=entries,
-        controllers=tuple(serving),
+        controllers=tuple(registered_controllers),
         in_flight=frozenset(),
         ceiling=None,
-        last_token=_ELECTED,
+        last_token=_ELECTION_REVISION,
         last_lease=_FIRST_LEASE,
         ends=ends,
         expiries=leases,
@@ -81,42 +86,42 @@
     store = [
         _member(index, controller)
         for index, controller in enumerate(controllers)
-        if controller.kind is not None
+        if controller.highest_level is not None
     ]
-    leader = msgspec.json.encode({"controller": name_of(0), "lease": _FIRST_LEASE})
-    store.append(Entry(LEADER, leader, _ELECTED, None if level else _FIRST_LEASE))
+    leader = msgspec.json.encode({"controller": controller_name(0), "lease": _FIRST_LEASE})
+    store.append(Entry(LEADER, leader, _ELECTION_REVISION, None if level else _FIRST_LEASE))
     if level:
         record = msgspec.json.encode({"level": level, "writes": level, "oldest": level})
-        store.append(Entry(LOCK_HOLDER, leader, _ELECTED, _FIRST_LEASE))
-        store.append(Entry(LEVEL, record, _ELECTED, None))
+        store.append(Entry(LOCK_HOLDER, leader, _ELECTION_REVISION, _FIRST_LEASE))
+        store.append(Entry(LEVEL, record, _ELECTION_REVISION, None))
     return tuple(sorted(store))
 
 
 def _member(index: int, controller: Controller) -> Entry:
     """Return the member record of a controller's first process."""
     _, changes = leader_locks.registration(
-        leader_locks.read([], 0), name_of(index), process_of(controller), 0.0
+        leader_locks.read([], 0), controller_name(index), process_of(controller), 0.0
     )
     put = changes[0]
     assert isinstance(put, Put)
     return Entry(put.key, msgspec.json.encode(put.value), index + 1, None)
 
 
-def explore(first: State, most: int = MAX_STATES) -> Outcome:
-    """Visit all states, breadth first, until a rule breaks or ``most`` states are reached."""
+def explore(first: State, max_states: int = MAX_STATES) -> Outcome:
+    """Visit all states, breadth first, until a rule breaks or ``max_states`` are reached."""
     seen = {first}
     queue = deque([first])
     while queue:
         state = queue.popleft()
         try:
-            for following in moves(state):
-                if following is None or following in seen:
+            for next_state in moves(state):
+                if next_state is None or next_state in seen:
                     continue
-                check(following)
-                seen.add(following)
-                queue.append(following)
+                check(next_state)
+                seen.add(next_state)
+                queue.append(next_state)
         except RuleBrokenError as broken:
             return Outcome(len(seen), str(broken))
-        if len(seen) >= most:
+        if len(seen) >= max_states:
             break
     return Outcome(len(seen), None)
--- a/bench/model_rollout/guards.py
+++ b/bench/model_rollout/guards.py
@@ -1,6 +1,6 @@
-"""Guards of the code that can be disabled; each must then break a rule.
+"""Guards of the code that can be disabled; a rule must then break.
 
-A guard is disabled by replacing functions of ``micadeal.rollout`` by ones that lack it.
+A guard is disabled by replacing functions of ``micadeal.rollout`` with versions without it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from micadeal.schema.keys import LEADER
 from micadeal.wire.state import Put
 
-#: Without a guard the search gives up beyond so many states.
+#: Maximum number of states of a search without a guard.
 MAX_STATES_WITHOUT_GUARD = 500_000
 
 _level_change: Any = leader_locks.level_change
@@ -26,17 +26,21 @@
 _EMPTY_BACKLOG = migration.MigrationBacklog()
 
 
-def _level_change_unfenced(lock: LeaderLock, to: Any, *args: Any) -> Any:
-    """Change the level without writing ``leader`` again."""
-    conditions, changes = _level_change(lock, to, *args)
+def _level_change_unfenced(leader_lock: LeaderLock, record: Any, *args: Any) -> Any:
+    """Change the level without rewriting ``leader``."""
+    conditions, changes = _level_change(leader_lock, record, *args)
     return conditions, [
-        change for change in changes if change.key != LEADER or not lock.fenced or not to.level
+        change
+        for change in changes
+        if change.key != LEADER or not leader_lock.fenced or not record.level
     ]
 
 
-def _level_change_leased(lock: LeaderLock, to: Any, name: str, lease: int, *args: Any) -> Any:
+def _level_change_leased(
+    leader_lock: LeaderLock, record: Any, name: str, lease: int, *args: Any
+) -> Any:
     """Change the level and keep ``leader`` attached to the lease."""
-    conditions, changes = _level_change(lock, to, name, lease, *args)
+    conditions, changes = _level_change(leader_lock, record, name, lease, *args)
     return conditions, [
         Put(change.key, change.value, lease)
         if isinstance(change, Put) and change.key == LEADER
@@ -45,30 +49,30 @@
     ]
 
 
-def _level_change_alone(*args: Any) -> Any:
-    """Change the level whatever the member records are."""
+def _level_change_without_members(*args: Any) -> Any:
+    """Change the level without conditions on the member records."""
     return _level_change(*args[:-1], [])
 
 
-def _plan_without_absent_peers(record: Any, own: Any, observations: Any, *args: Any) -> Any:
-    """Plan as if the peers that have shown no process did not exist."""
-    shown = {name: seen for name, seen in observations.items() if seen.process}
-    return _plan(record, own, shown, *args)
+def _plan_without_unseen_peers(record: Any, own: Any, observations: Any, *args: Any) -> Any:
+    """Plan without the peers whose process has not been observed."""
+    seen_peers = {name: seen for name, seen in observations.items() if seen.process}
+    return _plan(record, own, seen_peers, *args)
 
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """The replacements that disable a guard, and the world in which that breaks a rule."""
+    """The replacements that disable a guard, and the model in which that breaks a rule."""
 
-    #: Names of functions and what replaces them.
+    #: Replacement of each function, by the function's qualified name.
     replacements: Mapping[str, Any]
-    #: Arguments of ``start``; what is missing never happens.
+    #: Arguments of ``start``; the default of each number is 0.
     world: Mapping[str, int]
 
 
 GUARDS: dict[str, Guard] = {
     "a raise depends on every member record": Guard(
-        {"micadeal.rollout.leader_lock.level_change": _level_change_alone},
+        {"micadeal.rollout.leader_lock.level_change": _level_change_without_members},
         {"ends": 1, "third": 2},
     ),
     "the process that was heard is the one recorded": Guard(
@@ -77,7 +81,7 @@
     ),
     "all others have shown the level, and are recorded with it": Guard(
         {
-            "micadeal.rollout.migration.plan": _plan_without_absent_peers,
+            "micadeal.rollout.migration.plan": _plan_without_unseen_peers,
             "micadeal.rollout.migration.objections_to_raise": lambda *_: (),
         },
         {"third": 1},
@@ -106,7 +110,7 @@
 
 
 def broken_without(guard: str) -> str | None:
-    """Return what breaks without the guard; None: nothing does."""
+    """Return the rule that breaks without the guard; None if none breaks."""
     disabled = GUARDS[guard]
     first = start(**{"ends": 0, "leases": 0, "writes": 0, **disabled.world})
     with ExitStack() as stack:
--- a/bench/model_rollout/rules.py
+++ b/bench/model_rollout/rules.py
@@ -1,13 +1,13 @@
-"""What must hold in every state."""
+"""Rules that must hold in every state of the model."""
 
 from __future__ import annotations
 
 from bench.model_rollout.state import (
-    DATA,
     PROCESSES_PER_CONTROLLER,
+    RECORD_PREFIX,
     Controller,
     State,
-    name_of,
+    controller_name,
     process_of,
     read_lock,
 )
@@ -20,28 +20,34 @@
 
 def check(state: State) -> None:
     """Raise ``RuleBrokenError`` if a rule does not hold in ``state``."""
-    lock = read_lock(state.store)
-    level = lock.level
-    has_holder = any(entry.lease is not None for entry in state.store)
+    leader_lock = read_lock(state.store)
+    level = leader_lock.level
+    is_lock_held = any(entry.lease is not None for entry in state.store)
     for controller in state.controllers:
-        leads = controller.token and controller.token == lock.token and has_holder
-        if leads and (controller.kind or 0) < level.level:
-            raise RuleBrokenError(f"one of kind {controller.kind} leads by level {level.level}")
-        if controller.kind is not None and _serves(controller) and controller.kind < level.level:
+        leads = controller.token and controller.token == leader_lock.token and is_lock_held
+        if leads and (controller.highest_level or 0) < level.level:
             raise RuleBrokenError(
-                f"one of kind {controller.kind} serves users by level {level.level}"
+                f"one of kind {controller.highest_level} leads by level {level.level}"
+            )
+        if (
+            controller.highest_level is not None
+            and _serves_users(controller)
+            and controller.highest_level < level.level
+        ):
+            raise RuleBrokenError(
+                f"one of kind {controller.highest_level} serves users by level {level.level}"
             )
     for entry in state.store:
-        if entry.key.startswith(DATA):
-            layout = int(entry.key.removeprefix(DATA))
+        if entry.key.startswith(RECORD_PREFIX):
+            layout = int(entry.key.removeprefix(RECORD_PREFIX))
             if not level.oldest <= layout <= level.level:
                 raise RuleBrokenError(f"a record of level {layout} under {level}")
 
 
-def _serves(controller: Controller) -> bool:
-    """Return whether a controller serves users by what it read last."""
+def _serves_users(controller: Controller) -> bool:
+    """Return whether a controller serves users according to its last read of the leader lock."""
     if controller.seen is None or not controller.registered:
         return False
-    lock = read_lock(controller.seen.entries)
-    name = name_of(controller.process // PROCESSES_PER_CONTROLLER)
-    return leader_locks.refusal(lock, name, process_of(controller)) is None
+    leader_lock = read_lock(controller.seen.entries)
+    name = controller_name(controller.process // PROCESSES_PER_CONTROLLER)
+    return leader_locks.refusal(leader_lock, name, process_of(controller)) is None
--- a/bench/model_rollout/state.py
+++ b/bench/model_rollout/state.py
@@ -1,4 +1,4 @@
-"""Controllers, transactions in flight and states of the small world, as hashable values."""
+"""Controllers, transactions in flight and states of the model, as hashable values."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from micadeal.schema.keys import LEADER, LEADER_LOCK_PREFIX
 from micadeal.wire.state import Item
 
-#: Versions of a process: the highest level that it knows; None: a version without feature levels.
-KINDS = (None, 1, 2)
-#: The first process of each controller has this number times the controller's index.
+#: The versions of a process, each by the highest level that it knows; None: one without levels.
+HIGHEST_LEVELS = (None, 1, 2)
+#: The first process of a controller has this number times the controller's index as its id.
 PROCESSES_PER_CONTROLLER = 10
-#: Prefix of the keys of records; the rest of the key is the level of the record's layout.
-DATA = "placed/"
+#: Prefix of the keys of records; the rest of a key is the level of the record's layout.
+RECORD_PREFIX = "placed/"
 CONTROLLER_COUNT = 3
 
 
@@ -29,7 +29,7 @@
     key: str
     value: bytes
     version: int
-    #: The lease that it is attached to.
+    #: The lease that the key is attached to; None: no lease.
     lease: int | None
 
 
@@ -37,37 +37,37 @@
 
 
 class Snapshot(NamedTuple):
-    """The entries of the leader lock as a controller read them."""
+    """The entries of the leader lock that a controller has read."""
 
     entries: Store
     revision: int
 
 
-class HeardProcess(NamedTuple):
-    """A peer's process as a leader heard it."""
+class ObservedProcess(NamedTuple):
+    """A peer's process as observed by a leader."""
 
     process: int
-    kind: int | None
+    highest_level: int | None
 
 
 #: Any process of a version without feature levels.
-HEARD_OLD_VERSION = HeardProcess(-1, None)
+OBSERVED_OLD_VERSION = ObservedProcess(-1, None)
 
 
 class Controller(NamedTuple):
-    """A controller and its present process."""
+    """A controller and its current process."""
 
-    kind: int | None
+    highest_level: int | None
     process: int
-    #: What it read last; None: nothing yet.
+    #: Its last read of the leader lock; None: it has read nothing yet.
     seen: Snapshot | None = None
-    #: It saw its own registration in force.
+    #: It has read a member record with its own process.
     registered: bool = False
     #: The token and the fence of the term that it leads; 0: it does not lead.
     token: int = 0
     fence: int = 0
-    #: The process of each other controller that it heard as leader.
-    heard: tuple[HeardProcess | None, ...] = (None,) * CONTROLLER_COUNT
+    #: The process of each other controller that it has observed as leader.
+    observed: tuple[ObservedProcess | None, ...] = (None,) * CONTROLLER_COUNT
 
 
 class KeyVersion(NamedTuple):
@@ -78,7 +78,7 @@
 
 
 class Change(NamedTuple):
-    """A change of a transaction; value None: the key is dropped."""
+    """A change of a transaction; value None: the key is deleted."""
 
     key: str
     value: bytes | None
@@ -92,15 +92,15 @@
     process: int
     conditions: tuple[KeyVersion, ...]
     changes: tuple[Change, ...]
-    #: It makes its controller the leader.
-    wins: bool
+    #: The transaction elects its controller as leader.
+    is_election: bool
 
 
 class State(NamedTuple):
-    """The whole world at one moment."""
+    """The state of the whole model at one instant."""
 
     revision: int
-    #: In order of keys.
+    #: Sorted by key.
     store: Store
     controllers: tuple[Controller, ...]
     in_flight: frozenset[InFlight]
@@ -109,14 +109,14 @@
     last_token: int
     #: The last lease that was opened.
     last_lease: int
-    # How often each of these may still happen.
+    # Remaining numbers of restarts, lease expiries, records written and changes of the ceiling.
     ends: int
     expiries: int
     writes: int
     turns: int
 
 
-def name_of(index: int) -> str:
+def controller_name(index: int) -> str:
     """Return the name of a controller."""
     return f"c{index}"
 
@@ -124,13 +124,13 @@
 @cache
 def process_of(controller: Controller) -> Process:
     """Return the process of a controller whose version knows feature levels."""
-    assert controller.kind is not None
-    return Process(str(controller.process), build_of(controller.kind))
+    assert controller.highest_level is not None
+    return Process(str(controller.process), build_of(controller.highest_level))
 
 
-def build_of(kind: int) -> Build:
+def build_of(highest_level: int) -> Build:
     """Return the build that knows the levels up to ``kind``."""
-    return Build(f"to {kind}", 0, kind)
+    return Build(f"to {highest_level}", 0, highest_level)
 
 
 def lock_entries(store: Store) -> Store:
--- a/bench/model_rollout/transactions.py
+++ b/bench/model_rollout/transactions.py
@@ -20,7 +20,7 @@
 )
 from micadeal.wire.state import Condition, Delete, Put
 
-#: Transactions that one controller may have in flight at once.
+#: Maximum number of transactions in flight of one controller.
 MAX_IN_FLIGHT = 2
 
 
@@ -29,15 +29,15 @@
     controller: Controller,
     conditions: list[Condition],
     changes: list[Put | Delete],
-    wins: bool = False,
+    is_election: bool = False,
 ) -> InFlight:
-    """Return a transaction of a controller; ``wins``: it makes the controller the leader."""
+    """Return a transaction of a controller; ``is_election``: it elects the controller as leader."""
     return InFlight(
         index,
         controller.process,
         tuple(KeyVersion(condition.key, condition.version) for condition in conditions),
         tuple(_encoded(change) for change in changes),
-        wins,
+        is_election,
     )
 
 
@@ -56,28 +56,28 @@
 
 
 def lose(state: State, sent: InFlight) -> State:
-    """Return the state after a transaction was lost."""
+    """Return the state after the loss of a transaction."""
     return state._replace(in_flight=state.in_flight - {sent})
 
 
 def apply(state: State, sent: InFlight) -> State:
     """Return the state after the state service executed a transaction.
 
-    Raises ``RuleBrokenError`` for a token that is not larger than all before it.
+    Raises ``RuleBrokenError`` if a fencing token is not larger than all earlier ones.
     """
     state = lose(state, sent)
     versions = {entry.key: entry.version for entry in state.store}
     if any(versions.get(key, 0) != version for key, version in sent.conditions):
         return state
     live_leases = {entry.lease for entry in state.store if entry.lease is not None}
-    if not sent.wins and any(
+    if not sent.is_election and any(
         change.lease not in live_leases for change in sent.changes if change.lease
     ):
         # The service answers 400: no such lease.
         return state
     revision = state.revision + 1
     state = state._replace(revision=revision, store=_changed(state.store, sent, revision))
-    return _elected(state, sent) if sent.wins else state
+    return _with_elected(state, sent) if sent.is_election else state
 
 
 def _changed(store: Store, sent: InFlight, revision: int) -> Store:
@@ -90,8 +90,8 @@
     return tuple(sorted(entries.values()))
 
 
-def _elected(state: State, sent: InFlight) -> State:
-    """Let the sender lead, if its process is still the same."""
+def _with_elected(state: State, sent: InFlight) -> State:
+    """Return the state in which the sender leads, if its process is still the same."""
     token = state.revision
     if token <= state.last_token:
         raise RuleBrokenError("a token is used again")
@@ -99,5 +99,5 @@
     controller = state.controllers[sent.controller]
     if controller.process != sent.process:
         return state
-    leader = controller._replace(token=token, fence=token, heard=(None,) * CONTROLLER_COUNT)
+    leader = controller._replace(token=token, fence=token, observed=(None,) * CONTROLLER_COUNT)
     return with_controller(state, sent.controller, leader)
