--- a/bench/model_follower_leases/__main__.py
+++ b/bench/model_follower_leases/__main__.py
@@ -27,7 +27,7 @@
 
 def _show(name: str, guard: Guard, max_states: int) -> None:
     started_at = time.perf_counter()
-    outcome = explore(guard.crashes, guard.delayed, guard.lies, max_states, guard.reading)
+    outcome = explore(guard.crashes, guard.delayed, guard.false_inputs, max_states, guard.reading)
     elapsed_s = time.perf_counter() - started_at
     result = outcome.rule or ("no rule broken" if outcome.complete else "given up")
     click.echo(f"{name}: {outcome.states} states, {elapsed_s:.1f} s, {result}")
--- a/bench/model_follower_leases/guards.py
+++ b/bench/model_follower_leases/guards.py
@@ -56,7 +56,7 @@
 class Guard:
     """False inputs that disable a guard, and the smallest model in which that breaks a rule."""
 
-    lies: FalseInputs
+    false_inputs: FalseInputs
     #: Number of crashes in one path.
     crashes: int = 0
     #: Maximum number of late answers in flight.
--- a/bench/model_reachability.py
+++ b/bench/model_reachability.py
@@ -99,7 +99,7 @@
 
 
 @contextmanager
-def without(guard: str) -> Iterator[None]:
+def guard_disabled(guard: str) -> Iterator[None]:
     """Disable a guard."""
     owner, name, replacement = GUARDS[guard]
     original = getattr(owner, name)
@@ -111,7 +111,7 @@
 
 
 @contextmanager
-def small_margin() -> Iterator[None]:
+def reduced_lease_margin() -> Iterator[None]:
     """Lower the lease margin: the clock of the model advances in whole seconds."""
     original = clusters.LEASE_MARGIN
     clusters.LEASE_MARGIN = seconds(0.5)
@@ -126,12 +126,12 @@
 @click.option("--guards", is_flag=True, help="Disable each guard: it must break the rule.")
 def main(depth: int, guards: bool) -> None:
     """Print the number of states, the time taken and the path that breaks the rule, if any."""
-    with small_margin():
+    with reduced_lease_margin():
         if not guards:
             _show("all guards", depth)
             return
         for guard in GUARDS:
-            with without(guard):
+            with guard_disabled(guard):
                 _show(guard, depth)
 
 
--- a/bench/model_rollout/__init__.py
+++ b/bench/model_rollout/__init__.py
@@ -35,7 +35,7 @@
 ================  ================================================================
 """
 
-from bench.model_rollout.explorer import Outcome, explore, start
+from bench.model_rollout.explorer import Outcome, explore, initial_state
 from bench.model_rollout.guards import GUARDS, broken_without
 
-__all__ = ["GUARDS", "Outcome", "broken_without", "explore", "start"]
+__all__ = ["GUARDS", "Outcome", "broken_without", "explore", "initial_state"]
--- a/bench/model_rollout/__main__.py
+++ b/bench/model_rollout/__main__.py
@@ -6,7 +6,7 @@
 
 import click
 
-from bench.model_rollout.explorer import explore, start
+from bench.model_rollout.explorer import explore, initial_state
 from bench.model_rollout.guards import GUARDS, broken_without
 
 
@@ -23,7 +23,7 @@
             click.echo(f"{guard}: {broken_without(guard) or 'NOTHING BREAKS'}")
         return
     started_at = time.monotonic()
-    outcome = explore(start(ends, leases, writes, turns))
+    outcome = explore(initial_state(ends, leases, writes, turns))
     elapsed_s = time.monotonic() - started_at
     click.echo(
         f"{outcome.states} states, {outcome.broken or 'nothing is broken'}, {elapsed_s:.0f} s"
--- a/bench/model_rollout/explorer.py
+++ b/bench/model_rollout/explorer.py
@@ -37,7 +37,7 @@
     broken: str | None
 
 
-def start(
+def initial_state(
     ends: int = 1,
     leases: int = 1,
     writes: int = 1,
--- a/bench/model_rollout/guards.py
+++ b/bench/model_rollout/guards.py
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest import mock
 
-from bench.model_rollout.explorer import explore, start
+from bench.model_rollout.explorer import explore, initial_state
 from micadeal.rollout import leader_lock as leader_locks
 from micadeal.rollout import migration
 from micadeal.rollout.leader_lock import LeaderLock
@@ -66,7 +66,7 @@
 
     #: Replacement of each function, by the function's qualified name.
     replacements: Mapping[str, Any]
-    #: Arguments of ``start``; the default of each number is 0.
+    #: Arguments of ``initial_state``; the default of each number is 0.
     world: Mapping[str, int]
 
 
@@ -112,7 +112,7 @@
 def broken_without(guard: str) -> str | None:
     """Return the rule that breaks without the guard; None if none breaks."""
     disabled = GUARDS[guard]
-    first = start(**{"ends": 0, "leases": 0, "writes": 0, **disabled.world})
+    first = initial_state(**{"ends": 0, "leases": 0, "writes": 0, **disabled.world})
     with ExitStack() as stack:
         for name, replacement in disabled.replacements.items():
             stack.enter_context(mock.patch(name, replacement))
--- a/bench/scale_site.py
+++ b/bench/scale_site.py
@@ -49,19 +49,19 @@
     missing = [name for name in REQUIRED if name not in site]
     if missing:
         raise InvalidSiteError(f"{path} is not a site file: it lacks {', '.join(missing)}")
-    if machines_of(site) < 1:
+    if machine_count(site) < 1:
         raise InvalidSiteError(f"{path} has no machines to scale")
     return site
 
 
-def machines_of(site: Site) -> int:
+def machine_count(site: Site) -> int:
     """Return the total number of machines in the cloud of a site."""
     return sum(entry.get("count", 0) + entry.get("spot", 0) for entry in site["capacity"])
 
 
 def scale_site(site: Site, machines: int, changes: Iterable[Change] = ()) -> Site:
     """Return a copy of ``site`` that is scaled to ``machines`` machines."""
-    factor = machines / machines_of(site)
+    factor = machines / machine_count(site)
     result: Site = {**site, "name": f"{site['name']}-{machines}"}
     result["capacity"] = _scale_capacity(site["capacity"], machines, factor)
     result["machines"] = [
--- a/tests/test_follower_lease_messages.py
+++ b/tests/test_follower_lease_messages.py
@@ -134,4 +134,4 @@
 @pytest.mark.parametrize("name", [name for name, guard in GUARDS.items() if not guard.large])
 def test_model_without_each_guard_breaks_a_rule(name: str) -> None:
     guard = GUARDS[name]
-    assert explore(guard.crashes, guard.delayed, guard.lies, 100_000, guard.reading).rule
+    assert explore(guard.crashes, guard.delayed, guard.false_inputs, 100_000, guard.reading).rule
--- a/tests/test_reachability_rules.py
+++ b/tests/test_reachability_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.model_reachability import GUARDS, explore, small_margin, without
+from bench.model_reachability import GUARDS, explore, guard_disabled, reduced_lease_margin
 from micadeal.clock import seconds
 from micadeal.fleet.reachability import MAX_EXCUSED_FAILURES, UNREACHABLE_AFTER, Reachability
 from tests.fakes.world import World, leader_of
@@ -42,11 +42,11 @@
 
 
 def test_model_of_one_worker_keeps_the_rule_and_breaks_it_without_each_guard() -> None:
-    with small_margin():
+    with reduced_lease_margin():
         _, course = explore(6)
         assert course is None
         for guard in GUARDS:
-            with without(guard):
+            with guard_disabled(guard):
                 _, course = explore(7)
                 assert course is not None, guard
 
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from bench.model_rollout import GUARDS, broken_without, explore, start
+from bench.model_rollout import GUARDS, broken_without, explore, initial_state
 from micadeal.clock import ZERO, seconds
 from micadeal.controller.feature_level_updater import FeatureLevelUpdater
 from micadeal.controller.feature_levels import FeatureLevels
@@ -195,7 +195,7 @@
     ids=str,
 )
 def test_model_has_no_execution_that_breaks_a_rule(world: dict[str, int]) -> None:
-    states, broken = explore(start(**world))
+    states, broken = explore(initial_state(**world))
     assert broken is None
     assert states > 30
 
--- a/tests/test_scale_site.py
+++ b/tests/test_scale_site.py
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 
-from bench.scale_site import ROOT, machines_of, main
+from bench.scale_site import ROOT, machine_count, main
 
 SITE = """
 name = "small"
@@ -70,7 +70,7 @@
     assert result.exit_code == 0, result.output
     written = tomllib.loads((out / "small-107.toml").read_text())
     assert result.output.strip() == str(out / "small-107.toml")
-    assert machines_of(written) == 107
+    assert machine_count(written) == 107
     assert [entry["count"] for entry in written["capacity"]] == [38, 37]
     assert written["machines"][0]["count"] == 21
     assert written["teams"] == [{"name": "red", "gpus": 43.0, "gpus_max": 86.0}]
