--- a/bench/model_rollout/__main__.py
+++ b/bench/model_rollout/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the model of rolling upgrades."""
+"""Command line of the model checker for rolling upgrades."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-from bench.model_rollout.explorer import explore, start
+from bench.model_rollout.explorer import explore, initial_state
 from bench.model_rollout.guards import GUARDS, broken_without
 
 
@@ -22,10 +22,12 @@
         for guard in GUARDS:
             click.echo(f"{guard}: {broken_without(guard) or 'NOTHING BREAKS'}")
         return
-    began = time.monotonic()
-    outcome = explore(start(ends, leases, writes, turns))
-    spent = time.monotonic() - began
-    click.echo(f"{outcome.states} states, {outcome.broken or 'nothing is broken'}, {spent:.0f} s")
+    started_at = time.monotonic()
+    outcome = explore(initial_state(ends, leases, writes, turns))
+    elapsed_s = time.monotonic() - started_at
+    click.echo(
+        f"{outcome.states} states, {outcome.broken or 'nothing is broken'}, {elapsed_s:.0f} s"
+    )
 
 
 if __name__ == "__main__":
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from micadeal.clock import DRIFT, ZERO, monotonic_at, seconds
+from micadeal.clock import MAX_CLOCK_DRIFT, ZERO, monotonic_at, seconds
 from micadeal.fleet.boot_times import BootTimes
 from micadeal.fleet.instance_offers import InstanceOffer
 from micadeal.fleet.machines import Attempt, Machine
@@ -52,7 +52,7 @@
 
 def lease_expiry(workers: Workers) -> timedelta:
     """Return how long a worker must be silent for its lease to have certainly expired."""
-    return workers.lease * (1 + 2 * DRIFT) + LEASE_MARGIN
+    return workers.lease * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_MARGIN
 
 
 class StaleTokenError(Exception):
@@ -87,7 +87,7 @@
     #: Jobs whose set of finished tasks must be written to the state service.
     jobs_with_unwritten_results: MutableSet[str] = field(default_factory=OrderedSet)
     #: Attempts that no record in the state service names yet, in order of placement.
-    unwritten: dict[Attempt, None] = field(default_factory=dict)
+    unwritten_placements: dict[Attempt, None] = field(default_factory=dict)
     #: Remaining attempts of each placement record in the state service, by its key.
     records: dict[str, OrderedSet[Attempt]] = field(default_factory=dict)
     #: Placement records that name removed attempts, with the time of the first removal.
@@ -107,9 +107,9 @@
     #: only while deferral is switched on; None otherwise.
     completed_run_times: list[tuple[str, float]] | None = None
     #: Jobs whose tasks had all started, according to the previous leader's last report.
-    all_started: frozenset[str] = frozenset()
+    fully_started_jobs: frozenset[str] = frozenset()
     #: Jobs that are over, of which users have not been notified yet.
-    unannounced_ends: list[str] = field(default_factory=list)
+    unreported_ends: list[str] = field(default_factory=list)
     #: Dependencies between jobs.
     dependencies: JobDependencies = field(init=False)
     _attempt_count: int = 0
@@ -141,10 +141,10 @@
         """
         self.dependencies.retry_end(job_id)
         job = self.jobs.get(job_id)
-        if job is None or job.over:
+        if job is None or job.ended:
             return
-        job.over = True
-        self.unannounced_ends.append(job_id)
+        job.ended = True
+        self.unreported_ends.append(job_id)
         self.dependencies.remove(job)
         self.changed = True
         for attempt in list(job.all_attempts()):
@@ -155,7 +155,7 @@
         """Apply the recorded end of a job: its tasks on machines only have to exit."""
         job = self.jobs.get(job_id)
         if job is not None and end.status is Status.DONE:
-            job.durable |= job.finished
+            job.recorded_finished |= job.finished
         self.job_record_removed(job_id, now)
         self.dependencies.record_end(
             job_id, JobEnd(end.status is Status.DONE, monotonic_at(end.ended_at, now))
@@ -170,7 +170,7 @@
         return job
 
     def _remove_if_gone(self, job: Job) -> None:
-        if job.over and not job.attempts and self.jobs.pop(job.id, None) is not None:
+        if job.ended and not job.attempts and self.jobs.pop(job.id, None) is not None:
             log.debug("ended job removed from memory: job=%s", job.id)
 
     # -- attempts --------------------------------------------------------------------------
@@ -198,11 +198,11 @@
         machine.free_capacity = None
         job.add(attempt)
         if attempt.record is None:
-            self.unwritten[attempt] = None
+            self.unwritten_placements[attempt] = None
         else:
             self.records[attempt.record].add(attempt)
 
-    def release(self, attempt: Attempt, now: timedelta) -> None:
+    def remove_attempt(self, attempt: Attempt, now: timedelta) -> None:
         """Remove an attempt that is certainly not on its machine and can't be started there."""
         machine = self.machines.get(attempt.machine)
         if machine is not None:
@@ -210,7 +210,7 @@
             machine.free_capacity = None
             if not machine.attempts:
                 machine.idle_since = now
-        self.unwritten.pop(attempt, None)
+        self.unwritten_placements.pop(attempt, None)
         if attempt.record is not None:
             self.records[attempt.record].discard(attempt)
             self.stale_records.setdefault(attempt.record, now)
@@ -222,18 +222,18 @@
 
     def stop(self, attempt: Attempt, grace: timedelta, now: timedelta) -> None:
         """Request the stop of an attempt; of two grace periods the shorter one applies."""
-        if attempt.stop is not None and attempt.stop <= grace:
+        if attempt.stop_grace is not None and attempt.stop_grace <= grace:
             return
-        attempt.stop = grace
+        attempt.stop_grace = grace
         if attempt.stop_since is None:
             attempt.stop_since = now
         if (
             attempt.state is None
-            and attempt.ordered is None
+            and attempt.start_sent_in is None
             and self.placed_by_this_leader(attempt)
         ):
             # Its start command was never sent, so there is nothing to stop.
-            self.release(attempt, now)
+            self.remove_attempt(attempt, now)
             return
         self.pending_direct_commands.add(attempt.machine)
 
@@ -251,7 +251,7 @@
         for attempt in attempts:
             machine = self.machines.get(attempt.machine)
             if machine is None or machine.attempts.get(attempt.key) is not attempt:
-                # Released while the record was being written.
+                # Removed while the record was being written.
                 self.stale_records.setdefault(key, now)
                 continue
             if attempt.record is not None and attempt.record != key:
@@ -259,26 +259,26 @@
                 self.stale_records.setdefault(attempt.record, now)
             attempt.record = key
             remaining.add(attempt)
-            self.unwritten.pop(attempt, None)
+            self.unwritten_placements.pop(attempt, None)
 
     def placement_record_missing(self, key: str) -> None:
         """Note that the state service holds no such record: its attempts are written again."""
         self.stale_records.pop(key, None)
         for attempt in self.records.pop(key, OrderedSet()):
             attempt.record = None
-            self.unwritten[attempt] = None
+            self.unwritten_placements[attempt] = None
 
     # -- queries ---------------------------------------------------------------------------
 
     def has_remaining_tasks(self, job_id: str) -> bool:
         """Tell whether a task of the job may be on a machine, or may still be started."""
         job = self.jobs.get(job_id)
-        return job is not None and (not job.over or bool(job.attempts))
+        return job is not None and (not job.ended or bool(job.attempts))
 
     def may_start(self, job_id: str) -> bool:
         """Tell whether a task of a cancelled job may still start."""
         job = self.jobs.get(job_id)
-        return job is not None and (not job.over or job.may_start)
+        return job is not None and (not job.ended or job.may_start)
 
     def usage(self) -> dict[str, tuple[float, float]]:
         """Return the (CPUs, GPUs) by team of everything that may be on a machine."""
@@ -309,7 +309,7 @@
 
     def live_jobs(self) -> Iterator[Job]:
         """Yield the jobs that are neither done nor cancelled."""
-        return (job for job in self.jobs.values() if not job.over)
+        return (job for job in self.jobs.values() if not job.ended)
 
 
 def placeholder_job(
@@ -323,4 +323,4 @@
         job_id, "", team, Shape.ARRAY, Priority.LOW, 0, cpus, gpus, memory_gb, "", 0.0,
         False, False, False, 0.0, 0.0, 0.0,
     )  # fmt: skip
-    return Job(spec, ZERO, 0, over=True)
+    return Job(spec, ZERO, 0, ended=True)
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -18,8 +18,8 @@
 from micadeal.placement.machine_capacity import (
     MachineCapacity,
     RequestKey,
-    allowed,
     fits_into,
+    placement_allowed,
     request_key,
 )
 from micadeal.scheduling.cluster_state import ClusterState
@@ -52,14 +52,14 @@
         delay = self._delay(spec, capacity)
         if delay < self._cluster.workers.heartbeat_interval * MIN_DELAY_HEARTBEATS:
             return False
-        if job.declined_since is not None and self._now - job.declined_since >= delay:
+        if job.delayed_since is not None and self._now - job.delayed_since >= delay:
             return False
         already_waiting = self._delayed_tasks.get(spec.image, 0)
         if self._end_rate(spec) * delay.total_seconds() < already_waiting + tasks:
             return False
         self._delayed_tasks[spec.image] = already_waiting + tasks
-        if job.declined_since is None:
-            job.declined_since = self._now
+        if job.delayed_since is None:
+            job.delayed_since = self._now
         return True
 
     def _delay(self, spec: Submission, capacity: MachineCapacity) -> timedelta:
@@ -87,7 +87,9 @@
         """Yield the estimates of running tasks whose end leaves capacity for such a task."""
         for machine in self._machines_caching(spec.image):
             free = machine.free_capacity
-            if free is None or not allowed(spec, machine.machine_type, machine.zone, machine.spot):
+            if free is None or not placement_allowed(
+                spec, machine.machine_type, machine.zone, machine.spot
+            ):
                 continue
             for attempt in machine.attempts.values():
                 job = self._cluster.jobs[attempt.job_id]
--- a/micadeal/scheduling/explanations.py
+++ b/micadeal/scheduling/explanations.py
@@ -16,7 +16,7 @@
 from micadeal.scheduling.job_reasons import job_reasons
 from micadeal.scheduling.scale_in import ReturnReason
 from micadeal.scheduling.scheduler import Scheduler
-from micadeal.sharing.shares import booked
+from micadeal.sharing.shares import resource_amount
 from micadeal.wire.peers import MachineLine, Overview, StuckJob, TeamLine, WhyAnswer, WhyLine
 
 #: A job without started tasks is stuck after waiting this long.
@@ -33,7 +33,7 @@
 def why(scheduler: Scheduler, job_id: str, now: timedelta) -> WhyAnswer | None:
     """Return why tasks of a job are pending; None if the leader has no live job of this id."""
     job = scheduler.cluster.jobs.get(job_id)
-    if job is None or job.over:
+    if job is None or job.ended:
         return None
     running = job.running_count()
     return WhyAnswer(
@@ -44,7 +44,7 @@
         running,
         len(job.attempts) - running,
         job.unassigned_count(),
-        max((now - job.submitted).total_seconds(), 0.0),
+        max((now - job.submitted_at).total_seconds(), 0.0),
         [WhyLine(reason.text, reason.tasks) for reason in job_reasons(scheduler, job, now)],
     )
 
@@ -86,8 +86,8 @@
                 for job in cluster.live_jobs()
                 if job.spec.team == name and job.resource == resource and not job.blocked
             ]
-            used = booked(usage[name], resource)
-            if not jobs and not state.minimum and not used:
+            used = resource_amount(usage[name], resource)
+            if not jobs and not state.guarantee and not used:
                 continue
             running = sum(1 for job in jobs if job.attempts)
             lines.append(
@@ -95,7 +95,7 @@
                     name,
                     resource,
                     used,
-                    state.minimum,
+                    state.guarantee,
                     cluster.teams[name].limit(resource) or 0.0,
                     state.share,
                     state.demand,
@@ -118,12 +118,12 @@
     """Return all stuck jobs, sorted by waiting time, longest first."""
     stuck: list[_StuckEntry] = []
     for job in scheduler.cluster.live_jobs():
-        waited = now - max(job.ready, job.last_progress)
+        waited = now - max(job.ready_at, job.last_progress)
         fails_often = sum(job.errors.values()) > STUCK_FAILURES
         if not fails_often and (waited < STUCK_AFTER or job.attempts or not job.waiting_count()):
             continue
         # A deferred job is pending on purpose; ``why`` states until when.
-        if scheduler.deferral is None or scheduler.deferral.held(job, now) is None:
+        if scheduler.deferral is None or scheduler.deferral.active_hold(job, now) is None:
             stuck.append(_StuckEntry(waited, job))
     stuck.sort(key=lambda entry: (-entry.waited, entry.job.id))
     return stuck
@@ -162,7 +162,7 @@
     timeout = cluster.workers.heartbeat_interval * UNRESPONSIVE_AFTER_INTERVALS
     if machine.draining or machine.reclaim_expected_at is not None:
         line.draining += 1
-    elif machine.heard is None or now - machine.heard > timeout:
+    elif machine.last_heartbeat_at is None or now - machine.last_heartbeat_at > timeout:
         line.unresponsive += 1
     else:
         line.up += 1
@@ -198,7 +198,7 @@
         return "failed tasks of several jobs and are being emptied"
     if machine.reclaim_expected_at is not None:
         return "about to be taken by the cloud"
-    if machine.reachability.receives_nothing:
+    if machine.reachability.receives_no_responses:
         return "report, but don't hear us, and get nothing new"
     kind = cluster.types.get(machine.machine_type)
     if machine.up or kind is None:
--- a/micadeal/scheduling/reconciliation.py
+++ b/micadeal/scheduling/reconciliation.py
@@ -48,7 +48,7 @@
     if machine is None:
         machine = _add_unknown_machine(cluster, heartbeat, now)
     reachability = machine.reachability
-    if reachability.restarted or _looks_older(machine, heartbeat):
+    if reachability.restarted or _is_stale(machine, heartbeat):
         _handle_old_message(cluster, machine, heartbeat, now, is_heartbeat, command_sent_at)
         return None
     if machine.lease_expired and heartbeat.incarnation == machine.incarnation:
@@ -66,7 +66,7 @@
     if is_heartbeat:
         _record_heartbeat(cluster, machine, now)
     _update_reclaim_notice(cluster, machine, heartbeat, now)
-    if reachability.receives_nothing:
+    if reachability.receives_no_responses:
         withdraw_unconfirmed_starts(cluster, machine, now)
     reconcile_tasks(cluster, machine, heartbeat, now, is_heartbeat)
     return machine
@@ -88,7 +88,7 @@
     return machine
 
 
-def _looks_older(machine: Machine, heartbeat: Heartbeat) -> bool:
+def _is_stale(machine: Machine, heartbeat: Heartbeat) -> bool:
     """Tell whether a message looks older than one already applied.
 
     Within one worker process, incarnation, sequence and token never decrease.
@@ -109,7 +109,7 @@
     """Handle a message that looks old: delayed, duplicated, or sent by a restarted worker.
 
     Its list of tasks may be out of date.  Unless it proves a restart, the message renews no lease
-    and neither releases nor adds attempts.
+    and neither removes nor adds attempts.
     """
     reachability = machine.reachability
     if reachability.proves_restart(command_sent_at):
@@ -124,9 +124,11 @@
     If newer messages arrived recently, this one is a late copy.  Many late copies are no reason to
     probe hundreds of machines.
     """
-    latest = machine.reachability.latest
+    last_message_at = machine.reachability.last_message_at
     overdue = cluster.workers.heartbeat_interval * PROBE_AFTER_INTERVALS
-    return (latest is None or now - latest > overdue) and machine.reachability.may_probe(now)
+    return (
+        last_message_at is None or now - last_message_at > overdue
+    ) and machine.reachability.may_probe(now)
 
 
 def _handle_worker_restart(
@@ -169,14 +171,14 @@
         machine.exited.clear()
     machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
     machine.address = heartbeat.address
-    had_token = machine.has_our_token
-    machine.has_our_token = heartbeat.token == cluster.token
-    if machine.has_our_token and not had_token:
+    had_token = machine.has_current_token
+    machine.has_current_token = heartbeat.token == cluster.token
+    if machine.has_current_token and not had_token:
         cluster.changed = True
 
 
 def _record_heartbeat(cluster: ClusterState, machine: Machine, now: timedelta) -> None:
-    machine.heard = now
+    machine.last_heartbeat_at = now
     if machine.lease_expired:
         machine.lease_expired = False
         cluster.changed = True
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -39,7 +39,7 @@
     now: timedelta,
     is_heartbeat: bool,
 ) -> None:
-    """Apply the tasks that a message shows, and release attempts that it proves to be gone.
+    """Apply the tasks that a message shows, and remove attempts that it proves to be gone.
 
     ``is_heartbeat`` is False for an answer to a command, which proves less.
     """
@@ -64,7 +64,7 @@
     for attempt in [a for key, a in machine.attempts.items() if key not in shown]:
         if _is_certainly_gone(cluster, attempt, machine, is_heartbeat):
             if attempt.state is None:
-                cluster.release(attempt, now)
+                cluster.remove_attempt(attempt, now)
             else:
                 lose_attempt(cluster, machine, attempt, now)
 
@@ -88,17 +88,18 @@
         # Only a response of an earlier leader can start it.  The worker drops such responses once
         # it has seen this leader's token; until then a delayed heartbeat proves nothing.
         # Guards ``ran_twice``: with two leaders, one delayed heartbeat would break it.
-        return machine.has_our_token
-    if attempt.ordered is None:
+        return machine.has_current_token
+    if attempt.start_sent_in is None:
         return False
     if not is_heartbeat:
         # The worker may answer a command while the response with the start is in transit.
         return False
-    # The worker has one heartbeat in flight at a time.  It sent a heartbeat newer than ``ordered``
-    # after it had processed or given up on the response with the start, and that heartbeat does not
-    # show the task.  An attempt that is not to be stopped stays: its start command is sent again.
+    # The worker has one heartbeat in flight at a time.  It sent a heartbeat newer than
+    # ``start_sent_in`` after it had processed or given up on the response with the start, and that
+    # heartbeat does not show the task.  An attempt that is not to be stopped stays: its start
+    # command is sent again.
     latest = (machine.incarnation, machine.sequence)
-    return attempt.stop is not None and attempt.ordered < latest
+    return attempt.stop_grace is not None and attempt.start_sent_in < latest
 
 
 def _update_task_state(
@@ -125,10 +126,10 @@
         # Otherwise a replica lost later would not be replaced while another one runs.
         job.errors.clear()
         job.retry_at = timedelta.min
-    if not job.over:
+    if not job.ended:
         machine.images[job.spec.image] = now
-    if unknown and (job.over or len(job.attempts[index]) > 1 or index in job.finished):
-        # Must follow the update of its state: ``stop`` immediately releases an attempt without a
+    if unknown and (job.ended or len(job.attempts[index]) > 1 or index in job.finished):
+        # Must follow the update of its state: ``stop`` immediately removes an attempt without a
         # state, as one that was never started.
         cluster.stop(attempt, ZERO, now)
 
@@ -142,8 +143,8 @@
         attempt.index,
         job.spec.job_class,
         machine.name,
-        (now - job.ready).total_seconds(),
-        (now - attempt.placed).total_seconds(),
+        (now - job.ready_at).total_seconds(),
+        (now - attempt.placed_at).total_seconds(),
     )
 
 
@@ -164,7 +165,7 @@
     if already_reported and attempt is None:
         return
     job = cluster.jobs.get(job_id)
-    if job is not None and not job.over:
+    if job is not None and not job.ended:
         if done:
             _collect_run_time(cluster, job, attempt, now)
             _finish_task(cluster, job, index, machine, now)
@@ -173,7 +174,7 @@
     if attempt is not None:
         if not done:
             stop_gang_members(cluster, attempt, now)
-        cluster.release(attempt, now)
+        cluster.remove_attempt(attempt, now)
 
 
 def _collect_run_time(
--- a/micadeal/scheduling/status_counts.py
+++ b/micadeal/scheduling/status_counts.py
@@ -55,7 +55,7 @@
     for job in cluster.live_jobs():
         if job.blocked:
             states["blocked"] += 1
-        elif deferral is not None and deferral.held(job, now) is not None:
+        elif deferral is not None and deferral.active_hold(job, now) is not None:
             states["held"] += 1
         elif job.running_count():
             states["running"] += 1
@@ -90,7 +90,7 @@
         """Log how soon after the failover machines sent heartbeats; until then they get no work."""
         machines = self._cluster.machines.values()
         known = [machine for machine in machines if machine.attempts or machine.up]
-        reporting = sum(1 for machine in known if machine.heard is not None)
+        reporting = sum(1 for machine in known if machine.last_heartbeat_at is not None)
         while self._pending_shares and known and reporting >= self._pending_shares[0] * len(known):
             share = self._pending_shares.pop(0)
             log.info(
--- a/micadeal/scheduling/team_shares.py
+++ b/micadeal/scheduling/team_shares.py
@@ -11,7 +11,7 @@
 from micadeal.scheduling.cycle_data import CycleInputs
 from micadeal.scheduling.pending_reasons import BACKING_OFF, GANG_ATTEMPT_ENDING, RUNNING_JOBS_LIMIT
 from micadeal.scheduling.plan import TeamState
-from micadeal.sharing.shares import Claim, booked, fair_shares
+from micadeal.sharing.shares import Claim, fair_shares, resource_amount
 
 
 def runnable_jobs(inputs: CycleInputs) -> list[Job]:
@@ -53,7 +53,9 @@
     deferral = inputs.deferral
     if deferral is None:
         return list(inputs.cluster.live_jobs())
-    return [job for job in inputs.cluster.live_jobs() if deferral.held(job, inputs.now) is None]
+    return [
+        job for job in inputs.cluster.live_jobs() if deferral.active_hold(job, inputs.now) is None
+    ]
 
 
 def _queue_order(inputs: CycleInputs, job: Job) -> tuple[int, timedelta, str]:
@@ -77,7 +79,7 @@
     teams, policy = inputs.cluster.teams, inputs.policy
     states: dict[str, TeamState] = {}
     for name, team in teams.items():
-        used = booked(bookings.usage[name], resource)
+        used = resource_amount(bookings.usage[name], resource)
         states[name] = TeamState(team.guarantee(resource), policy.team(name).weight, used, used)
     for job in jobs:
         states[job.spec.team].demand += bookings.waiting(job) * job.units
@@ -85,7 +87,7 @@
         limit = teams[name].limit(resource)
         if limit is not None:
             state.demand = min(state.demand, limit)
-    claims = [Claim(state.demand, state.weight, state.minimum) for state in states.values()]
+    claims = [Claim(state.demand, state.weight, state.guarantee) for state in states.values()]
     shares = fair_shares(claims, _shared_amount(resource, states, inputs, pool))
     for state, share in zip(states.values(), shares, strict=True):
         state.share = share
--- a/micadeal/scheduling/warm_capacity.py
+++ b/micadeal/scheduling/warm_capacity.py
@@ -6,7 +6,7 @@
 from heapq import heapify, heappop, heappush
 
 from micadeal.placement.bin_packing import Rank, ZoneRule, is_economical, rank
-from micadeal.placement.machine_capacity import MachineCapacity, allowed
+from micadeal.placement.machine_capacity import MachineCapacity, placement_allowed
 from micadeal.scheduling.capacity_pool import CapacityPool
 from micadeal.scheduling.plan import ExpectedWork, Plan
 from micadeal.scheduling.scale_out import ScaleOut
@@ -28,7 +28,7 @@
         (_warm_rank(work, capacity), capacity.order, capacity)
         for capacity in pool.capacities
         if capacity.fits(spec)
-        and allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
+        and placement_allowed(spec, capacity.machine_type, capacity.zone, capacity.spot)
         and is_economical(spec, capacity, spot_scarce=False)
     ]
     heapify(heap)
@@ -56,7 +56,7 @@
     caches more of the job class's images ranks better, since a fetch takes longer than such work
     may wait.
     """
-    shared = capacity.up and (capacity.bound_tasks > 0 or work.spec.spot_allowed)
+    shared = capacity.up and (capacity.on_demand_tasks > 0 or work.spec.spot_allowed)
     images = len(capacity.images & work.images) if capacity.up else 0
     return (
         0 if shared else 1,
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -115,7 +115,7 @@
         )
         return name
 
-    def take(self, name: str) -> None:
+    def remove_machine(self, name: str) -> None:
         """Remove a machine immediately: the cloud reclaims a spot machine, or a machine fails."""
         self.machines.pop(name, None)
         self._kill(name)
@@ -130,7 +130,7 @@
                     machine = self.machines[name]
                     self.capacity[machine.zone, machine.spot] += 1
                     self.releases.append(name)
-                    self.take(name)
+                    self.remove_machine(name)
             return answer(200, {})
         if request.method == "POST":
             return await self._rent(decode(dict, request.body))
--- a/tests/fakes/decision_world.py
+++ b/tests/fakes/decision_world.py
@@ -25,7 +25,7 @@
 from micadeal.scheduling import reconciliation, worker_commands
 from micadeal.scheduling.cluster_state import ClusterState
 from micadeal.scheduling.scheduler import Scheduler
-from micadeal.schema.decoding import read
+from micadeal.schema.decoding import decode_items
 from micadeal.schema.job_listing import JobListing
 from micadeal.state.limits import Limits
 from micadeal.wire.cloud import ListedMachine, MachineType, RentalRequest
@@ -157,7 +157,7 @@
             )
             for w in self.workers.values()
         ]  # fmt: skip
-        self.scheduler.on_list(listed, self.now)
+        self.scheduler.apply_machine_list(listed, self.now)
 
     def submit(self, job_id: str, **fields: Any) -> str:
         """Submit a job through another controller; return its id."""
@@ -189,7 +189,7 @@
         self.reserved = {}
         self._begin_term(self.now)
         items = self.state.items_with_prefix
-        placed = read(items("placed/"), PlacedRecord)
+        placed = decode_items(items("placed/"), PlacedRecord)
         placed_jobs = {task.job_id for loaded in placed if loaded.record is not None
                        for entry in loaded.record.machines for task in entry.tasks}  # fmt: skip
         ended = {
@@ -197,10 +197,10 @@
             for job_id in sorted(placed_jobs)
             if f"end/{job_id}" in self.state.items
         }
-        finished = read(items("done/") + items("finished/"), FinishedRecord)
+        finished = decode_items(items("done/") + items("finished/"), FinishedRecord)
         images, draining = (
-            read(items("images/"), ImagesRecord),
-            read(items("leaving/"), ReturnedMachinesRecord),
+            decode_items(items("images/"), ImagesRecord),
+            decode_items(items("leaving/"), ReturnedMachinesRecord),
         )
         message = StateLoaded(
             JobListing(items("job/"), self.state.revision),
@@ -259,13 +259,13 @@
         if returns:
             for name in returns:
                 self.workers.pop(name, None)
-            self.scheduler.released(returns, self.now)
+            self.scheduler.return_confirmed(returns, self.now)
 
     def _run_cycle(self) -> None:
         """Run a scheduling cycle and trace its decisions."""
         self.scheduler.run_cycle(self.now)
         plan = self.scheduler.plan
-        for preemptor, victim in plan.kills:
+        for preemptor, victim in plan.preemptions:
             machines = sorted({entry[0] for entry in victim.freed})
             self._trace("killed", preemptor, victim.job_id, victim.index, machines)
         for task in plan.placed:
@@ -315,12 +315,12 @@
 
     def _ask_cloud(self) -> None:
         """Send new requests for rentals and returns; they are answered in the next step."""
-        for request in self.scheduler.rentals.values():
+        for request in self.scheduler.pending_rental_requests.values():
             if request not in self._rentals:
                 self._rentals.append(request)
                 self._trace("rented", wire(request))
-        if self.scheduler.releases and not self._returns:
-            self._returns = sorted(self.scheduler.releases)[:100]
+        if self.scheduler.pending_returns and not self._returns:
+            self._returns = sorted(self.scheduler.pending_returns)[:100]
             self._trace("returned", self._returns)
 
     def _rent(self, request: RentalRequest) -> None:
@@ -336,7 +336,7 @@
             return
         boot_s = (BOX if fields["rig"] == "box" else SLAB)["boot_s"]
         names = [self.add_machine(*offer, after=boot_s + i % 3) for i in range(granted)]
-        self.scheduler.rented(request, names, self.now)
+        self.scheduler.rental_granted(request, names, self.now)
 
     # -- workers ---------------------------------------------------------------------------
 
@@ -345,7 +345,9 @@
         if worker.unreachable or self.time < worker.up_at:
             return
         heartbeat = worker.heartbeat(self.time)
-        commands = self.scheduler.on_heartbeat(heartbeat, self.now, is_heartbeat=True, full=True)
+        commands = self.scheduler.on_heartbeat(
+            heartbeat, self.now, is_heartbeat=True, full_authority=True
+        )
         if commands:
             self._trace("ordered", worker.name, [wire(command) for command in commands])
         if commands is None or worker.receives_nothing:
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -40,7 +40,7 @@
         self,
         seed: int = 1,
         teams: str = TEAMS,
-        announced: str = "",
+        announced_limits: str = "",
         renew_leases_as_follower: bool = True,
         changes_per_s: float | None = None,
         **cloud: Any,
@@ -48,15 +48,15 @@
         """Prepare a deployment without starting anything.
 
         ``changes_per_s`` is the write rate that the state service enforces.  With None it enforces
-        no rate, and controllers keep to ``CHANGES_PER_S``.  ``announced`` holds the limits that the
-        state service announces, as TOML.  ``cloud`` is passed on to ``FakeCloud``.
+        no rate, and controllers keep to ``CHANGES_PER_S``.  ``announced_limits`` holds the limits
+        that the state service announces, as TOML.  ``cloud`` is passed on to ``FakeCloud``.
         """
         self.renew_leases_as_follower = renew_leases_as_follower
         self.network = FakeNetwork(seed)
         self.state = FakeState()
         self.state.changes_per_s = changes_per_s
         self.teams = teams
-        self.announced = announced
+        self.announced_limits = announced_limits
         self.fleet = self.fleet_type(
             self.network,
             dict(CONTROLLER_ADDRESSES),
@@ -128,7 +128,7 @@
         name = f"c{number}"
         process = self._processes[name] = HostProcess()
         changes = self.state.changes_per_s or CHANGES_PER_S
-        platform = parse(settings(number, self.teams, self.announced, removed, changes))
+        platform = parse(settings(number, self.teams, self.announced_limits, removed, changes))
         node: Controller
         if before_dependencies or before_levels:
             network_type = NetworkBeforeDependencies if before_dependencies else NetworkBeforeLevels
--- a/tests/fakes/scenario_steps.py
+++ b/tests/fakes/scenario_steps.py
@@ -37,7 +37,7 @@
     """Cause a failover; ``how`` names the way, as in the ids of the tests."""
     leader = leader_of(world)
     if how == "handed over":
-        await world.nodes[leader].retire()
+        await world.nodes[leader].shut_down()
         world.crash(leader)
         await curio.sleep(1)
         await world.start(leader)
--- a/tests/test_forgotten_jobs.py
+++ b/tests/test_forgotten_jobs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.fakes.forgotten_jobs import ForgottenJobs, Form, RequestKind, Violation
+from tests.fakes.forgotten_jobs import ForgottenJobs, RequestKind, Violation, ViolationKind
 
 POLL_S = 5.0
 ALONE_S, AFTER_FAULTS_S = 90.0, 75.0
@@ -21,7 +21,9 @@
     return jobs.record(RequestKind.STATUS, job_id, status, now, now)
 
 
-def violated_forms(jobs: ForgottenJobs, until: float, others: list[list[int]]) -> list[Form]:
+def violated_forms(
+    jobs: ForgottenJobs, until: float, others: list[list[int]]
+) -> list[ViolationKind]:
     """Poll ``lost``, which is never answered, and other jobs; return the violated forms.
 
     ``others``: for each other job, the HTTP statuses with which it is answered in turn.
@@ -35,7 +37,7 @@
         violation = ask(jobs, "lost", 503, now)
         if violation is not None:
             assert violation.job_id == "lost" and violation.at == now
-            violated.append(violation.form)
+            violated.append(violation.kind)
     return violated
 
 
@@ -43,7 +45,7 @@
 def test_404_for_an_accepted_job_is_a_violation_for_every_request(kind: RequestKind) -> None:
     jobs = checker("kept")
     violation = jobs.record(kind, "kept", 404, 1.0, 2.0)
-    assert violation is not None and violation.form is Form.NOT_FOUND
+    assert violation is not None and violation.kind is ViolationKind.NOT_FOUND
     assert str(violation) == f"forgotten kept: answered 404, to a {kind.value}"
     assert jobs.record(kind, "never-accepted", 404, 1.0, 2.0) is None
 
@@ -52,7 +54,7 @@
 def test_refusal_of_a_repeated_submission_is_a_violation(status: int) -> None:
     jobs = checker("kept")
     violation = jobs.record(RequestKind.SUBMISSION, "kept", status, 1.0, 2.0)
-    assert violation is not None and violation.form is Form.REFUSED
+    assert violation is not None and violation.kind is ViolationKind.REFUSED
     assert jobs.record(RequestKind.SUBMISSION, "new", status, 1.0, 2.0) is None
 
 
@@ -64,7 +66,9 @@
 def test_job_unanswered_for_90_s_while_most_others_are_answered_is_a_violation() -> None:
     others, statuses = ["other-0", "other-1"], [[200], [503, 200, 0]]
     assert violated_forms(checker("lost", *others), ALONE_S - POLL_S, statuses) == []
-    assert violated_forms(checker("lost", *others), ALONE_S, statuses) == [Form.UNANSWERED_ALONE]
+    assert violated_forms(checker("lost", *others), ALONE_S, statuses) == [
+        ViolationKind.UNANSWERED_ALONE
+    ]
 
 
 def test_job_unanswered_while_most_others_are_not_answered_either_is_allowed() -> None:
@@ -84,7 +88,7 @@
     assert ask(jobs, "other-0", 200, 2 * ALONE_S) is None
     assert ask(jobs, "lost", 503, 2 * ALONE_S - 1) is None
     violation = ask(jobs, "lost", 503, 2 * ALONE_S)
-    assert violation is not None and violation.form is Form.UNANSWERED_ALONE
+    assert violation is not None and violation.kind is ViolationKind.UNANSWERED_ALONE
     assert jobs.longest_unanswered_s == ALONE_S
     assert jobs.longest_unanswered_job == "lost"
 
@@ -93,7 +97,7 @@
     jobs = checker("lost", "other-0")
     jobs.end_faults(10.0)
     violated = violated_forms(jobs, 10.0 + AFTER_FAULTS_S, [[200]])
-    assert violated == [Form.UNANSWERED_AFTER_FAULTS]
+    assert violated == [ViolationKind.UNANSWERED_AFTER_FAULTS]
     alone = checker("lost")
     alone.end_faults(0.0)
     assert violated_forms(alone, AFTER_FAULTS_S - POLL_S, []) == []
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -24,7 +24,7 @@
 from micadeal.rollout.membership import PeerObservation, Process
 from micadeal.rollout.migration import plan
 from micadeal.scheduling import takeover
-from micadeal.schema.decoding import read
+from micadeal.schema.decoding import decode_items
 from micadeal.state.limits import Limits
 from micadeal.wire.codec import convert, decode, encode
 from micadeal.wire.state import (
@@ -93,7 +93,7 @@
         (name, a.job_id, a.index, a.number)
         for name, machine in deployment.cluster.machines.items()
         for a in machine.attempts.values()
-        if a.ordered is not None
+        if a.start_sent_in is not None
     }
 
 
@@ -150,7 +150,7 @@
     damaged = Item(key, {"machines": "none"}, store.keys[key].version)
     record_writer.failed(batch, {**store.read(batch), key: damaged}, deployment.now)
     assert f"unreadable record: key={key}" in caplog.text
-    assert set(batch.placed[0].attempts) <= set(deployment.cluster.unwritten)
+    assert set(batch.placed[0].attempts) <= set(deployment.cluster.unwritten_placements)
     next_batches = [b for b in record_writer.next(deployment.now) if b.placed]
     assert key not in {write.key for b in next_batches for write in b.placed}
     revision = store.apply(next_batches[0])
@@ -329,7 +329,7 @@
                         for c in batch.conditions
                     }
                     self.record_writer.failed(batch, found, self.picture.now)
-        self.written = set(self.job.durable)
+        self.written = set(self.job.recorded_finished)
 
     def _apply(self, batch: WriteBatch) -> None:
         for condition in batch.conditions:
@@ -369,10 +369,10 @@
             self.picture.cluster, Limits(200, 80, 4, 8192), level=self.level
         )
         record_loader = RecordLoader(self.picture.scheduler, self.record_writer)
-        for chunk in read(finished, FinishedRecord):
+        for chunk in decode_items(finished, FinishedRecord):
             record_loader._load_finished(chunk)
         assert self.written <= self.job.finished <= before.finished
-        self.written = set(self.job.durable)
+        self.written = set(self.job.recorded_finished)
 
     @invariant()
     def stored_layouts_match_the_level(self) -> None:
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from bench.model_rollout import GUARDS, broken_without, explore, start
+from bench.model_rollout import GUARDS, broken_without, explore, initial_state
 from micadeal.clock import ZERO, seconds
 from micadeal.controller.feature_level_updater import FeatureLevelUpdater
 from micadeal.controller.feature_levels import FeatureLevels
@@ -83,12 +83,14 @@
 
     def step(
         record: LevelRecord,
-        ceiling: int | None = None,
+        highest_allowed_level: int | None = None,
         migration_backlog: Any = MigrationBacklog(),
         **changed: Any,
     ) -> Any:
         observations = {"x": observed(peer, present_s), "y": observed(peer, present_s), **changed}
-        return plan(record, OWN_PROCESS, observations, ceiling, migration_backlog, NOW)
+        return plan(
+            record, OWN_PROCESS, observations, highest_allowed_level, migration_backlog, NOW
+        )
 
     assert step(LevelRecord()).next_record.level == 2
     assert step(LevelRecord(), 1).next_record.level == 1
@@ -197,7 +199,7 @@
     ids=str,
 )
 def test_model_has_no_execution_that_breaks_a_rule(world: dict[str, int]) -> None:
-    states, broken = explore(start(**world))
+    states, broken = explore(initial_state(**world))
     assert broken is None
     assert states > 30
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -97,7 +97,7 @@
     async def scenario(world: World) -> None:
         gang = await world.run_job("gang", 3, run_s=40.0, one_zone=True, accelerators=2.0)
         await world.wait_until(lambda: world.running(gang) == 3)
-        world.cloud.take(world.tasks_on_machines(gang)[0][0].name)
+        world.cloud.remove_machine(world.tasks_on_machines(gang)[0][0].name)
         await world.wait_until(
             lambda: world.running(gang) == 3 and len(world.rules.starts) == 3, limit=90
         )
@@ -116,7 +116,7 @@
         await curio.sleep(20)
         worker.reclaim_expected_at = monotonic().total_seconds() + 15
         await curio.sleep(15)
-        world.cloud.take(worker.name)
+        world.cloud.remove_machine(worker.name)
         await world.wait_until_done(job)
         assert world.fleet.jobs[job].progress > 15
 
@@ -232,7 +232,7 @@
         for number in range(3):
             world.crash(number)
         for name in [m.name for m in world.cloud.machines.values() if m.spot][:2]:
-            world.cloud.take(name)
+            world.cloud.remove_machine(name)
         await curio.sleep(5)
         for number in range(3):
             await world.start(number)
@@ -281,7 +281,7 @@
         if notice is not None:
             worker.reclaim_expected_at = monotonic().total_seconds() + notice
             await curio.sleep(notice)
-        world.cloud.take(worker.name)
+        world.cloud.remove_machine(worker.name)
         assert await world.wait_until(lambda: world.running(job) == 1, limit=60) < limit
         await world.wait_until_done(job)
 
@@ -305,7 +305,7 @@
         assert world.running(short) == 1
         await world.wait_until(lambda: world.running(long) == 1, limit=12)
         await world.wait_until_done(short)
-        world.cloud.take(worker.name)
+        world.cloud.remove_machine(worker.name)
         await world.wait_until_done(long)
 
     world = World(boot_s=4.0).play(monkeypatch, scenario)
--- a/tests/test_start_invariants.py
+++ b/tests/test_start_invariants.py
@@ -18,7 +18,7 @@
 
 def mark_job_as_over(_: ClusterState, job: Job, __: Machine) -> None:
     # Ending a job normally stops its attempts; here one was missed.
-    job.over = True
+    job.ended = True
 
 
 def add_attempt_on_another_machine(_: ClusterState, job: Job, __: Machine) -> None:
@@ -56,5 +56,5 @@
 ) -> None:
     cluster, job, machine, attempt = cluster_with_start_command()
     change(cluster, job, machine)
-    assert attempt.stop is None
+    assert attempt.stop_grace is None
     assert commands_for(cluster, machine, full_authority=True) == []
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -108,7 +108,7 @@
             await world.wait_until_done(job)
         assert world.running(service) == 2
 
-    world = World(announced=ANNOUNCED_STATE_LIMITS).play(
+    world = World(announced_limits=ANNOUNCED_STATE_LIMITS).play(
         monkeypatch, scenario, before_dependencies=True
     )
     assert all(count == 1 for count in world.rules.starts.values())
@@ -171,7 +171,7 @@
         await curio.sleep(30)
         assert not [k for k in world.state.keys if k.startswith(("done/", "finished/", "part/"))]
 
-    world = World(announced=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
+    world = World(announced_limits=ANNOUNCED_STATE_LIMITS, capacity=2).play(monkeypatch, scenario)
     assert world.state.oversized_transactions < 12
 
 
@@ -198,8 +198,8 @@
                 if isinstance(operation, records.Put):
                     assert json_size(operation.value) <= 2048
             record_writer.committed(batch, 1, deployment.now)
-    assert not deployment.cluster.unwritten
-    assert all(attempt.durable for attempt in job.all_attempts())
+    assert not deployment.cluster.unwritten_placements
+    assert all(attempt.recorded for attempt in job.all_attempts())
 
 
 def test_rejected_record_size_is_not_retried() -> None:
@@ -220,7 +220,7 @@
             else:
                 record_writer.committed(batch, 1, deployment.now)
     assert 0 < refused < 12
-    assert not deployment.cluster.unwritten
+    assert not deployment.cluster.unwritten_placements
 
 
 def test_end_record_states_outcome() -> None:
