--- a/micadeal/actor.py
+++ b/micadeal/actor.py
@@ -52,11 +52,14 @@
         raise NotImplementedError
 
     async def tell(self, message: Any) -> None:
-        """Send a message without waiting for it; ``MailboxFullError`` if the mailbox is full."""
+        """Send a message without waiting for its result.
+
+        Raises ``MailboxFullError``.
+        """
         await self._post(_Envelope(message))
 
     async def tell_unbounded(self, message: Any) -> None:
-        """Send a message from a task that the actor itself has started; it is never refused.
+        """Send a message that is never refused, from a task that the actor itself has started.
 
         Guards against work that stops permanently after a short overload: the actor would wait
         without end for the result that was dropped, and a watch that ended because of a full
--- a/micadeal/fleet/boot_times.py
+++ b/micadeal/fleet/boot_times.py
@@ -1,10 +1,10 @@
-"""Decides whether a booting machine is late or has timed out, by the boots of others.  No I/O.
+"""Decides whether a booting machine is late or has timed out, judged by other boots.  No I/O.
 
 A fixed time limit is wrong in both directions.  Some machines take several times their type's boot
 time, and some never boot.  At times all machines boot slowly, or within a second or two (PROTOCOL,
-"GET /catalog").  Similar machines distinguish these cases: those that were rented together with the
-booting one or later and are already up have *overtaken* it.  If none has, all boots are slow, and
-renting more machines would only add slow ones.
+"GET /catalog").  Similar machines distinguish these cases.  A machine has *overtaken* the booting
+one if it was rented at the same time or later and is already up.  If none has, all boots are slow,
+and renting more machines would only add slow ones.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
     _boots: dict[InstanceOffer, deque[Boot]] = field(default_factory=dict)
 
     def record_boot(self, machine: Machine, now: timedelta) -> None:
-        """Record that a machine whose rental time is known is up."""
+        """Record the completed boot of a machine whose rental time is known."""
         offer = InstanceOffer(machine.machine_type, machine.zone, machine.spot)
         boots = self._boots.setdefault(offer, deque(maxlen=MAX_REMEMBERED_BOOTS))
         boots.append(Boot(machine.rented_at, max(now - machine.rented_at, ZERO)))
@@ -77,7 +77,7 @@
         return machine.age(now) > type_boot_time * factor
 
     def _overtakers(self, machine: Machine, now: timedelta) -> list[timedelta]:
-        """Return the boot times of the machines that have overtaken one.
+        """Return the boot times of the machines that have overtaken ``machine``.
 
         They are of the same offer, or of any offer of the same type if those are too few.
         """
--- a/micadeal/fleet/cloud.py
+++ b/micadeal/fleet/cloud.py
@@ -37,7 +37,8 @@
 RATE_SHARE = 0.8
 #: Size of a burst: the requests that the cloud's rate allows in this many seconds.
 BURST_S = 1.6
-#: Error text of a refused rental; any other text is a failure of the cloud's API.
+#: Error text of a 503 that refuses a rental; with any other text a 503 is a failure of the cloud's
+#: API.
 NO_CAPACITY = "no capacity"
 #: Most bytes of an unexpected body that an error quotes.
 MAX_QUOTED_BYTES = 80
--- a/micadeal/fleet/heartbeat_routing.py
+++ b/micadeal/fleet/heartbeat_routing.py
@@ -75,7 +75,7 @@
             route.fell_back is None or now - route.fell_back > FALLBACK_INTERVAL
         ):
             # The worker most likely changed controllers because the leader did not answer for 4 s.
-            # A redirect could cost it another 4 s, and together with a heartbeat interval that is
+            # A redirect could cost it another 4 s.  These 8 s and a heartbeat interval together are
             # longer than a lease.
             route.fell_back, route.redirected = now, None
             return HeartbeatRoute.RELAY
--- a/micadeal/fleet/machines.py
+++ b/micadeal/fleet/machines.py
@@ -27,7 +27,7 @@
 
 
 class ExitedTask(NamedTuple):
-    """An exited task, which its worker reports until it is commanded to forget it."""
+    """An exited task, which its worker reports until the leader commands it to forget the task."""
 
     job_id: str
     #: Index of the task in its job.
@@ -77,7 +77,7 @@
 
     @property
     def may_still_start(self) -> bool:
-        """Whether the task may still start: it has not run, and its image may not be fetched."""
+        """Whether the task may still start: it is not known to have fetched its image or to run."""
         return not self.reported_started and self.state in (None, TaskState.FETCHING)
 
     @property
@@ -115,7 +115,7 @@
     memory_gb: float
     #: Number of attempts that may be on the machine.
     tasks: int
-    #: Number of those whose jobs do not allow spot machines.
+    #: Number of these attempts whose jobs do not allow spot machines.
     on_demand_tasks: int
     #: Images that it holds, not counting those being fetched.
     images: frozenset[str]
@@ -178,7 +178,8 @@
     draining: str | None = None
     #: When its return to the cloud was requested.
     release_requested: timedelta | None = None
-    #: Whether its lease expired while it was silent: no task is on it, but it may return.
+    #: Whether its lease expired while it was silent: no task is on it, but its worker may send
+    #: heartbeats again.
     lease_expired: bool = False
     #: Since when there has been no attempt on it.
     idle_since: timedelta | None = None
@@ -198,7 +199,7 @@
     free_capacity: FreeCapacity | None = None
     #: Whether any of the cloud's lists has named it.
     listed: bool = False
-    #: How many consecutive lists since then have not named it.
+    #: How many lists in a row, up to the newest one, have not named it.
     absent_list_count: int = 0
 
     @property
--- a/micadeal/fleet/reachability.py
+++ b/micadeal/fleet/reachability.py
@@ -27,7 +27,8 @@
 #: From this many responses without effect on, an answered probe no longer makes the machine count
 #: as reachable.
 MAX_EXCUSED_FAILURES = 5
-#: A lease that expired within this share of its duration after a response was not renewed by it.
+#: If a lease expires within this share of its duration after a response, the response did not renew
+#: it.
 UNRENEWED_LEASE_SHARE = 0.75
 #: Shortest time between two probes of one machine.
 PROBE_INTERVAL = seconds(2)
--- a/micadeal/http/message.py
+++ b/micadeal/http/message.py
@@ -13,7 +13,7 @@
 
 
 class HttpError(Exception):
-    """No usable answer: the connection was refused or reset, timed out, or did not speak HTTP."""
+    """No usable answer: the connection was refused or reset, a timeout, or invalid HTTP."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/micadeal/http/server.py
+++ b/micadeal/http/server.py
@@ -48,7 +48,7 @@
         self._listener: Any = None
 
     def listen(self) -> SocketAddress:
-        """Bind if not done yet, and return the address with the port in use; ``run`` calls it."""
+        """Bind if not done yet, and return the address with the port in use; called by ``run``."""
         if self._listener is None:
             self._listener = curio.tcp_server_socket(*self._address, backlog=ACCEPT_BACKLOG)
         host, port = self._listener.getsockname()
@@ -125,7 +125,7 @@
         return not close and self._http.our_state is not h11.MUST_CLOSE
 
     async def _read_request(self) -> Request | None:
-        """Read one whole request; None if the client has closed the connection."""
+        """Read one whole request; None if the connection was closed or stayed idle too long."""
         event = self._http.next_event()
         if event is h11.NEED_DATA:
             if not await self._receive(IDLE_TIMEOUT):
@@ -166,7 +166,7 @@
             await self._client.sendall(self._http.send(interim))
 
     async def _receive(self, timeout: timedelta) -> bool:
-        """Receive more bytes; return False if the client disconnected between requests."""
+        """Receive more bytes; return False if the connection ended or was idle between requests."""
         try:
             data = await with_timeout(timeout, self._client.recv(READ_SIZE))
         except (OSError, TimeoutError):
--- a/micadeal/jobs/model.py
+++ b/micadeal/jobs/model.py
@@ -134,7 +134,7 @@
         """Sort key within a team: rank, then age.
 
         Age counts from when the job became ready, or from its latest start if that is earlier, so
-        that its dependents finish in time.  The id makes the order total.
+        that the job and its dependents meet their deadlines.  The id makes the order total.
         """
         start = self.latest_start
         since = self.ready_at if start is None else min(self.ready_at, start)
--- a/micadeal/leadership/follower_leases.py
+++ b/micadeal/leadership/follower_leases.py
@@ -4,7 +4,7 @@
 knows the current token can renew leases in place of a failed leader while the state service is
 unreachable.  Two errors must be excluded:
 
-- The leader, which may only be unreachable from the follower, treats a lease as expired that the
+- The leader is alive but unreachable from the follower, and treats a lease as expired that the
   follower has renewed (``ran_twice``).
 - A controller confirms to a user a cancellation that the follower does not know
   (``ran_cancelled``).
@@ -21,9 +21,9 @@
 
 Messages between controllers call a vote ``consent`` (wire/peers.py).
 
-No I/O; the caller passes the time.  Instants are monotonic time of the controller that decides.  An
-answer of a peer is dated by the time of the question, so a response that the network delayed does
-not count as recent.
+No I/O; the caller passes the time.  Instants are monotonic time of the controller that decides.  A
+peer's answer is dated by the time at which the ping was sent, so a response that the network
+delayed does not count as recent.
 """
 
 from __future__ import annotations
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalState:
-    """The state of a controller itself, which is lost in a restart.
+    """What a controller knows about itself; a restart loses it.
 
     ``started_at`` is the start of its process.
     """
@@ -94,8 +94,8 @@
     #: The highest token of a leader that contacted this controller, and when it last did.
     token: int = 0
     leader_contact_at: timedelta | None = None
-    #: The last token under which this controller renewed leases or voted, and until when that
-    #: commits it.
+    #: The last token under which this controller renewed leases or voted, and until when this
+    #: commitment holds.
     committed_token: int = 0
     committed_until: timedelta | None = None
 
@@ -137,7 +137,7 @@
 class PeerRenewalView:
     """What this controller knows about one peer."""
 
-    #: When the last ping was sent that it has answered; None: it never answered.
+    #: When the last ping that it answered was sent; None: it never answered.
     asked_at: timedelta | None = None
     #: Since when all its answers include a report; None: its version sends none.
     reports_since: timedelta | None = None
@@ -149,9 +149,10 @@
     vote_until: timedelta | None = None
     committed_token: int = 0
     committed_until: timedelta | None = None
-    #: When the last cancellation list was requested that it sent while it was synced.
+    #: When the last cancellation list that it sent while it was synced was requested.
     synced_list_asked_at: timedelta | None = None
-    #: The same for its last list, synced or not; it may lack what its previous process knew.
+    #: When its last list, synced or not, was requested.  The list may lack what its previous
+    #: process knew.
     list_asked_at: timedelta | None = None
 
     def with_answer(
@@ -189,8 +190,8 @@
         # A vote counts only together with the voter's cancellation list.
         vote_token = report.vote_token if report.has_list else 0
         started_at = now - report.age
-        # A process sends reports either from its start or never.  So a controller that has just
-        # started itself can date the reports back to the start of the peer's process.
+        # A process sends reports either from its start or never.  So a controller that has itself
+        # just started can date the reports back to the start of the peer's process.
         reports_since = self.reports_since
         if reports_since is None:
             reports_since = min(asked_at, started_at)
@@ -212,8 +213,8 @@
     def keeps_list(self, now: timedelta, timing: RenewalTiming) -> bool:
         """Return whether the peer has kept a cancellation list for the whole retention time.
 
-        A version without lists confirms cancellations alone; all of these must be too old to
-        matter.
+        A peer whose version has no lists confirms cancellations without a majority; all of these
+        must be too old to matter.
         """
         return (
             self.reports_since is not None
@@ -242,7 +243,7 @@
 ) -> bool:
     """Return whether this controller may vote for a peer that renews leases under ``token``.
 
-    Guards ``ran_twice``: no vote while a promise to that leader holds, including one that the
+    Guards ``ran_twice``: no vote while a renewal promise to a leader holds, including one that the
     previous process may have given just before ``started_at``.
     """
     promised_at = state.started_at
--- a/micadeal/operator/policy.py
+++ b/micadeal/operator/policy.py
@@ -32,8 +32,8 @@
     carbon: float = 0.0
 
 
-#: Multiplies ``Policy.reserve_after``: for a reservation if the job's team has its fair share, and
-#: for the wait until a job may be placed by age.
+#: Multiplies ``Policy.reserve_after`` in two cases: until machines are reserved for a job whose
+#: team has its fair share, and until a job is placed ahead of its team's order because of its age.
 FAIR_SHARE_WAIT_FACTOR = 2.5
 
 
--- a/micadeal/placement/bin_packing.py
+++ b/micadeal/placement/bin_packing.py
@@ -38,14 +38,14 @@
 
     The criteria, in this order:
 
-    - Machines that are up come before booting ones, and those before planned ones.
-    - Tasks without accelerators avoid machines with a free accelerator, because the cores beside it
-      are needed for tasks that use it.
+    - Machines that are up come first, then booting ones, then planned ones.
+    - Tasks without accelerators avoid machines with a free accelerator, because tasks that use the
+      accelerator also need cores on its machine.
     - Tasks that may run on spot machines prefer them: they are cheaper and leave the on-demand
       machines to tasks that need those.
     - Services prefer machines that already run tasks bound to on-demand machines.
-    - Machines that have the image cached come before those that are fetching it, and those before
-      machines with fewer other fetches in progress.
+    - Machines that have the image cached come first, then those that are fetching it, then the
+      others, in the order of how few fetches they have in progress.
     - Tasks of a spread job prefer zones with fewer of the job's tasks.
     - The fullest machine comes first, so that others become empty and can be returned.
     """
--- a/micadeal/rollout/leader_lock.py
+++ b/micadeal/rollout/leader_lock.py
@@ -174,7 +174,7 @@
     """Return the transaction that takes the free lock.
 
     It depends on the level and on the controller's own member record, so it fails if the level was
-    raised or a later process of the controller was registered since they were read.
+    changed or a later process of the controller was registered since they were read.
     """
     conditions = [leader_lock.unchanged_condition(key) for key in (LEADER, LEVEL, MEMBER + name)]
     if not leader_lock.fenced:
--- a/micadeal/rollout/membership.py
+++ b/micadeal/rollout/membership.py
@@ -1,7 +1,7 @@
 """Presence of the controllers: their processes, their builds, and since when they have answered.
 
-Instants are monotonic time of the controller that observes.  An answer of a peer is dated by the
-time of the question, so a response that the network delayed does not count as recent.
+Instants are monotonic time of the controller that observes.  A peer's answer is dated by the time
+at which the ping was sent, so a response that the network delayed does not count as recent.
 """
 
 from __future__ import annotations
@@ -50,9 +50,9 @@
 
     #: Its current process; None: it never answered, or its version has no levels.
     process: Process | None = None
-    #: When the first ping was sent that its current process has answered.
+    #: When the first ping that its current process answered was sent.
     first_asked_at: timedelta | None = None
-    #: When the last ping was sent that it has answered.
+    #: When the last ping that it answered was sent.
     last_asked_at: timedelta | None = None
     #: The latest instant at which its current process can have started.
     started_at: timedelta | None = None
--- a/micadeal/rollout/migration.py
+++ b/micadeal/rollout/migration.py
@@ -35,7 +35,7 @@
 
     #: The level record to write now; None: no change is possible yet, or none is needed.
     next_record: LevelRecord | None = None
-    #: The level is raised, which every controller must agree to by its member record.
+    #: Whether ``next_record`` raises the level, which every controller's member record must allow.
     is_raise: bool = False
     #: The conditions that are waited for, as shown to operators.
     waits: tuple[str, ...] = ()
@@ -49,7 +49,7 @@
     migration_backlog: MigrationBacklog,
     now: timedelta,
 ) -> Plan:
-    """Return the next change of the level ``record`` that is in force.
+    """Return the next change of the feature level; ``record`` is the level in force.
 
     ``observations`` has an entry for every peer that the settings name.
     ``highest_allowed_level`` is the highest level that the operators allow; None: any.
--- a/micadeal/schema/job_listing.py
+++ b/micadeal/schema/job_listing.py
@@ -36,7 +36,7 @@
         object.__setattr__(self, "_job_ids", job_ids)
 
     def proof_of_end(self, job_id: str, version: int) -> JobEnded | None:
-        """Return a proof that a job has ended, or None; ``version`` is of another record of it.
+        """Return a proof that a job has ended, or None; ``version``: of another record of the job.
 
         Guards against the loss of an accepted job.  Other records of a job are written with its
         job record or after it.  If such a record is no newer than the listing and the job is not
--- a/micadeal/schema/job_records.py
+++ b/micadeal/schema/job_records.py
@@ -62,7 +62,7 @@
 
 
 def join_parts(value: Any, parts: Sequence[Any]) -> JobRecord:
-    """Decode a description from ``value``, that of its job key, and the values of its other parts.
+    """Decode a description from the value of its job key and the values of its other parts.
 
     Raises ``MessageFormatError`` if it is damaged.
     """
@@ -98,9 +98,9 @@
 
 
 def may_have_dependencies(value: Any) -> bool:
-    """Return whether the job may depend on others.
+    """Return whether the job with this description may depend on others.
 
-    Decodes nothing else, since every poll of a job calls this.
+    Decodes only the prerequisites, since every poll of a job calls this.
     """
     try:
         return bool(convert(JobPrerequisites, value).submission.prerequisites)
--- a/micadeal/state/service.py
+++ b/micadeal/state/service.py
@@ -87,7 +87,7 @@
         """Prepare access; nothing is sent yet.
 
         Writes keep within ``limits``, the lower of the service's current and announced limits.
-        ``current_limits`` may be higher: a value that fits only these may be tried.
+        ``current_limits`` may be higher: a value that fits only these may still be tried.
         """
         self.limits = limits
         self.current_limits = current_limits
--- a/micadeal/timing/shift.py
+++ b/micadeal/timing/shift.py
@@ -42,7 +42,7 @@
 
 
 class PoolCapacities:
-    """Capacity that held jobs may use at the same time, by pool; other pools are unlimited.
+    """Capacity that deferrable jobs may use at a time, by pool; pools not named are unlimited.
 
     A slot is the index of a piece of the cost curves.
     """
@@ -214,7 +214,7 @@
         """Start a new round of decisions, which ``decide`` makes for one job at a time.
 
         A job keeps its hold until it is decided on.  Jobs not in ``job_ids`` are forgotten.
-        ``curve`` begins now.  None: no cost is known, and all held jobs are released.
+        ``curve`` begins now; None: no cost is known, and all held jobs are released.
         """
         self._released |= {job_id for job_id, hold in self.holds.items() if hold.until <= now}
         self._planner = None if curve is None else Planner(curve, now, pools)
--- a/micadeal/timing/signal.py
+++ b/micadeal/timing/signal.py
@@ -1,8 +1,9 @@
 """The price or carbon signal of a zone: its series, else its daily profile, else unknown.
 
 The fallback depends on the age of the series alone, so that all leaders with the same series decide
-alike.  While the series is valid, its measured and forecast values are used, and then the usual
-value at that time of day.  If that is unknown too, jobs start as if there were no signal.
+alike.  A measured or forecast value is used if the series is valid and has one for the instant,
+else the usual value at that time of day.  If that is unknown too, jobs start as if there were no
+signal.
 """
 
 from __future__ import annotations
--- a/micadeal/wire/cloud.py
+++ b/micadeal/wire/cloud.py
@@ -31,7 +31,7 @@
     #: Space for images.
     cache_gb: float
     fetch_gb_per_s: float
-    #: Price per hour as an ordinary machine.
+    #: Price per hour as an on-demand machine.
     price: float
     #: Usual time from the rental request until the machine has booted.
     boot_s: float
--- a/micadeal/wire/peers.py
+++ b/micadeal/wire/peers.py
@@ -51,10 +51,10 @@
 
 
 class RenewalPromise(msgspec.Struct, rename={"cancellations": "told"}):
-    """A controller's promise about renewing leases, in a ``Pong`` (leadership/follower_leases.py).
+    """A controller's renewal promise or its consent, in a ``Pong`` (leadership/follower_leases.py).
 
-    With the promises of a majority, a follower may renew workers' leases in place of the leader,
-    and a leader may treat a lease as expired.
+    With the consent of a majority, a follower may renew workers' leases in place of the leader.
+    With the renewal promises of a majority, a leader may treat a lease as expired.
     """
 
     #: Age of its process, which remembers nothing from before its start.
--- a/micadeal/wire/state.py
+++ b/micadeal/wire/state.py
@@ -32,7 +32,7 @@
     """The answer to ``GET /keys``: one page of the keys under a prefix, in order of keys."""
 
     items: list[Item]
-    #: Of the store when the page was read.
+    #: Revision of the store when the page was read.
     revision: int
     #: Whether another page follows.
     more: bool = False
@@ -279,8 +279,8 @@
 class PlacedRecord(msgspec.Struct):
     """Under ``placed/<token>/<number>``: tasks that may be on machines.
 
-    Written before any of the tasks is started.  One record holds all placements of a step, on all
-    machines, because the state service limits the number of keys written, not their bytes.
+    Written before any of the tasks is started.  One record holds placements on many machines,
+    because the state service limits the number of keys written, not their bytes.
     """
 
     machines: list[PlacedMachine]
@@ -297,7 +297,7 @@
     tasks: list[PlacedTask]
 
     def as_placed(self, name: str) -> PlacedRecord:
-        """Return it in the current layout; ``name`` is the name of the machine, from the key."""
+        """Return the record in the current layout; ``name``: the machine's name, from the key."""
         machine = PlacedMachine(
             name,
             self.address,
--- a/micadeal/wire/users.py
+++ b/micadeal/wire/users.py
@@ -66,7 +66,7 @@
 
     #: Chosen by the user; a retry uses the same id.
     job_id: str
-    #: Name of an objective in the platform's settings.
+    #: Class of the job; the objectives in the platform's settings name the classes they apply to.
     job_class: str
     team: str
     shape: Shape
--- a/micadeal/zones/zone_health.py
+++ b/micadeal/zones/zone_health.py
@@ -1,9 +1,9 @@
 """The state of each zone, derived from what a leader can observe of it.
 
 No single signal distinguishes a partitioned zone from a zone in which many machines have failed.
-Missing heartbeats of the workers come first.  The presence of the zone's controller distinguishes
-the two cases.  Only the cloud's confirmation that machines have ended, or time, makes a failure
-certain.  Instants are monotonic time of the leader.
+Missing heartbeats of the workers raise a suspicion.  The presence of the zone's controller then
+distinguishes the two cases.  Only the cloud's confirmation that machines have ended, or time, makes
+a failure certain.  Instants are monotonic time of the leader.
 """
 
 from __future__ import annotations
@@ -67,13 +67,13 @@
 
     #: Machines that sent a heartbeat, or are recorded with tasks, and are not returned.
     machines: int
-    #: Of these, the machines without a recent heartbeat.
+    #: Of ``machines``, those without a recent heartbeat.
     unreachable: int
     #: Presence of the zone's controller; None: there is none, or it is the leader.
     controller: Presence | None
     #: Whether it is the leader's own zone.
     own: bool = False
-    #: Of these, the machines whose leases the leader has treated as expired.
+    #: Of ``machines``, those whose leases the leader has treated as expired.
     ended: int = 0
 
     @property
@@ -98,7 +98,7 @@
 
     @property
     def probation(self) -> timedelta:
-        """How long the zone is observed after it has recovered."""
+        """How long the zone stays in ``RECOVERING`` before it counts as healthy."""
         doublings = min(max(self.failures - 1, 0), MAX_DOUBLINGS)
         factor: int = 2**doublings
         return min(PROBATION * factor, MAX_PROBATION)
