--- a/micadeal/controller/api/cancellation_ages.py
+++ b/micadeal/controller/api/cancellation_ages.py
@@ -17,22 +17,23 @@
 
 
 class CancellationAges:
-    """For each cancelled job that may still start a task: since when enough controllers know.
+    """Tracks since when enough controllers know of a cancellation.
 
-    Controllers exchange the ages.  So the time that one of them has counted also counts at the
-    others, and is not lost when its process ends.
+    Only cancellations of jobs that may still start a task are tracked.  Controllers exchange the
+    ages.  So the time that one controller has counted also counts at the others, and is not lost
+    when its process ends.
     """
 
     def __init__(self) -> None:
         self._known_since: RecentJobs[timedelta] = RecentJobs(MAX_JOBS)
 
     def age(self, job_id: str, now: timedelta) -> timedelta | None:
-        """Return the time for which enough controllers have certainly known; None if unknown."""
+        """Return for how long enough controllers have certainly known; None if that is unknown."""
         known_since = self._known_since.get(job_id)
         return None if known_since is None else now - known_since
 
     def note(self, job_id: str, now: timedelta) -> bool:
-        """Note that enough controllers know by now; return whether that is new."""
+        """Note that enough controllers know of a cancellation; return whether that is new."""
         if job_id in self._known_since:
             return False
         self._known_since.add(job_id, now)
--- a/micadeal/controller/api/cancellation_broadcast.py
+++ b/micadeal/controller/api/cancellation_broadcast.py
@@ -13,10 +13,10 @@
 from micadeal.controller.peer_links import PeerLinks
 from micadeal.timeouts import sleep
 
-#: How long a cancellation waits until no task of its job can start any more, and the interval at
-#: which the leader's actor is asked.  Below the timeout of a cancellation notice between
-#: controllers.
+#: How long a cancellation waits until no task of its job can start any more.  Below the timeout of
+#: a cancellation notice between controllers.
 START_WAIT_TIMEOUT = seconds(0.6)
+#: Interval at which a waiting cancellation asks the leader's actor again.
 START_WAIT_INTERVAL = seconds(0.05)
 #: Cancellations that wait concurrently.  Further ones don't wait: the connections are needed for
 #: pings, and the users ask again.
@@ -33,7 +33,10 @@
         follower_leases: FollowerLeases | None,
         all_started: Callable[[], frozenset[str]],
     ) -> None:
-        """``all_started`` returns the jobs whose tasks all run, as a leader last reported."""
+        """Create a broadcaster.
+
+        ``all_started`` returns the jobs whose unfinished tasks all run, as a leader last reported.
+        """
         self._leader = leader
         self._peer_links = peer_links
         self._follower_leases = follower_leases
@@ -94,7 +97,7 @@
         self._undelivered.clear()
 
     async def may_tasks_start(self, job_id: str) -> bool:
-        """Return whether a task of a cancelled job may still start, as the leader's actor knows.
+        """Return whether a task of a cancelled job may still start, according to the leader.
 
         Waits for a short time for the workers to confirm the stop commands.
         """
--- a/micadeal/controller/api/confirmation_exchange.py
+++ b/micadeal/controller/api/confirmation_exchange.py
@@ -44,8 +44,8 @@
 #: then.
 MIN_WAIT = seconds(2)
 WRITE_INTERVAL = seconds(0.5)
-#: Requests read longer ago are ignored, since they may have been withdrawn.  Followers read them at
-#: least every two seconds.
+#: Requests that were read longer ago than this are ignored, since they may have been withdrawn.
+#: Followers read them at least every two seconds.
 MAX_REQUESTS_AGE = seconds(5)
 #: Interval between attempts to confirm a cancellation that can't be confirmed yet.
 CONFIRM_INTERVAL = seconds(1)
@@ -112,7 +112,7 @@
 
 
 class ConfirmationPublisher:
-    """Confirms cancellations that other controllers have requested in their records."""
+    """Confirms cancellations for which other controllers have recorded requests."""
 
     def __init__(
         self,
@@ -120,7 +120,7 @@
         look_up: Callable[[str], Awaitable[JobAnswer | NeverAccepted]],
         is_partitioned_leader: Callable[[], bool],
     ) -> None:
-        """Confirm in the records of the jobs' ends.
+        """Create a publisher, which confirms cancellations in the records of the jobs' ends.
 
         ``look_up`` returns what a user may be answered about a job now, and raises if there is no
         such answer.  ``is_partitioned_leader`` returns whether this controller leads and does not
--- a/micadeal/controller/api/dependencies.py
+++ b/micadeal/controller/api/dependencies.py
@@ -34,8 +34,9 @@
     def cancellations_propagated(self, asked_at: timedelta) -> bool:
         """Return whether a job's own record is enough to answer a request received at ``asked_at``.
 
-        While the leader's last report is recent, every cancellation before it is recorded for all
-        jobs that depend on the cancelled job.
+        It is enough while the leader's last report is recent: every cancellation up to
+        ``cancellations_propagated_until`` is recorded for all jobs that depend on the cancelled
+        job.
         """
         return (
             self.cancellations_propagated_until is not None
--- a/micadeal/controller/api/heartbeats.py
+++ b/micadeal/controller/api/heartbeats.py
@@ -31,8 +31,8 @@
 MAX_HOLD_TIME = seconds(2)
 MAX_HOLD_LEASE_SHARE = 1 / 7
 HOLD_POLL_INTERVAL = seconds(0.2)
-#: Heartbeats held concurrently; further ones are refused immediately, as all heartbeats are when
-#: the state service is unreachable, so that no election can succeed.
+#: Heartbeats held concurrently; further ones are refused immediately.  No heartbeat is held while
+#: the state service is unreachable, since no election can succeed then.
 MAX_HELD_HEARTBEATS = 1000
 
 _OK = HTTPStatus.OK.value
@@ -145,9 +145,9 @@
     ) -> Answer:
         """Hold a heartbeat for a short time until a controller can answer it.
 
-        That is a new leader other than ``tried_leader``, this controller once it leads and has read
-        the records, or this controller as a follower that may renew leases.  If there is none in
-        time, the answer is ``refusal``.
+        The controller that can answer is a new leader other than ``tried_leader``, this controller
+        once it leads and has read the records, or this controller as a follower that may renew
+        leases.  If there is none in time, the answer is ``refusal``.
 
         Guards against seconds without capacity after a leader's crash: a worker that is refused
         during the election tries the next controller, and if it can't reach that one, it waits for
--- a/micadeal/controller/api/jobs.py
+++ b/micadeal/controller/api/jobs.py
@@ -100,7 +100,7 @@
         return self._answers.counts
 
     def all_started(self) -> frozenset[str]:
-        """Return the jobs whose tasks all run, by a leader's last report if that is recent."""
+        """Return jobs whose unfinished tasks all run, by a leader's last report if it is recent."""
         return self._answers.all_started()
 
     def set_cancellations_propagated_until(self, until: timedelta | None) -> None:
--- a/micadeal/controller/api/known_answers.py
+++ b/micadeal/controller/api/known_answers.py
@@ -15,8 +15,8 @@
 
 #: Capacity of each cache; evicted jobs are read again.
 MAX_REMEMBERED_JOBS = 20_000
-#: How long a leader's list of jobs whose tasks all run is used while no leader can be asked:
-#: usually long enough for the next leader to have read its records.
+#: How long a leader's list of jobs whose unfinished tasks all run is used while no leader can be
+#: asked: usually long enough for the next leader to have read its records.
 ALL_STARTED_TIMEOUT = seconds(10)
 FINAL_STATUSES = (Status.DONE, Status.CANCELLED)
 
--- a/micadeal/controller/api/operators.py
+++ b/micadeal/controller/api/operators.py
@@ -21,8 +21,8 @@
 
 log = logging.getLogger(__name__)
 
-#: How long the leader may take to answer another controller.  Above the timeout of its actor, so
-#: that its error arrives if the actor does not answer.
+#: How long the leader may take to answer another controller.  Above the timeout of the leader's
+#: actor: if the actor does not answer, the leader's error still arrives.
 PEER_QUERY_TIMEOUT = QUERY_TIMEOUT + seconds(0.5)
 
 
--- a/micadeal/controller/api/readiness.py
+++ b/micadeal/controller/api/readiness.py
@@ -16,8 +16,8 @@
 MAX_STATE_CONTACT_AGE = seconds(5)
 #: A peer's last contact with the state service counts if it is no older than this.  Controllers
 #: notice a shared outage up to two seconds apart, since an idle watch is held for that long.  With
-#: a larger value the first one would report not ready, and the load balancer would keep it out of
-#: service beyond the end of the outage.
+#: a larger value the first controller that notices the outage would report not ready, and the load
+#: balancer would keep it out of service beyond the end of the outage.
 MAX_PEER_STATE_CONTACT_AGE = seconds(2.5)
 
 SHUTTING_DOWN = "this process ends"
--- a/micadeal/controller/api/status.py
+++ b/micadeal/controller/api/status.py
@@ -77,7 +77,8 @@
         if current is not None:
             return current
         if job_id in self._answers.accepted:
-            # Guards ``forgotten``: a user was answered that it is accepted, so no 404 may follow.
+            # Guards ``forgotten``: a user was answered that the job is accepted, so no 404 may
+            # follow.
             report_violation(Invariant.FORGOTTEN, job_id, "accepted, and neither record nor end")
             raise AcceptedJobMissingError(job_id)
         return NeverAccepted(job_id)
@@ -100,7 +101,7 @@
         return self._answers.in_progress(job_id)
 
     async def _is_unchanged(self, job_id: str) -> bool:
-        """Return whether an independent job's record still has the version last read."""
+        """Return whether the record of a job without prerequisites has the version last read."""
         version = self._independent_versions.get(job_id)
         if version is None:
             return False
--- a/micadeal/controller/controller.py
+++ b/micadeal/controller/controller.py
@@ -326,14 +326,14 @@
     def _on_leader_announced(self, name: str, token: int) -> None:
         """Handle a peer's announcement that it leads the term ``token``.
 
-        Informs a controller that can't read the leader from the state service.  Tokens only
-        increase, so a delayed message can't restore an earlier leader.
+        The announcement informs a controller that can't read the leader from the state service.
+        Tokens only increase, so a delayed message can't restore an earlier leader.
 
         Guards against two controllers that answer workers.  Without the announcement, a controller
         that alone is refused by the state service would continue its past term, and redirect
         workers to a leader that is gone.  A peer announces itself only after it has read its
-        records.  If it did so before, and an outage began during these reads, no controller would
-        answer workers, and all tasks would end with their leases.
+        records.  If it announced itself earlier, and an outage began during these reads, no
+        controller would answer workers, and all tasks would end with their leases.
         """
         if token < self._leader.token or name not in self._peer_names:
             return
--- a/micadeal/controller/direct_commands.py
+++ b/micadeal/controller/direct_commands.py
@@ -42,7 +42,7 @@
         """Send pending stop commands and probes within the limits on commands in flight.
 
         A stop command does no harm if it is executed late, so it need not wait for a heartbeat.  A
-        probe is the same message: an answer shows that the worker is reachable.
+        probe is a direct command as well: any answer shows that the worker is reachable.
         """
         cluster = self._cluster
         for machine_names, max_in_flight in (
--- a/micadeal/controller/follower_leases.py
+++ b/micadeal/controller/follower_leases.py
@@ -203,7 +203,8 @@
             change = "started" if may_renew else "stopped"
             log.info("renewing leases as follower %s: token=%d", change, state.token)
         if not may_renew or heartbeat.token > state.token:
-            # A higher token belongs to a leader that has not contacted this controller: it decides.
+            # A higher token belongs to a leader that has not contacted this controller: that leader
+            # decides.
             return None
         self._state = state.with_commitment(state.token, now)
         # Guards ``ran_cancelled``: every controller that answers a worker stops cancelled tasks.
--- a/micadeal/controller/leader.py
+++ b/micadeal/controller/leader.py
@@ -290,9 +290,9 @@
         if self._loaded:
             if heartbeat.machine in self._cluster.removed_machines:
                 return UNAVAILABLE
-            # An old heartbeat is answered as well: if the answer to a direct command has overtaken
-            # it, it may be the worker's last one.  It proves nothing new: a lease that this answer
-            # renews starts before the newer message, whose receipt is recorded
+            # An old heartbeat is answered as well: it may be the worker's last one, overtaken by
+            # the answer to a direct command.  The old heartbeat proves nothing new: a lease that
+            # this answer renews starts before the newer message, whose receipt is recorded
             # (fleet/reachability.py).
             commands = self._scheduler.on_heartbeat(
                 heartbeat, now, is_heartbeat=True, full_authority=authority is Authority.FULL
--- a/micadeal/controller/outbound.py
+++ b/micadeal/controller/outbound.py
@@ -53,7 +53,7 @@
 class TermCallbacks:
     """Callbacks from the requests of one term to its leader."""
 
-    #: Sends a result to the leader's actor; it is never rejected.
+    #: Sends a result to the leader's actor, which never rejects it.
     tell: Callable[[Any], Awaitable[None]]
     #: Called when another leader is found to exist.
     resign: Callable[[], None]
--- a/micadeal/controller/peer_links.py
+++ b/micadeal/controller/peer_links.py
@@ -31,8 +31,8 @@
 
 PING_INTERVAL = timedelta(seconds=1)
 PING_TIMEOUT = timedelta(milliseconds=900)
-#: For a direct relay, and for one through a third controller.  Their sum must be well below the
-#: 4 s for which a worker waits for an answer.
+#: Timeouts of a direct relay, and of one through a third controller.  Their sum must be well below
+#: the 4 s for which a worker waits for an answer.
 RELAY_TIMEOUT = timedelta(seconds=1.4)
 INDIRECT_RELAY_TIMEOUT = RELAY_TIMEOUT * 1.5
 NOTICE_TIMEOUT = timedelta(seconds=1)
--- a/micadeal/controller/persistence/finished_tasks.py
+++ b/micadeal/controller/persistence/finished_tasks.py
@@ -63,7 +63,10 @@
         return job
 
     def _unwritten_chunks(self, job: Job) -> Iterator[FinishedChunk]:
-        """Yield the chunks to write: large ones, which all versions read, where they fit."""
+        """Yield the chunks to write.
+
+        Below level ``FENCED`` these are large chunks, which all versions read, where they fit.
+        """
         limits = self._context.limits
         unwritten = job.finished - job.recorded_finished
         for number in LARGE_CHUNKS.numbers(unwritten):
--- a/micadeal/controller/persistence/layout_migration.py
+++ b/micadeal/controller/persistence/layout_migration.py
@@ -91,7 +91,10 @@
                 self._cluster.stale_records.setdefault(key, now)
 
     def _rewrite_chunk(self, draft: BatchDraft, key: str) -> None:
-        """Write a chunk's content in the other layout, or delete the chunk once that is done."""
+        """Write an old chunk's content in the current layout.
+
+        Once all of the content is written, the old chunk is deleted instead.
+        """
         converted = self._converted(key)
         missing = [chunk for chunk in converted if chunk.key not in self._written_chunks]
         for chunk in missing[: draft.remaining - 1]:
@@ -100,7 +103,7 @@
             draft.delete(key)
 
     def _converted(self, key: str) -> list[FinishedChunk]:
-        """Return the chunks that replace a chunk of finished tasks in the other layout.
+        """Return the chunks of the current layout that replace the old chunk under ``key``.
 
         Returns none if the job has ended, or if a chunk would not fit into a value.
         """
--- a/micadeal/controller/persistence/machine_images.py
+++ b/micadeal/controller/persistence/machine_images.py
@@ -32,7 +32,7 @@
 @dataclass(frozen=True, slots=True)
 class _Page:
     record: ImagesRecord
-    #: When it was last compared with the images on the machines.
+    #: When the page was last compared with the images on the machines.
     checked_at: timedelta
 
 
--- a/micadeal/controller/persistence/returned_machines.py
+++ b/micadeal/controller/persistence/returned_machines.py
@@ -1,8 +1,8 @@
 """Records machines that are returned to the cloud while attempts are still on them.
 
 If this leader's term ends before the placement records of these attempts are merged, the next
-leader reads these records.  Without them it would wait for a lease to expire on machines that no
-longer exist.
+leader reads which machines were returned.  Otherwise it would wait for leases to expire on machines
+that no longer exist.
 """
 
 from __future__ import annotations
--- a/micadeal/controller/record_loader.py
+++ b/micadeal/controller/record_loader.py
@@ -175,7 +175,8 @@
         self._record_writer.versions[chunk.key] = chunk.version
         job.record_keys.add(chunk.key)
         if chunk.record is None:
-            # Its tasks are started again; a worker that kept a result returns it immediately.
+            # The tasks in the unreadable chunk are started again; a worker that kept a result
+            # returns it immediately.
             return
         first_task = int(chunk_number) * (
             TASKS_PER_SMALL_CHUNK if is_small_chunk else TASKS_PER_CHUNK
--- a/micadeal/scheduling/capacity.py
+++ b/micadeal/scheduling/capacity.py
@@ -54,8 +54,8 @@
     """Return whether capacity may be reserved on a machine that can't get work yet."""
     if machine.up:
         return not machine.has_current_token and not _token_overdue(machine, now, timeout)
-    # If its boot is overdue, pending work gets capacity elsewhere.  If it comes up after all, it is
-    # used or returned.
+    # If the machine's boot is overdue, pending work gets capacity elsewhere.  If the machine comes
+    # up after all, it is used or returned.
     return not cluster.boot_times.is_late(machine, seconds(kind.boot_s), now)
 
 
--- a/micadeal/scheduling/capacity_pool.py
+++ b/micadeal/scheduling/capacity_pool.py
@@ -49,7 +49,7 @@
 
 
 class CapacityPool:
-    """All capacities of a cycle; it must be notified of each booking and each planned machine."""
+    """All capacities of a cycle; callers must report each booking and each planned machine."""
 
     def __init__(
         self, cluster: ClusterState, capacities: list[MachineCapacity], spot_scarce: bool
@@ -62,7 +62,7 @@
         #: Number of capacities examined one by one during the cycle.
         self.examined = 0
         self._resource = ""
-        #: Capacities with a free amount of the resource, in their order.
+        #: Capacities with a free amount of the resource, sorted by ``MachineCapacity.order``.
         self._open: list[MachineCapacity] = []
         self._full_count = 0
         #: Rankings for jobs whose tasks are being placed.
@@ -119,7 +119,7 @@
         return ranking
 
     def _unsearched_fits(self, spec: Submission) -> list[MachineCapacity]:
-        """Return the open machines that fit such a task, except those known to be too full."""
+        """Return the open machines that fit a task, except those that a search found too full."""
         last_search = self._no_fit.get(request_key(spec))
         first = 0
         if last_search is not None and (
--- a/micadeal/scheduling/cluster_state.py
+++ b/micadeal/scheduling/cluster_state.py
@@ -41,7 +41,7 @@
 LEASE_MARGIN = seconds(1.5)
 #: Added to the time that a task needs to save its checkpoint.
 GRACE_MARGIN = seconds(2)
-#: Most images whose sizes are kept; the least recently submitted one is dropped first.
+#: Maximum number of images whose sizes are kept; the least recently submitted one is dropped first.
 MAX_IMAGE_SIZES = 2000
 
 
@@ -106,9 +106,9 @@
     #: Job class of each completed task, and its run time as a multiple of its estimate.  Collected
     #: only while deferral is switched on; None otherwise.
     completed_run_times: list[tuple[str, float]] | None = None
-    #: Jobs whose tasks had all started, according to the previous leader's last report.
+    #: Jobs whose unfinished tasks all ran, according to the previous leader's last report.
     fully_started_jobs: frozenset[str] = frozenset()
-    #: Jobs that are over, of which users have not been notified yet.
+    #: Jobs that are over, whose ends the leader has not reported to its controller yet.
     unreported_ends: list[str] = field(default_factory=list)
     #: Dependencies between jobs.
     dependencies: JobDependencies = field(init=False)
@@ -137,7 +137,7 @@
     def job_record_removed(self, job_id: str, now: timedelta) -> None:
         """Stop all tasks of a job that is done or cancelled, as the removal of its record shows.
 
-        Its end record tells dependent jobs which of the two it is.
+        The record of the job's end shows dependent jobs which of the two it is.
         """
         self.dependencies.retry_end(job_id)
         job = self.jobs.get(job_id)
@@ -152,7 +152,7 @@
         self._remove_if_gone(job)
 
     def job_ended(self, job_id: str, end: EndRecord, now: timedelta) -> None:
-        """Apply the recorded end of a job: its tasks on machines only have to exit."""
+        """Apply the recorded end of a job, and stop its tasks on machines."""
         job = self.jobs.get(job_id)
         if job is not None and end.status is Status.DONE:
             job.recorded_finished |= job.finished
@@ -221,7 +221,7 @@
         self.changed = True
 
     def stop(self, attempt: Attempt, grace: timedelta, now: timedelta) -> None:
-        """Request the stop of an attempt; of two grace periods the shorter one applies."""
+        """Request the stop of an attempt; a further request can only shorten the grace period."""
         if attempt.stop_grace is not None and attempt.stop_grace <= grace:
             return
         attempt.stop_grace = grace
@@ -262,7 +262,7 @@
             self.unwritten_placements.pop(attempt, None)
 
     def placement_record_missing(self, key: str) -> None:
-        """Note that the state service holds no such record: its attempts are written again."""
+        """Note that there is no record under ``key``: its remaining attempts are written again."""
         self.stale_records.pop(key, None)
         for attempt in self.records.pop(key, OrderedSet()):
             attempt.record = None
--- a/micadeal/scheduling/deferral.py
+++ b/micadeal/scheduling/deferral.py
@@ -261,7 +261,10 @@
 
 
 def _is_deferrable(job: Job) -> bool:
-    """Return whether the job has a deadline, is not urgent and has no started tasks."""
+    """Return whether the job has a deadline and only pending tasks.
+
+    Services and production jobs are never deferred.
+    """
     return (
         job.latest is not None
         and not job.is_service
--- a/micadeal/scheduling/delay.py
+++ b/micadeal/scheduling/delay.py
@@ -69,9 +69,9 @@
         return seconds(spec.image_gb / kind.fetch_gb_per_s * DELAY_FETCH_SHARE)
 
     def _end_rate(self, spec: Submission) -> float:
-        """Return the rate, per second, at which ending tasks leave capacity for such a task.
+        """Return the rate, per second, at which ending tasks free capacity for a task.
 
-        Only machines that cache its image count.
+        ``spec`` describes the task.  Only machines that cache its image count.
         """
         key = (spec.image, *request_key(spec))
         cached_rate = self._end_rates.get(key)
@@ -84,7 +84,7 @@
         return rate
 
     def _ending_estimates(self, spec: Submission) -> Iterator[float]:
-        """Yield the estimates of running tasks whose end leaves capacity for such a task."""
+        """Yield the estimates of running tasks whose end frees capacity for a task of ``spec``."""
         for machine in self._machines_caching(spec.image):
             free = machine.free_capacity
             if free is None or not placement_allowed(
--- a/micadeal/scheduling/machine_inventory.py
+++ b/micadeal/scheduling/machine_inventory.py
@@ -14,7 +14,7 @@
 from micadeal.scheduling.scale_in import ReturnReason
 from micadeal.wire.cloud import ListedMachine, RentalRequest
 
-#: Most machines in one rental request.
+#: Maximum number of machines in one rental request.
 MAX_PER_RENTAL = 50
 #: Status of a machine in the cloud's list.
 LISTED_BOOTING = "booting"
--- a/micadeal/scheduling/machine_loss.py
+++ b/micadeal/scheduling/machine_loss.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger(__name__)
 
-#: Most names of removed machines that are kept; the oldest is dropped first.
+#: Maximum number of names of removed machines that are kept; the oldest is dropped first.
 MAX_REMOVED_MACHINES = 20_000
 
 
--- a/micadeal/scheduling/preemption.py
+++ b/micadeal/scheduling/preemption.py
@@ -78,7 +78,7 @@
             self._victims[name] = [v for v in self._victims[name] if v is not victim]
 
     def _surplus(self, resource: str) -> dict[str, float]:
-        """Return how many units of running tasks each team has above its minimum.
+        """Return how many units of running tasks each team has above its guarantee.
 
         Reserved capacity does not count: preemption frees only what tasks use.
         """
--- a/micadeal/scheduling/reported_tasks.py
+++ b/micadeal/scheduling/reported_tasks.py
@@ -87,7 +87,7 @@
     if not cluster.placed_by_this_leader(attempt):
         # Only a response of an earlier leader can start it.  The worker drops such responses once
         # it has seen this leader's token; until then a delayed heartbeat proves nothing.
-        # Guards ``ran_twice``: with two leaders, one delayed heartbeat would break it.
+        # Guards ``ran_twice``: with two leaders, one delayed heartbeat could make a task run twice.
         return machine.has_current_token
     if attempt.start_sent_in is None:
         return False
@@ -155,7 +155,7 @@
 def _handle_exit(
     cluster: ClusterState, machine: Machine, key: AttemptKey, task: TaskStatus, now: timedelta
 ) -> None:
-    """Apply the exit of a task, which workers report until they are told to forget it."""
+    """Apply the exit of a task, which workers report until a command makes them forget it."""
     job_id, index, _ = key
     done = task.why == CAUSE_DONE
     reported = (task.task, task.attempt)
--- a/micadeal/scheduling/scale_in.py
+++ b/micadeal/scheduling/scale_in.py
@@ -18,16 +18,16 @@
 #: An idle machine is kept for this share of its type's boot time: renting another one costs a boot
 #: and the fetch of its images, and work waits for both.
 IDLE_BOOT_TIME_SHARE = 0.5
-#: Boot times of unknown machine types: for giving up a boot, and for returning idle machines.
+#: Assumed boot times of unknown machine types: to give up a boot, and to return idle machines.
 UNKNOWN_BOOT_S = 60.0
 UNKNOWN_IDLE_BOOT_S = 30.0
 #: A silent machine is returned this long after its lease expired.
 UNREACHABLE_TIMEOUT = seconds(45)
-#: The same for a machine that may still run tasks: only the cloud's confirmation proves that they
-#: have ended.
+#: A silent machine that may still run tasks is returned this long after its lease expired: only the
+#: cloud's confirmation proves that the tasks have ended.
 UNREACHABLE_WITH_TASKS_TIMEOUT = seconds(3)
-#: After the time given in its reclaim notice, a machine counts as gone after this many heartbeat
-#: intervals without a heartbeat.
+#: Once the time given in its reclaim notice has passed, a machine counts as gone after this many
+#: heartbeat intervals without a heartbeat.
 RECLAIMED_TIMEOUT_HEARTBEATS = 1.5
 #: A machine without heartbeats is returned if more than this many lists in a row do not name it.
 MAX_MISSING_LISTS = 3
@@ -150,7 +150,7 @@
         """Return whether a silent machine is most likely gone.
 
         Returning it is then better than waiting for its lease to expire: the cloud's confirmation
-        is certain, and its tasks start elsewhere sooner.
+        is certain, and the machine's tasks start elsewhere sooner.
         """
         if machine.last_heartbeat_at is None or (
             machine.reclaim_expected_at is None and machine.absent_list_count <= 1
@@ -173,9 +173,9 @@
         return now - machine.up_since > heartbeat * UNKNOWN_TIMEOUT_HEARTBEATS
 
     def _lease_expired_without_responses(self, machine: Machine, now: timedelta) -> bool:
-        """Return whether its lease has expired because responses do not reach it.
+        """Return whether a machine's lease has expired because responses do not reach it.
 
-        This holds regardless of what was answered to it: its tasks were moved or are lost.
+        The content of the responses does not matter: the machine's tasks were moved or are lost.
         """
         return (
             machine.reachability.no_responses_for(now) > self._lease_expiry
--- a/micadeal/scheduling/scale_out.py
+++ b/micadeal/scheduling/scale_out.py
@@ -46,8 +46,8 @@
     ) -> MachineCapacity | None:
         """Plan the cheapest machine on which one task fits; return None if there is none.
 
-        ``warm``: the machine is for expected work only.  If this work may use spot machines, an
-        on-demand machine is not worth its price.
+        ``warm``: the machine is for expected work only.  If this work may use spot machines, no
+        on-demand machine is planned, since it is not worth its price.
         """
         if self._exhausted:
             return None
--- a/micadeal/scheduling/status_counts.py
+++ b/micadeal/scheduling/status_counts.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-#: Most jobs named in one message to the other controllers.
+#: Maximum number of jobs named in one message to the other controllers.
 MAX_JOBS_PER_MESSAGE = 2000
 #: A new leader logs when it has received heartbeats of these shares of the machines in use.
 HEARTBEAT_SHARES = (0.5, 0.65, 0.9)
--- a/micadeal/scheduling/worker_commands.py
+++ b/micadeal/scheduling/worker_commands.py
@@ -41,7 +41,7 @@
 
 
 def _forget_commands(cluster: ClusterState, machine: Machine) -> list[Command]:
-    """Return commands to forget exited tasks; a completed task only once that is recorded."""
+    """Return commands to forget exited tasks; a completed one only once it is recorded."""
     commands: list[Command] = []
     for (task, number), exited in machine.exited.items():
         job = cluster.jobs.get(exited.job_id)
