--- a/bench/fault_histories.py
+++ b/bench/fault_histories.py
@@ -5,9 +5,9 @@
 
 The histories take all pairs of faults in turn, at instants drawn from the seed
 (``tests/fakes/fault_histories.py``).  Violations are printed with their seed.  ``--seed`` repeats
-one history; ``--events FILE`` also writes every request that it sends, which are the same for the
-same seed in every process.  With ``--split-jobs`` descriptions of jobs are stored in parts.  The
-exit code is 1 if a rule was broken.
+one history; ``--events FILE`` also writes all requests that it sends, which are the same in every
+process.  With ``--split-jobs`` descriptions of jobs are stored in parts.  The exit code is 1 if a
+rule was broken.
 
 ``--guards`` disables each guard of the code in turn and plays histories with the faults that the
 guard protects against until one breaks a rule.  The exit code is 1 if no rule was broken without
--- a/bench/model_follower_leases/moves.py
+++ b/bench/model_follower_leases/moves.py
@@ -112,7 +112,7 @@
         """Let one controller ping another; the answer arrives immediately or late."""
         controllers, false_inputs = state.controllers, self.false_inputs
         leading_token = TOKEN if asker == LEADER and state.leads else 0
-        # A leader neither asks for a vote nor gives one: only its list is requested.
+        # A leader neither asks for a vote nor gives one: pings from and to it request only a list.
         asks_for_list_only = leading_token or (peer == LEADER and state.leads)
         requested_vote_token = (
             0 if asks_for_list_only else controller_state(controllers[asker]).token
--- a/bench/model_rollout/state.py
+++ b/bench/model_rollout/state.py
@@ -129,7 +129,7 @@
 
 
 def build_of(highest_level: int) -> Build:
-    """Return the build that knows the levels up to ``kind``."""
+    """Return the build that knows the levels up to ``highest_level``."""
     return Build(f"to {highest_level}", 0, highest_level)
 
 
--- a/bench/night.py
+++ b/bench/night.py
@@ -56,7 +56,7 @@
     def __init__(self, seed: int, machines: int = 12, worst_estimate_factor: float = 1.6) -> None:
         """Generate a night.
 
-        ``machines``: how many can be rented at the same time; ``worst_estimate_factor``: the
+        ``machines``: number that can be rented at the same time; ``worst_estimate_factor``: the
         largest ratio of a run time to its estimate.
         """
         self.machines = machines
--- a/bench/reachability_world.py
+++ b/bench/reachability_world.py
@@ -218,7 +218,7 @@
         )  # fmt: skip
 
     def _send(self) -> None:
-        """Send a heartbeat.  One is pending at a time: a response to an earlier one is dropped."""
+        """Send a heartbeat.  Only one is pending: a response to an earlier one is dropped."""
         self.response = None
         self.heartbeat_sent_at = self.now
         self.in_flight = self._status()
--- a/tests/fakes/faults/state_service.py
+++ b/tests/fakes/faults/state_service.py
@@ -31,7 +31,7 @@
 
 
 async def outage_after_election(context: FaultContext) -> None:
-    """Do the same to a newly elected leader that loads its records slowly."""
+    """Refuse a newly elected leader that loads its records slowly; then refuse all requests."""
     former = context.leader()
     read_delay_s = context.random.choice([0.0, 0.4, 1.5, 30.0])
 
--- a/tests/soak/relays.py
+++ b/tests/soak/relays.py
@@ -29,7 +29,7 @@
 MAX_CONNECTIONS = 2000
 #: Idle connections kept open to one controller.
 MAX_IDLE_CONNECTIONS = 64
-#: Longer than the timeout of any caller; a watch adds the time for which it is held.
+#: Longer than the timeout of any caller; for a watch, the time for which it is held is added.
 REQUEST_TIMEOUT = seconds(10)
 ADDRESS_FIELD = "addr"
 
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -1,4 +1,4 @@
-"""Machines that boot late or never, or all boot slowly: no fixed time limit decides."""
+"""Machines that boot late or never, or all boot slowly: no fixed limit decides which are late."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     async def scenario(world: World) -> None:
         world.cloud.never_boot = {2}
         job = await world.run_job("array", 8, run_s=60.0, accelerators=2.0)
-        # If the machine were only given up after three boot times, this would take 10 s longer.
+        # If the machine were given up only after three boot times, this would take 10 s longer.
         await world.wait_until(lambda: world.running(job) == 4, limit=36)
         await world.wait_until_done(job)
         await world.wait_until(lambda: "i-000002" in world.cloud.releases, limit=60)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -142,7 +142,7 @@
 
     A delayed write stores a placement again after its key was used and deleted.  The placement
     names an attempt that never started.  The next leader has to assume that this attempt may be
-    running, and then its machine is removed.
+    running.  Then the machine of this attempt is removed.
     """
     cluster = ClusterState(TOKEN, WORKERS, {}, ZERO)
     job = Job(spec(shape=Shape.GANG, tasks=2), ZERO, 1)
--- a/tests/test_failover_under_load.py
+++ b/tests/test_failover_under_load.py
@@ -78,7 +78,7 @@
 def test_a_burst_of_cancellations_of_jobs_that_fetch_images_is_confirmed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Of a hundred concurrent cancellations few wait at the leader: pings use its connections too.
+    """Few of a hundred concurrent cancellations wait at the leader: pings need its connections.
 
     All are confirmed soon, and no task starts after that.
     """
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -83,9 +83,9 @@
 ) -> None:
     """Two leaders answer workers, since the earlier one can't read that it was replaced.
 
-    It learns this from the later leader's ping and redirects workers.  If it is cut off from its
-    peers as well, it stops answering in time for jobs cancelled through the later leader, although
-    one worker reaches no other controller.
+    The earlier leader learns this from the later leader's ping and redirects workers.  If it is
+    also cut off from its peers, it stops answering workers early enough for jobs cancelled through
+    the later leader.  One worker reaches no other controller.
     """
 
     async def scenario(world: World) -> None:
@@ -153,7 +153,8 @@
 ) -> None:
     """Guards running tasks: a leader elected after a crash can read no records in an outage.
 
-    Its peers have kept cancellation lists for long enough, no matter which controller observed it.
+    Its peers have kept cancellation lists for long enough.  The leader has just started, so it
+    infers this from the start times of the peers' processes.
     """
 
     async def scenario(world: World) -> None:
@@ -186,9 +187,9 @@
 ) -> None:
     """Guards running tasks: no cancellation list is complete shortly after a restart.
 
-    The leader's last answered watch was opened before the cancellation, but a cancellation that is
-    on no list was recorded before that watch.  In fault histories with gaps at elections 366 tasks
-    ended at the same time.
+    The leader's last answered watch was opened before this cancellation.  Still the leader knows
+    all cancellations: those that are on no list were recorded before that watch was opened.  In
+    fault histories with gaps at elections 366 tasks ended at the same time.
     """
 
     async def scenario(world: World) -> None:
@@ -237,7 +238,7 @@
 def test_failover_while_machines_with_long_tasks_are_unreachable(
     monkeypatch: pytest.MonkeyPatch, fault: str, unreachable_s: float
 ) -> None:
-    """No task is lost within a lease; after it each is started at most once more.
+    """No task is lost within a lease; after the lease each is started at most once more.
 
     The job that is cancelled meanwhile ends in time.  The machines are used again, or returned.
     """
@@ -301,7 +302,7 @@
             await curio.sleep(down_s)
             await world.start(leader)
             await curio.sleep(0.2)
-            # During the election that follows.
+            # Crash another controller during the election that follows.
             other = (leader + 1 + number % 2) % 3
             world.crash(other)
             await curio.sleep(down_s)
@@ -311,7 +312,7 @@
             world.crash(number)
         await world.start(1)
         await world.wait_until(lambda: world.leader() == 1, limit=10)
-        # No other controller can know of it: it is not confirmed before its tasks have ended.
+        # No other controller is up: the cancellation is confirmed only after its tasks have ended.
         assert await world.cancel(cancelled_job, 1) is None or not world.tasks_on_machines(
             cancelled_job
         )
@@ -391,7 +392,7 @@
 def test_delayed_commands_stop_only_what_they_name(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Stop commands arrive after their reason has passed, also under a later leader."""
+    """Stop commands arrive after their reason has passed, even under a later leader."""
 
     async def scenario(world: World) -> None:
         service, cancelled_job = await start_two_jobs(world)
@@ -435,7 +436,7 @@
         service = await world.run_job("daemon", 3, scatter=True, rank="production")
         job = await world.run_job("array", 3, run_s=9.0, crew="blue")
         await world.wait_until(lambda: world.running(job) == 3)
-        # The others take longer; the machine of one of them is stalled meanwhile.
+        # The other two tasks take longer; the machine of one of them is stalled meanwhile.
         slow_workers = [worker for worker, _ in world.tasks_on_machines(job)][1:]
         slow_workers[1].stalled = True
         first_leader = leader_of(world)
--- a/tests/test_follower_leases.py
+++ b/tests/test_follower_leases.py
@@ -238,7 +238,7 @@
 def test_machine_stalls_during_handover_from_follower_to_new_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It resumes within its lease under the new leader; spot machines are reclaimed before that."""
+    """A machine resumes within its lease under a new leader, after spot machines were reclaimed."""
 
     async def scenario(world: World) -> None:
         service = await _start_service(world)
--- a/tests/test_forgotten_jobs.py
+++ b/tests/test_forgotten_jobs.py
@@ -1,4 +1,4 @@
-"""The checker of the rule ``forgotten``: answers that violate each form, or are just allowed."""
+"""The checker of the rule ``forgotten``: answers that violate it in each way or just comply."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     return jobs.record(RequestKind.STATUS, job_id, status, now, now)
 
 
-def violated_forms(
+def violated_kinds(
     jobs: ForgottenJobs, until: float, others: list[list[int]]
 ) -> list[ViolationKind]:
-    """Poll ``lost``, which is never answered, and other jobs; return the violated forms.
+    """Poll ``lost``, which is never answered, and other jobs; return the kinds of violations.
 
     ``others``: for each other job, the HTTP statuses with which it is answered in turn.
     """
@@ -65,8 +65,8 @@
 
 def test_job_unanswered_for_90_s_while_most_others_are_answered_is_a_violation() -> None:
     others, statuses = ["other-0", "other-1"], [[200], [503, 200, 0]]
-    assert violated_forms(checker("lost", *others), ALONE_S - POLL_S, statuses) == []
-    assert violated_forms(checker("lost", *others), ALONE_S, statuses) == [
+    assert violated_kinds(checker("lost", *others), ALONE_S - POLL_S, statuses) == []
+    assert violated_kinds(checker("lost", *others), ALONE_S, statuses) == [
         ViolationKind.UNANSWERED_ALONE
     ]
 
@@ -74,14 +74,14 @@
 def test_job_unanswered_while_most_others_are_not_answered_either_is_allowed() -> None:
     others = ["other-0", "other-1"]
     assert (
-        violated_forms(checker("lost", *others), 2 * AFTER_FAULTS_S, [[503, 200, 0], [0, 503, 200]])
+        violated_kinds(checker("lost", *others), 2 * AFTER_FAULTS_S, [[503, 200, 0], [0, 503, 200]])
         == []
     )
 
 
 def test_one_answer_restarts_the_time_limit() -> None:
     jobs = checker("lost", "other-0")
-    assert violated_forms(jobs, ALONE_S - POLL_S, [[200]]) == []
+    assert violated_kinds(jobs, ALONE_S - POLL_S, [[200]]) == []
     assert ask(jobs, "lost", 200, ALONE_S - 1) is None
     assert ask(jobs, "other-0", 200, ALONE_S) is None
     assert ask(jobs, "lost", 503, ALONE_S) is None
@@ -96,11 +96,11 @@
 def test_job_unanswered_for_75_s_after_all_faults_is_a_violation_regardless_of_others() -> None:
     jobs = checker("lost", "other-0")
     jobs.end_faults(10.0)
-    violated = violated_forms(jobs, 10.0 + AFTER_FAULTS_S, [[200]])
+    violated = violated_kinds(jobs, 10.0 + AFTER_FAULTS_S, [[200]])
     assert violated == [ViolationKind.UNANSWERED_AFTER_FAULTS]
     alone = checker("lost")
     alone.end_faults(0.0)
-    assert violated_forms(alone, AFTER_FAULTS_S - POLL_S, []) == []
+    assert violated_kinds(alone, AFTER_FAULTS_S - POLL_S, []) == []
     alone.begin_faults()
     assert ask(alone, "lost", 0, AFTER_FAULTS_S) is None
 
--- a/tests/test_leader_term.py
+++ b/tests/test_leader_term.py
@@ -41,7 +41,7 @@
 
 
 def test_leader_acts_before_its_records_are_read_only_if_peers_know_all_cancellations() -> None:
-    """Guards ``ran_cancelled``, like the test above."""
+    """Guards ``ran_cancelled``: otherwise the leader may not know of a cancellation."""
     unread = Term(token=5, lease=1, valid_until=seconds(99), cancellations_read_until=None)
     cancellations_known_until = seconds(8)
     assert unread.authority(seconds(9), [], seconds(14), seconds(34)) is Authority.NONE
--- a/tests/test_partition_scenarios.py
+++ b/tests/test_partition_scenarios.py
@@ -88,8 +88,8 @@
 ) -> None:
     """Guards against waiting for a second lease expiry.
 
-    The records name tasks on machines that were returned, which the next leader could not tell from
-    unreachable ones.
+    The records name tasks on machines that were returned.  The next leader could not tell these
+    machines from unreachable ones.
     """
 
     async def scenario(world: World) -> None:
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -79,7 +79,7 @@
         }
 
     def placements(self) -> dict[str, PlacedRecord]:
-        """Return the records of placements, also empty ones."""
+        """Return the records of placements, including empty ones."""
         return {
             key: convert(PlacedRecord, item.value)
             for key, item in self.keys.items()
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -268,7 +268,7 @@
 def test_controller_that_reaches_only_its_workers_delays_no_other(
     monkeypatch: pytest.MonkeyPatch, leads: bool, mode: str
 ) -> None:
-    """As leader it is replaced by another; as follower it reports that it can't serve."""
+    """An isolated leader is replaced; an isolated follower reports that it can't serve."""
 
     async def scenario(world: World) -> None:
         service = await world.run_job("daemon", 4, scatter=True, rank="production")
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -107,8 +107,9 @@
 ) -> None:
     """The leader knows of the end that it wrote, while a follower may not.
 
-    A follower's answer that comes after another controller's "done" belongs to a request sent
-    before that, and is at most as old as the follower's read.
+    After another controller has answered "done", a follower may still give an older status, but
+    only to a request that was sent before that answer.  The status is at most as old as the
+    follower's read.
     """
 
     async def scenario(world: World) -> None:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -124,7 +124,7 @@
         assert world.level() == 0 and "the settings hold the level at 0" in await pending_reasons(
             world
         )
-        # The leader and one follower are partitioned: only the other follower reaches that one.
+        # Cut the leader off from one follower, which only the other follower still reaches.
         leader = leader_of(world)
         for other in range(3):
             if other != leader:
@@ -153,7 +153,7 @@
         await replace_controller(world, 1, 1.0, **BEFORE_LEVELS)
         await world.wait_until(lambda: world.leader() == 2, limit=10)
         await curio.sleep(5)
-        # As followers they serve users with record layouts that have not changed.
+        # As followers, earlier versions serve users: the records that this needs kept their layout.
         for number in range(2):
             other = world.job("daemon", 1, run_s=0.0, crew="blue")
             status, _ = await world.call(number, "POST", "/work", world.fleet.jobs[other].spec)
@@ -258,7 +258,7 @@
         await world.wait_until(lambda: world.level() == 0, limit=60)
         assert not any(k.startswith("finished/") for k in world.state.keys)
         assert "seat/held" not in world.state.keys
-        # An earlier version may be started only after the lowering; it leads with these records.
+        # Earlier versions may be started only after the lowering; then they can read all records.
         for number in range(3):
             await replace_controller(world, number, 1.0, **BEFORE_LEVELS)
         await world.wait_until(lambda: world.leader() is not None, limit=10)
@@ -278,7 +278,7 @@
 
 @pytest.mark.parametrize("lost", ["before", "after"])
 def test_raise_with_unknown_outcome_keeps_term(monkeypatch: pytest.MonkeyPatch, lost: str) -> None:
-    """The transaction is applied late, or its response is lost; the leader reads it back."""
+    """The transaction is applied late, or its response is lost; the leader reads the outcome."""
 
     async def scenario(world: World) -> None:
         handle = world.state.handle
@@ -328,7 +328,7 @@
 def test_partitioned_leader_delays_raise_and_does_not_undo_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its successor raises the level; the old leader's requests are delivered after that."""
+    """The next leader raises the level once it sees the old one, whose late writes do no harm."""
 
     async def scenario(world: World) -> None:
         await set_highest_level(world, 0)
@@ -342,7 +342,7 @@
         await set_highest_level(world, None)
         await curio.sleep(6)
         assert world.level() == 0 and f"c{old} is silent" in await pending_reasons(world)
-        # If it were lost permanently, the operator would remove it from the settings.
+        # If the old leader were lost permanently, operators would remove it from the settings.
         for host in ("state", "cloud", *(f"c{n}" for n in others)):
             await world.network.heal(f"c{old}", host)
         await world.wait_until(lambda: world.level() == 1, limit=10)
@@ -356,7 +356,7 @@
 def test_partitioned_follower_serves_users_after_raise(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Partitioned from its peers only, it accepts requests of users at the old level."""
+    """A follower partitioned only from its peers accepts users' requests at the old level."""
 
     async def scenario(world: World) -> None:
         await set_highest_level(world, 0)
@@ -373,7 +373,7 @@
         status, _ = await world.call(follower, "POST", "/work", world.fleet.jobs[other].spec)
         assert status == 201
         world.rules.accept(other)
-        assert await world.cancel(job, follower) is None  # too few peers can learn of it
+        assert await world.cancel(job, follower) is None  # not confirmed: too few peers know it
         await world.wait_until_done(other)
         await world.wait_until(lambda: not world.tasks_on_machines(job), limit=30)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -194,7 +194,7 @@
     assert all(
         a.recorded for m in deployment.cluster.machines.values() for a in m.attempts.values()
     )
-    # As tasks end, records are deleted or merged: those stored are those of the attempts left.
+    # As tasks end, records are deleted or merged: only those of remaining attempts stay stored.
     stored: set[str] = {op.key for b in written for op in b.operations}
     for _ in range(40):
         for name in deployment.cluster.machines:
@@ -263,7 +263,7 @@
     """Guards against preempting the same gang in every cycle.
 
     An array that may use spot uses an on-demand machine only if a task that must not run on spot is
-    there.  Once the gang on it were preempted, the array would not start there, and the gang would
+    there.  If the gang on it were preempted, the array would not start there, and the gang would
     take its place again.
     """
     deployment = RandomDeployment(3, 0, 2)
--- a/tests/test_split_jobs_at_takeover.py
+++ b/tests/test_split_jobs_at_takeover.py
@@ -71,7 +71,7 @@
 
 
 def test_jobs_accepted_between_the_pages_of_a_listing_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the same loss if a listing has several pages.
+    """Guards against the loss of jobs accepted while a listing with several pages is read.
 
     Two jobs are accepted between two pages: one whose key lies in the pages already read, so that
     it is not listed, and one whose key lies after them.
--- a/tests/test_start_invariants.py
+++ b/tests/test_start_invariants.py
@@ -1,4 +1,4 @@
-"""A start command that would break a rule is withheld and reported, whatever decided on it."""
+"""A start command that would break a rule is withheld and reported, whatever caused it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def mark_job_as_over(_: ClusterState, job: Job, __: Machine) -> None:
-    # Ending a job normally stops its attempts; here one was missed.
+    # Ending a job normally stops all its attempts; here one attempt was missed.
     job.ended = True
 
 
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -173,7 +173,7 @@
             await group.spawn(check_version, "a", version)
             await group.spawn(check_version, "b", version - 1)
             await group.spawn(check_version, "b", version)
-        # Of two versions of one key, only the last is compared.  False for the other: "unknown".
+        # Only the last of two versions of a key is compared.  The other gets False: unknown.
         assert results == {("a", version): True, ("b", version - 1): False, ("b", version): True}
         assert fake.requests == sent + 1
 
--- a/tests/test_unanswered_jobs.py
+++ b/tests/test_unanswered_jobs.py
@@ -71,8 +71,8 @@
 
     A follower is cut off from the leader, and the state service answers it 0.3 s late.  Without the
     leader's confirmation that cancellations have reached all dependent jobs, the follower reads the
-    records of all ancestors, level by level.  It kept nothing between requests: independent jobs
-    were answered by comparing the version read before, while ancestors were read again each time.
+    records of all ancestors, level by level.  The follower kept no ancestors between requests and
+    read them again each time.  For independent jobs it only compared the version read before.
     None of 19 requests in 95 s was answered.
     """
 
@@ -94,7 +94,7 @@
 def test_each_request_reads_only_ancestors_that_earlier_ones_did_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One answer can't read all ancestors; records read before are only compared later."""
+    """One request can't read all ancestors; later ones only compare records already read."""
     monkeypatch.setattr("micadeal.controller.api.dependencies.MAX_ANCESTOR_READS", 4)
 
     async def scenario(world: World) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -95,7 +95,7 @@
         for number in range(3):
             leader = world.leader()
             assert leader is not None
-            await restart(leader)  # an ordinary restart: its version stays
+            await restart(leader)  # restarts with the same version
             versions[number] = False
             await restart(number)
             await world.run_job("array", 1, run_s=3.0)
@@ -128,7 +128,7 @@
         large_job = await world.run_job("array", 30_000, crew="blue", vcpus=4.0, **SMALL_TASK)
         for number in range(3):
             world.crash(number)
-        # Written by an earlier version, or by this one before limits dropped.
+        # Store large chunks as an earlier version did, or this version before the limits dropped.
         stored_indices = [index for index in range(29_980) if index % 2_000 != 1_999]
         for chunk in range(2):
             bits = encode_bit_set(
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -313,7 +313,7 @@
 
 @pytest.mark.parametrize("name", sorted(FIELDS_ADDED_LATER))
 def test_fields_added_later_are_read_and_written_to_the_same_bytes(name: str) -> None:
-    """Check the full case with the added fields; without these the bytes are unchanged."""
+    """Check the full case extended by the added fields; cases without them keep their bytes."""
     added = json.loads((GOLDEN / "wire_additions.json").read_text())[name]
     data = bytes.fromhex(added["hex"])
     value = read(name, data)
