--- a/micadeal/actor.py
+++ b/micadeal/actor.py
@@ -20,7 +20,7 @@
 
 
 class MailboxFullError(Exception):
-    """The mailbox is full: the sender should say "later" to whoever asked it."""
+    """The mailbox is full; the sender should ask its own client to retry later."""
 
 
 class _Envelope:
@@ -30,14 +30,14 @@
 
     def __init__(self, message: Any, answered: curio.Event | None = None) -> None:
         self.message = message
-        #: None: nobody waits for the result.
+        #: None if no sender waits for the result.
         self.answered = answered
         self.result: Any = None
         self.failure: Exception | None = None
 
 
 class Actor:
-    """A mailbox and the one task that reads it (``run``).
+    """A mailbox and the single task that reads it (``run``).
 
     A subclass handles the messages in ``receive``.
     """
@@ -48,7 +48,7 @@
         self._capacity = capacity
 
     async def receive(self, message: Any) -> Any:
-        """Handle one message; the result goes to whoever asked."""
+        """Handle one message and return the result for ``ask``."""
         raise NotImplementedError
 
     async def tell(self, message: Any) -> None:
@@ -56,11 +56,12 @@
         await self._post(_Envelope(message))
 
     async def tell_unbounded(self, message: Any) -> None:
-        """Send a message from a task that the actor itself has started: it is never refused.
+        """Send a message from a task that the actor itself has started; it is never refused.
 
-        Guards against work that stops for ever after a short overload: an outcome that was dropped
-        would be waited for without end, and a watch that ended on a full mailbox would never come
-        back.  There are as many of these as tasks under way, not as many as others care to send.
+        Guards against work that stops permanently after a short overload: the actor would wait
+        without end for the result that was dropped, and a watch that ended because of a full
+        mailbox would never be restarted.  The number of these messages is bounded by the tasks
+        that the actor has started, whereas other senders are not bounded.
         """
         await self._mailbox.put(_Envelope(message))
 
@@ -90,7 +91,7 @@
             try:
                 envelope.result = await self.receive(envelope.message)
             except Exception as failure:
-                # Garbage from outside must not end the process: it costs its sender an answer.
+                # A malformed message must not end the process; only its own request fails.
                 log.exception(
                     "message failed: actor=%s message=%s",
                     type(self).__name__,
@@ -102,12 +103,12 @@
 
 
 async def keep_running(name: str, work: Callable[[], Awaitable[None]]) -> None:
-    """Run ``work`` for as long as the process lives, again after every fault."""
+    """Run ``work`` until the process ends, and restart it whenever it ends or fails."""
     while True:
         try:
             await work()
             log.warning("task ended, restarting: task=%s", name)
         except Exception:
-            # Any fault of one task is logged here; the others go on.
+            # A failure of one task must not stop the others.
             log.exception("task failed, restarting: task=%s", name)
         await sleep(RESTART_INTERVAL)
--- a/micadeal/cli/__init__.py
+++ b/micadeal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of commands, and what they share."""
+"""The command line: one module per group of commands, and shared helpers."""
--- a/micadeal/cli/__main__.py
+++ b/micadeal/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line with ``python -m micadeal.cli``."""
+"""Run the command line with ``python -m micadeal.cli``."""
 
 from micadeal.cli.main import main
 
--- a/micadeal/cli/log_rate_limit.py
+++ b/micadeal/cli/log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Limits how often like messages are logged, as a stream of malformed requests causes them."""
+"""Rate limit for repeated log messages, such as those that malformed requests cause."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from micadeal.clock import ZERO, seconds
 
-#: Of warnings and errors that differ in their values only, this many are logged in one period.
+#: Warnings and errors with the same template that are logged in one period.
 MAX_RECORDS_PER_PERIOD = 20
 PERIOD = seconds(10)
-#: Kinds of messages counted; templates are the program's own, so there are not many.
-MAX_KINDS = 1000
+#: Templates counted at a time.  They are literals of the program, so there are not many.
+MAX_TEMPLATES = 1000
 
 
 class _Window(NamedTuple):
-    """The current period of one kind of messages."""
+    """The current period of one template, and the records counted in it."""
 
-    began: timedelta
+    started_at: timedelta
     records: int
 
 
 class LogRateLimitFilter(logging.Filter):
-    """Passes the first of like warnings and errors in each period, and all lesser records.
+    """Passes a limited number of warnings and errors of one template in each period.
 
-    Records are alike if they share logger and template.  The first record of a later period says
-    how many were left out.
+    Records of lower levels always pass.  Templates are counted separately for each logger.  The
+    first record of a later period says how many were omitted.
     """
 
     def __init__(self) -> None:
@@ -34,18 +34,18 @@
         self._windows: dict[tuple[str, object], _Window] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether the record is to be logged; may add to its message."""
+        """Return whether to log the record; may append the number of omitted ones to it."""
         if record.levelno < logging.WARNING:
             return True
-        kind = (record.name, record.msg)
+        template = (record.name, record.msg)
         now = seconds(record.created)
-        window = self._windows.get(kind, _Window(now, 0))
-        if not ZERO <= now - window.began < PERIOD:
+        window = self._windows.get(template, _Window(now, 0))
+        if not ZERO <= now - window.started_at < PERIOD:
             omitted = window.records - MAX_RECORDS_PER_PERIOD
             if omitted > 0:
                 record.msg = f"{record.msg} ({omitted} more like it were left out)"
             window = _Window(now, 0)
-        if len(self._windows) >= MAX_KINDS:
+        if len(self._windows) >= MAX_TEMPLATES:
             self._windows.clear()
-        self._windows[kind] = _Window(window.began, window.records + 1)
+        self._windows[template] = _Window(window.started_at, window.records + 1)
         return window.records < MAX_RECORDS_PER_PERIOD
--- a/micadeal/cli/text_output.py
+++ b/micadeal/cli/text_output.py
@@ -1,6 +1,6 @@
-"""Controllers' answers as text for people.
+"""Formats controllers' answers as text.
 
-Answers are decoded without types, so that answers of other versions can be shown, too.
+Answers are decoded without types, so that answers of other versions can be shown as well.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def show_why(answer: dict[str, Any]) -> str:
-    """Return a job's state, and the reasons why its tasks wait."""
+    """Return the state of a job and the reasons why its tasks wait, one per line."""
     lines = [
         f"{answer['job_id']} (team {answer.get('team') or '-'}): {answer['status']}, "
         f"submitted {answer.get('waiting_s', 0):.0f} s ago",
@@ -31,7 +31,7 @@
 
 
 def show_overview(answer: dict[str, Any]) -> str:
-    """Return the state of the deployment, from the leader down to its notes."""
+    """Return the state of the cluster, from the leader to the notes for operators."""
     lines = [*_leader(answer), "", *_teams(answer), "", *_machines(answer)]
     if answer.get("level") is not None:
         lines += ["", *_feature_level(answer["level"])]
@@ -126,7 +126,7 @@
 
 
 def _table(head: list[str], rows: list[list[str]]) -> list[str]:
-    """Return lines with columns aligned: the first to the left, the others to the right."""
+    """Return lines with aligned columns: the first column to the left, the others to the right."""
     widths = [max(len(row[column]) for row in [head, *rows]) for column in range(len(head))]
     return [
         "  ".join(
--- a/micadeal/clock.py
+++ b/micadeal/clock.py
@@ -1,4 +1,4 @@
-"""The clocks: monotonic time as a timedelta since the process started, and the time of day."""
+"""Clocks: monotonic time since the start of the process, and the time of day."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ZERO = timedelta(0)
 #: The monotonic clocks of two machines drift apart by at most this share of the elapsed time.
 DRIFT = 0.0005
-#: Ages of records beyond this, in seconds, are cut, so that a damaged time can't overflow.
+#: Upper bound of a record's age, so that a damaged timestamp can't cause an overflow.
 MAX_AGE_S = 1e9
 
 
@@ -21,7 +21,7 @@
 
 
 def utc_now() -> datetime:
-    """Return the time of day, for what other processes and people read."""
+    """Return the time of day, for timestamps that leave the process."""
     return datetime.fromtimestamp(time.time(), tz=UTC)
 
 
@@ -31,9 +31,9 @@
 
 
 def monotonic_at(timestamp: float, now: timedelta) -> timedelta:
-    """Convert a record's time of day (Unix time) to our monotonic clock.
+    """Convert a record's time of day (Unix time) to this process's monotonic clock.
 
-    ``now`` is the present monotonic time.  An instant in the future becomes ``now``.
+    ``now`` is the current monotonic time.  A timestamp in the future becomes ``now``.
     """
     age_s = utc_now().timestamp() - timestamp
     return now - timedelta(seconds=min(max(age_s, 0.0), MAX_AGE_S))
--- a/micadeal/http/__init__.py
+++ b/micadeal/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on curio and h11: one small server and one client that keeps connections open."""
+"""HTTP/1.1 on curio and h11: a small server, and a client with persistent connections."""
--- a/micadeal/http/client.py
+++ b/micadeal/http/client.py
@@ -1,4 +1,4 @@
-"""A client that keeps a few connections to one address open."""
+"""An HTTP client that keeps a few connections to one address open."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class Client:
-    """Requests to one address.
+    """Sends requests to one address.
 
-    A connection that was idle may have been closed by the far side.  A request on such a
-    connection that fails before any byte of an answer is repeated once on a fresh one only if the
-    caller says that a repetition does no harm.
+    The server may have closed an idle connection.  A request that fails on an idle connection is
+    sent again on another one, finally on a new one, but only if the caller says that it is
+    idempotent.
     """
 
     def __init__(self, address: str, max_idle: int = 4) -> None:
@@ -46,7 +46,7 @@
             async with curio.timeout_after(max(timeout.total_seconds(), MIN_TIMEOUT_S)):
                 return await self._exchange(method, target, body, idempotent)
         except curio.TaskTimeout:
-            # The idle connections are as likely to be dead: start afresh.
+            # The idle connections are likely to be dead as well.
             await self.close()
             raise HttpError(f"{self._host}: no answer in time") from None
 
@@ -69,7 +69,7 @@
                     raise HttpError(f"{self._host}: {failure}") from None
                 continue
             except curio.CancelledError:
-                # Timed out or cancelled: the answer may still come, so nobody else may use it.
+                # The response may still arrive, so the connection can't be reused.
                 await connection.close()
                 raise
             await self._keep_or_close(connection)
@@ -91,7 +91,7 @@
 
 
 class _Connection:
-    """One connection, which carries one request at a time."""
+    """One connection, which handles one request at a time."""
 
     def __init__(self, sock: Any) -> None:
         self._sock = sock
--- a/micadeal/http/message.py
+++ b/micadeal/http/message.py
@@ -1,4 +1,4 @@
-"""Requests and responses as the rest of the program sees them."""
+"""HTTP requests and responses, as other packages use them."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a server's handler responds; ``retry_after`` becomes the header of that name.
+    """A handler's response; ``retry_after`` is sent as the ``Retry-After`` header.
 
-    ``reason`` says for the log why a request was refused; it is not sent.
+    ``reason`` states why a request was refused.  It is logged, not sent.
     """
 
     status: int
@@ -40,14 +40,14 @@
 
 
 class ClientResponse(NamedTuple):
-    """What a client received."""
+    """A response as a client received it."""
 
     status: int
     body: bytes
 
 
 def answer(status: int, message: Any = None, retry_after: timedelta | None = None) -> Answer:
-    """Return an answer with ``message`` as its body, encoded; None: an empty body."""
+    """Return an answer with the encoded ``message`` as its body; None: an empty body."""
     body = b"" if message is None else encode(message)
     return Answer(status, body, retry_after)
 
@@ -55,5 +55,8 @@
 def error(
     status: int, text: str, retry_after: timedelta | None = None, reason: str | None = None
 ) -> Answer:
-    """Return an answer with ``{"error": text}`` as its body; ``reason``: more, for the log."""
+    """Return an answer with ``{"error": text}`` as its body.
+
+    ``reason`` is logged instead of ``text`` if it is given.
+    """
     return Answer(status, encode({"error": text}), retry_after, text if reason is None else reason)
--- a/micadeal/http/network.py
+++ b/micadeal/http/network.py
@@ -1,4 +1,4 @@
-"""The seam between the program and the network: TCP here, memory in the tests."""
+"""Interface between the program and the network: TCP here, an in-memory fake in the tests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ) -> tuple[int, bytes]:
         """Send one request and return status and body of its response.
 
-        Raises ``HttpError`` when there is none within ``timeout``.
+        Raises ``HttpError`` if there is no response within ``timeout``.
         ``idempotent``: the request may be executed twice, so it may be sent again if an idle
         connection turns out to be closed.
         """
--- a/micadeal/http/server.py
+++ b/micadeal/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP server that a slow, silent or hostile client costs little."""
+"""An HTTP server that limits the cost of slow, silent and hostile clients."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 Handler = Callable[[Request], Awaitable[Answer]]
 
-#: A request that has begun must be whole within this time, and a response must be sent.
+#: Time limit for receiving a request after its first byte, and for sending a response.
 REQUEST_TIMEOUT = timedelta(seconds=10)
-#: An idle connection is kept for this long; workers and users come back within seconds.
+#: An idle connection is closed after this time; workers and users send again within seconds.
 IDLE_TIMEOUT = timedelta(seconds=75)
-#: Pause after a connection could not be accepted.
+#: Pause after a failed accept.
 ACCEPT_RETRY_INTERVAL = timedelta(milliseconds=50)
 ACCEPT_BACKLOG = 256
 READ_SIZE = 16 * 1024
@@ -36,7 +36,7 @@
     """Serves one address."""
 
     def __init__(self, address: SocketAddress, handler: Handler, max_connections: int) -> None:
-        """Prepare to serve ``address``; port 0 stands for any free one.
+        """Prepare to serve ``address``; port 0 selects a free port.
 
         ``handler`` answers each request.  While ``max_connections`` are open, each further
         connection is closed as soon as it is accepted.
@@ -48,7 +48,7 @@
         self._listener: Any = None
 
     def listen(self) -> SocketAddress:
-        """Bind, and return the address with the port in use; done by ``run`` if not before."""
+        """Bind if not done yet, and return the address with the port in use; ``run`` calls it."""
         if self._listener is None:
             self._listener = curio.tcp_server_socket(*self._address, backlog=ACCEPT_BACKLOG)
         host, port = self._listener.getsockname()
@@ -63,7 +63,7 @@
                 try:
                     client, _ = await listener.accept()
                 except OSError as failure:
-                    # Out of sockets for a moment: the queue of the listener holds them.
+                    # Out of sockets for now: new connections wait in the listener's backlog.
                     log.warning("accept failed: address=%s:%d reason=%s", *self._address, failure)
                     await sleep(ACCEPT_RETRY_INTERVAL)
                     continue
@@ -80,7 +80,7 @@
         except (OSError, HttpError, TimeoutError, h11.ProtocolError) as failure:
             log.debug("connection closed: address=%s:%d reason=%s", *self._address, failure)
         except Exception:
-            # A fault in serving one connection must not end the task unseen.
+            # Logged, since an exception would otherwise end the task unnoticed.
             log.exception("connection failed: address=%s:%d", *self._address)
         finally:
             self._connections -= 1
@@ -88,7 +88,7 @@
 
 
 class _Connection:
-    """One connection of a client, which sends one request after the other."""
+    """One client connection, whose requests are served one after the other."""
 
     def __init__(self, client: Any, handler: Handler) -> None:
         self._client = client
@@ -114,18 +114,18 @@
                 await self._write(error(violation.error_status_hint, "not HTTP"), close=True)
             return False
         except Exception:
-            # Whatever fails in a handler costs its client this answer and nobody else anything.
+            # A failure in a handler affects only this request.
             log.exception("request failed")
             reply = error(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error")
-        # Who is told to come back later comes over a new connection: the balancer may then choose
-        # a controller that can do more.
+        # After a 503 the client retries over a new connection, so that the load balancer can choose
+        # a controller that is able to serve it.
         unavailable = reply.status == HTTPStatus.SERVICE_UNAVAILABLE
         close = self._http.their_state is not h11.DONE or unavailable
         await self._write(reply, close)
         return not close and self._http.our_state is not h11.MUST_CLOSE
 
     async def _read_request(self) -> Request | None:
-        """Read one whole request; None if the client has gone away."""
+        """Read one whole request; None if the client has closed the connection."""
         event = self._http.next_event()
         if event is h11.NEED_DATA:
             if not await self._receive(IDLE_TIMEOUT):
@@ -136,7 +136,7 @@
         return await with_timeout(REQUEST_TIMEOUT, self._read_rest(event))
 
     async def _read_rest(self, head: Any) -> Request | None:
-        """Read what follows ``head``, the ``h11.Request`` if it has been read already."""
+        """Read the rest of a request; ``head`` is its ``h11.Request``, or None if not read yet."""
         chunks: list[bytes] = []
         size = 0
         while True:
@@ -166,7 +166,7 @@
             await self._client.sendall(self._http.send(interim))
 
     async def _receive(self, timeout: timedelta) -> bool:
-        """Receive more bytes; return False if the client went away between requests."""
+        """Receive more bytes; return False if the client disconnected between requests."""
         try:
             data = await with_timeout(timeout, self._client.recv(READ_SIZE))
         except (OSError, TimeoutError):
--- a/micadeal/ordered_set.py
+++ b/micadeal/ordered_set.py
@@ -1,8 +1,8 @@
-"""A set that is iterated in the order in which its members were added.
+"""A set that is iterated in insertion order.
 
-The order of a built-in set of texts differs from process to process (``PYTHONHASHSEED``).  Where
-the order decides what is sent first, this one makes a run repeatable, and whoever waits longest
-comes first.
+The order of a built-in set of strings differs between processes (``PYTHONHASHSEED``).  Where the
+order decides what is sent first, insertion order makes a run repeatable, and the member that has
+waited longest comes first.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
         return f"{type(self).__name__}({list(self._members)!r})"
 
     def add(self, value: T) -> None:
-        """Add a member at the end, unless it is there."""
+        """Add a member at the end, unless it is already present."""
         self._members[value] = None
 
     def discard(self, value: T) -> None:
-        """Remove a member, if it is there."""
+        """Remove a member if it is present."""
         self._members.pop(value, None)
